--- a/.ci/run_tests.py
+++ b/.ci/run_tests.py
@@ -1,7 +1,7 @@
 """Runs all tests, and passes over just those that KNOWN-RED.txt at the root lists.
 
 A line of that file is `test | cause | issue`; the test is named as unittest names it
-(`tests.folio.test_x.C.test_y`) or as pytest does (`tests/test_x.py::test_y`).  Three lines at most.  They are
+(`tests.crowseam.test_x.C.test_y`) or as pytest does (`tests/test_x.py::test_y`).  Three lines at most.  They are
 printed, and played too: one that passes has to leave the list.  Exits with 1 where a test fails, a listed one
 passes, or the list is not in order.
 """
@@ -61,7 +61,7 @@
         print(f"known red: {line}")
     nodes = {name for name in listed if "::" in name}
     ours = set(listed) - nodes
-    suite = unittest.defaultTestLoader.discover(str(ROOT / "tests/folio"), top_level_dir=str(ROOT))
+    suite = unittest.defaultTestLoader.discover(str(ROOT / "tests/crowseam"), top_level_dir=str(ROOT))
     rest, red = split(suite, ours)
     wrong = [f"{name} is listed in KNOWN-RED.txt and is no test" for name in ours - {one.id() for one in red}]
     failed = not unittest.TextTestRunner(stream=sys.stdout).run(rest).wasSuccessful()
@@ -76,7 +76,7 @@
         if code != 1:
             why = "is no test" if code else "passes: take it out"
             wrong.append(f"{node} is listed in KNOWN-RED.txt and {why}")
-    failed |= bool(subprocess.run([*pytest, "--ignore", "tests/folio",
+    failed |= bool(subprocess.run([*pytest, "--ignore", "tests/crowseam",
                                    *(f"--deselect={node}" for node in sorted(nodes))], cwd=ROOT).returncode)
     for line in wrong:
         print(line)
--- a/folio/__main__.py
+++ b/crowseam/__main__.py
@@ -14,11 +14,11 @@
     """Run the role or the command that the arguments name; return the exit code."""
     # The roles load neither the toolbox nor its libraries, since starting takes its time on small machines.
     if argv == ["desk"]:
-        from folio.circulation.daemon import main as role
+        from crowseam.gateway.daemon import main as role
     elif argv == ["registry"]:
-        from folio.registry.daemon import main as role
+        from crowseam.controller.daemon import main as role
     else:
-        from folio.reference.dispatch import run
+        from crowseam.cli.dispatch import run
         return run(argv)
     return role() or 0
 
--- a/folio/reference/curves.py
+++ b/crowseam/capacity/curves.py
@@ -1,6 +1,6 @@
 """Cost against size: bytes, descriptors, slices of quotas and processor time, from 14 to 1,000 ingresses.
 
-Bytes are those of `folio.reference.scale`.  Processor time and memory are measured here, on the daemons' own
+Bytes are those of `crowseam.capacity.message_costs`.  Processor time and memory are measured here, on the daemons' own
 code filled for the size, in one process that does nothing else; nothing is sent.
 """
 
@@ -14,27 +14,27 @@
 from random import Random
 from typing import Any
 
-from folio.accession.digest import Repair
-from folio.accession.register import Record, Register
-from folio.boot import Bind, Boot, Limits
-from folio.catalogue.routing import Route, Table
-from folio.catalogue.structs import Configuration
-from folio.circulation.clerk import Clerk, Try
-from folio.circulation.daemon import FILES, UPSTREAM_PART
-from folio.circulation.desk import IDLE_MOST, Desk
-from folio.circulation.subset import ENOUGH, MANY
-from folio.lending.admission import Admission
-from folio.lending.budget import RetryBudget
-from folio.lending.slices import PARTS, Held, Lender
-from folio.membership.sessions import Roll, Session, SessionsTold
-from folio.reference import report
-from folio.reference.commands import Args, _json, _out, _write, number
-from folio.reference.errors import DONE, BadInputError
-from folio.reference.scale import FEW, configuration, costs
-from folio.reference.tables import table
-from folio.registry.loans import TERMS
-from folio.transport import messages as m
-from folio.transport.links import frame
+from crowseam.capacity.message_costs import FEW, configuration, costs
+from crowseam.cli import report
+from crowseam.cli.commands import Args, _json, _out, _write, number
+from crowseam.cli.errors import DONE, BadInputError
+from crowseam.cli.tables import table
+from crowseam.configuration.model import Configuration
+from crowseam.configuration.routing import Route, Table
+from crowseam.controller.lease_service import TERMS
+from crowseam.discovery.digest import Repair
+from crowseam.discovery.service_registry import Record, Register
+from crowseam.gateway.daemon import FILES, UPSTREAM_PART
+from crowseam.gateway.gateway import IDLE_MOST, Desk
+from crowseam.gateway.load_balancer import Clerk, Try
+from crowseam.gateway.subsetting import ENOUGH, MANY
+from crowseam.membership.sessions import Roll, Session, SessionsTold
+from crowseam.quotas.admission import Admission
+from crowseam.quotas.leases import PARTS, Held, Lender
+from crowseam.quotas.retry_budget import RetryBudget
+from crowseam.settings import Bind, Boot, Limits
+from crowseam.transport import messages as m
+from crowseam.transport.links import frame
 
 SIZES = ((14, 70, 7, 6), (40, 200, 20, 6), (96, 480, 48, 6), (200, 1000, 100, 7), (400, 2000, 200, 8),
          (1000, 5000, 500, 9))     # desks, servers, tenants, registries
@@ -281,7 +281,7 @@
 
 
 def told(args: Args) -> int:
-    """`folio scale --curve`: print the tables, and draw them into --plot. Raises BadInputError."""
+    """`crowseam scale --curve`: print the tables, and draw them into --plot. Raises BadInputError."""
     beat = number(args, "--beat", float)
     if args["--plot"]:
         report.curve("", "", {"": [(1.0, 1.0)]})    # says now whether it can, as measuring takes a while
--- a/folio/reference/hollow.py
+++ b/crowseam/capacity/hollow_peers.py
@@ -2,7 +2,7 @@
 
 A hollow desk opens its session, reports what it was asked for, draws, takes in what it is told and follows
 the log by slot, but reads no configuration and carries no request.  A hollow server beats and leaves.
-`python -m folio.reference.hollow` is one such process: a job on the first line of its input, then orders,
+`python -m crowseam.capacity.hollow_peers` is one such process: a job on the first line of its input, then orders,
 one JSON object a line, each answered with one line.  It ends with its input.  Times: seconds, steady.
 """
 
@@ -18,17 +18,17 @@
 import msgspec
 import uvloop
 
-from folio import clock
-from folio.boot import BootError, address
-from folio.circulation import follower
-from folio.consensus.messages import SnapshotOffer, SnapshotPart
-from folio.consensus.transfer import Fetch
-from folio.lending.admission import FADE, FEWEST_ASKS
-from folio.lending.shards import KEYS, duty_of
-from folio.lending.slices import Holdings
-from folio.reference.loads import Clients, Load
-from folio.transport import links
-from folio.transport import messages as m
+from crowseam import clock
+from crowseam.capacity.loads import Clients, Load
+from crowseam.consensus.messages import SnapshotOffer, SnapshotPart
+from crowseam.consensus.snapshot_transfer import Fetch
+from crowseam.gateway import controller_session
+from crowseam.quotas.admission import FADE, FEWEST_ASKS
+from crowseam.quotas.leases import Holdings
+from crowseam.quotas.shards import KEYS, duty_of
+from crowseam.settings import BootError, address
+from crowseam.transport import links
+from crowseam.transport import messages as m
 
 LOOK = 0.1          # s between looks at a session
 FORGET = 60.0       # s after which a tenant that asks no more is forgotten
@@ -159,7 +159,7 @@
 
 
 class HollowDesk:
-    """One desk's session, as `folio.circulation.follower` keeps it."""
+    """One desk's session, as `crowseam.gateway.controller_session` keeps it."""
 
     def __init__(self, crowd: Desks, number: int) -> None:
         self.crowd, self.number = crowd, number
@@ -204,15 +204,15 @@
         link = self.link
         # What this process was too slow to read is no silence of the registry.
         if link is not None and late < LATE_MOST:
-            if now - link.touched > follower.SILENT:
+            if now - link.touched > controller_session.SILENT:
                 self._leave(now, 1.0, "left silent")
-            elif self.alone_since is not None and now - self.alone_since > follower.ALONE:
-                self._leave(now, follower.ALONE_AGAIN, "left alone")
+            elif self.alone_since is not None and now - self.alone_since > controller_session.ALONE:
+                self._leave(now, controller_session.ALONE_AGAIN, "left alone")
         if self.link is None and not self.dialling:
             self.dialling = True
             self.crowd.loop.create_task(self._dial(now))
         fetch = self.fetch
-        if fetch is not None and self.link is not None and now - fetch.heard_at > follower.PART_WAIT:
+        if fetch is not None and self.link is not None and now - fetch.heard_at > controller_session.PART_WAIT:
             self._fetch_on(now)
         if now >= self.next_report:
             self._report(now)
@@ -231,7 +231,7 @@
             addr = self.rng.choice(able)
             self.known[addr] = now + self.rng.uniform(0.3, 0.6)
             link = HollowLink(self._heard, self._ended, self.crowd.traffic)
-            async with asyncio.timeout(follower.CONNECT):
+            async with asyncio.timeout(controller_session.CONNECT):
                 await self.crowd.loop.create_connection(
                     lambda: link, addr.rpartition(":")[0], self.crowd.peer_port)
             self.link, self.at, self.alone_since = link, addr, None
@@ -305,7 +305,7 @@
                 self.known.setdefault(addr, 0.0)
 
     def _fetch_anew(self, now: float) -> None:
-        self.fetch = Fetch(self.at, max(self.slot, 0), follower.PART, follower.WINDOW, now)
+        self.fetch = Fetch(self.at, max(self.slot, 0), controller_session.PART, controller_session.WINDOW, now)
         self.link.send(*self.fetch.requests())
 
     def _fetch_on(self, now: float) -> None:
@@ -346,10 +346,10 @@
         self._send_report(now)
         if not all(each.left(now) > 0.0 for each in self.holdings.values()):
             self.leased_at = now
-        pause = follower.REPORT
-        if now - self.leased_at < follower.YOUNG:
-            pause = follower.REPORT_SOON if not self.members else min(
-                follower.REPORT_SOON, follower.SOON_LEAST + follower.SOON_EACH * self.members)
+        pause = controller_session.REPORT
+        if now - self.leased_at < controller_session.YOUNG:
+            pause = controller_session.REPORT_SOON if not self.members else min(
+                controller_session.REPORT_SOON, controller_session.SOON_LEAST + controller_session.SOON_EACH * self.members)
         self.next_report = now + pause * self.rng.uniform(0.9, 1.1)
 
     def _send_report(self, now: float) -> None:
--- a/folio/reference/loads.py
+++ b/crowseam/capacity/loads.py
@@ -14,7 +14,7 @@
 import msgspec
 from msgspec import Meta
 
-from folio.reference.errors import BadInputError
+from crowseam.cli.errors import BadInputError
 
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 Span = Annotated[float, Meta(gt=0.0, le=3600.0)]    # seconds
--- a/folio/reference/scale.py
+++ b/crowseam/capacity/message_costs.py
@@ -11,17 +11,17 @@
 
 import msgspec
 
-from folio.accession.digest import DigestOffer
-from folio.accession.register import Record
-from folio.lending.shards import KEYS, duty_of
-from folio.lending.slices import Held, Lease
-from folio.membership.duties import DutyTerms, Granted, Seek
-from folio.membership.sessions import SessionsTold
-from folio.registry.daemon import REPAIR, TELL
-from folio.registry.desks import LEASED
-from folio.registry.peers import PING
-from folio.transport import messages as m
-from folio.transport.links import frame
+from crowseam.controller.daemon import REPAIR, TELL
+from crowseam.controller.gateway_sessions import LEASED
+from crowseam.controller.peers import PING
+from crowseam.discovery.digest import DigestOffer
+from crowseam.discovery.service_registry import Record
+from crowseam.membership.duties import DutyTerms, Granted, Seek
+from crowseam.membership.sessions import SessionsTold
+from crowseam.quotas.leases import Held, Lease
+from crowseam.quotas.shards import KEYS, duty_of
+from crowseam.transport import messages as m
+from crowseam.transport.links import frame
 
 REPORTS = 1.0 / 0.5     # a second, of each desk
 CALL = 420              # bytes of a beat and its answer with their heads, as servers send them
@@ -109,11 +109,11 @@
 
 
 def scale(args: dict[str, Any]) -> int:
-    """`folio scale`: print what `costs` finds, in kB a second, or with --curve what `curves` does."""
+    """`crowseam scale`: print what `costs` finds, in kB a second, or with --curve what `curves` does."""
     if args["--curve"]:
-        from folio.reference import curves
+        from crowseam.capacity import curves
         return curves.told(args)
-    from folio.reference.errors import BAD_INPUT
+    from crowseam.cli.errors import BAD_INPUT
     figures: dict[str, float] = {}
     for option in ("desks", "servers", "tenants", "registries", "beat"):
         text = args[f"--{option}"] or DEFAULT_DESKS
@@ -123,7 +123,7 @@
             figures[option] = 0
         if not 0 < figures[option] <= 100_000:
             import sys
-            print(f"folio: --{option}: {text!r} is not a number from 1 to 100000", file=sys.stderr)
+            print(f"crowseam: --{option}: {text!r} is not a number from 1 to 100000", file=sys.stderr)
             return BAD_INPUT
     found = costs(**figures)
     if args["--json"]:
--- a/folio/reference/capacity.py
+++ b/crowseam/capacity/page.py
@@ -1,6 +1,6 @@
 """Slopes: cost against size from the kept records, carried to the size to come: the tables of CAPACITY.md.
 
-Records are those of `folio scale-run` (scale-run-*.json), the figures of `folio scale --curve --json`
+Records are those of `crowseam scale-run` (scale-run-*.json), the figures of `crowseam scale --curve --json`
 (curves.json), and sweeps of the bench (sweep-*.toml, as `Sweep` has it), all in one directory; goals.toml
 there has the size to come, and the allowance and the mechanism of each row.
 """
@@ -13,9 +13,9 @@
 import msgspec
 from msgspec import Struct
 
-from folio.reference.commands import Args, _json, _out, _write
-from folio.reference.errors import DONE, BadInputError
-from folio.reference.scale_run import row as _summary
+from crowseam.capacity.scale_run import row as _summary
+from crowseam.cli.commands import Args, _json, _out, _write
+from crowseam.cli.errors import DONE, BadInputError
 
 LATE_MOST = 0.05        # s by which hollow looks may be late on average: beyond, the run measured itself
 SATURATED = 0.9         # cores of a registry, which has one thread, from which on its times say little
@@ -329,7 +329,7 @@
 
 
 def capacity(args: Args) -> int:
-    """`folio capacity`: print the tables, or write them into a page. Raises BadInputError."""
+    """`crowseam capacity`: print the tables, or write them into a page. Raises BadInputError."""
     found = tables(*read(Path(args["--records"])))
     if args["--json"]:
         _json(found)
--- a/folio/reference/scale_run.py
+++ b/crowseam/capacity/scale_run.py
@@ -21,12 +21,13 @@
 
 import msgspec
 
-import folio
-from folio.reference import demo, hollow, loads, procfs
-from folio.reference.commands import Args, _json, _out, _read
-from folio.reference.errors import DONE, FAILED, BadInputError, ToolboxError
-from folio.reference.loads import Load
-from folio.reference.tables import table
+import crowseam
+from crowseam.capacity import hollow_peers, loads, procfs
+from crowseam.capacity.loads import Load
+from crowseam.cli import demo_files
+from crowseam.cli.commands import Args, _json, _out, _read
+from crowseam.cli.errors import DONE, FAILED, BadInputError, ToolboxError
+from crowseam.cli.tables import table
 
 NET = 80            # registry n is 127.(NET + n).0.10, as each is in a zone of its own; desks are above
 DESK_NET = 100
@@ -76,15 +77,15 @@
 
 
 def settings(load: Load, role: str, place: int, folder: Path) -> dict[str, Any]:
-    """The settings of one real process, as `folio demo` writes them, with an address of its own."""
-    told = demo.settings(0, role, folder)
+    """The settings of one real process, as `crowseam demo` writes them, with an address of its own."""
+    told = demo_files.settings(0, role, folder)
     zones = {f"zone-{n}": f"region-{n % 3}" for n in range(load.zones)}
     ip = registry_ip(place) if role == "registry" else f"127.{DESK_NET + place}.0.10"
     names = ("http", "readyz") if role == "desk" else ("ctl",)
     told |= {"hostname": f"{role}-{place}", "ip": ip, "zones": zones, "az": f"zone-{place % load.zones}",
              "region": zones[f"zone-{place % load.zones}"],
-             "bind": {name: f"{ip}:{demo.PORTS[name]}" for name in names},
-             "seeds": [f"{registry_ip(each)}:{demo.PORTS['ctl']}" for each in range(load.registries)],
+             "bind": {name: f"{ip}:{demo_files.PORTS[name]}" for name in names},
+             "seeds": [f"{registry_ip(each)}:{demo_files.PORTS['ctl']}" for each in range(load.registries)],
              "datadir": str(folder / f"data-{role}-{place}"), "hb": f"{load.beat:g}s",
              "port_range": [PEER_PORT, PEER_PORT + 15]}
     told["limits"] |= {"nofile": 20_000, "mem_mb": 2000, "disk_mb": 2000}
@@ -171,8 +172,8 @@
         file.write_bytes(msgspec.json.encode(told))
         with file.with_suffix(".log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "folio", role, stdin=asyncio.subprocess.DEVNULL, stderr=log,
-                env=os.environ | {"CROWSEAM_BOOT": str(file)}, cwd=Path(folio.__file__).parents[1],
+                sys.executable, "-m", "crowseam", role, stdin=asyncio.subprocess.DEVNULL, stderr=log,
+                env=os.environ | {"CROWSEAM_BOOT": str(file)}, cwd=Path(crowseam.__file__).parents[1],
                 preexec_fn=_dies_with_parent)
         child = Child(f"{role}-{place}", role, process)
         self.children.append(child)
@@ -180,11 +181,11 @@
 
     async def start_hollow(self, name: str, first: int, count: int) -> Child:
         """Start a process of hollow ends."""
-        job = hollow.Job(self.load, self.seeds, PEER_PORT, first, count)
+        job = hollow_peers.Job(self.load, self.seeds, PEER_PORT, first, count)
         with (self.folder / f"{name}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-m", "folio.reference.hollow", stdin=asyncio.subprocess.PIPE,
-                stdout=asyncio.subprocess.PIPE, stderr=log, cwd=Path(folio.__file__).parents[1],
+                sys.executable, "-m", "crowseam.capacity.hollow_peers", stdin=asyncio.subprocess.PIPE,
+                stdout=asyncio.subprocess.PIPE, stderr=log, cwd=Path(crowseam.__file__).parents[1],
                 preexec_fn=_dies_with_parent, limit=64 * 1024 * 1024)
         process.stdin.write(msgspec.json.encode(job) + b"\n")
         child = Child(name, "hollow desks" if count else "hollow servers", process)
@@ -194,7 +195,7 @@
     @property
     def seeds(self) -> list[str]:
         """The control addresses."""
-        return [f"{registry_ip(place)}:{demo.PORTS['ctl']}" for place in range(self.load.registries)]
+        return [f"{registry_ip(place)}:{demo_files.PORTS['ctl']}" for place in range(self.load.registries)]
 
     def look(self) -> dict[str, procfs.Usage]:
         """What each process has used so far."""
@@ -240,7 +241,7 @@
     async def status(self, place: int) -> dict[str, Any]:
         """What a registry says of itself; empty if it doesn't."""
         status, body = await asyncio.to_thread(
-            call, registry_ip(place), demo.PORTS["ctl"], "GET", "/-/status", b"", 2.0)
+            call, registry_ip(place), demo_files.PORTS["ctl"], "GET", "/-/status", b"", 2.0)
         return msgspec.json.decode(body) if status == 200 else {}
 
     async def change(self, body: bytes, method: str = "PATCH", place: int = 0) -> tuple[float, float] | None:
@@ -249,7 +250,7 @@
         for attempt in range(10):
             at = (place + attempt) % self.load.registries
             status, told = await asyncio.to_thread(
-                call, registry_ip(at), demo.PORTS["ctl"], method, "/-/config", body, 15.0)
+                call, registry_ip(at), demo_files.PORTS["ctl"], method, "/-/config", body, 15.0)
             if status == 200:
                 self.version += 1
                 return time.monotonic() - begun, time.monotonic()
@@ -325,7 +326,7 @@
         begun = time.monotonic()
         ip = f"127.{DESK_NET + place}.0.10"
         while time.monotonic() - begun < READY:
-            status, _ = await asyncio.to_thread(call, ip, demo.PORTS["readyz"], "GET", "/-/readyz", b"", 1.0)
+            status, _ = await asyncio.to_thread(call, ip, demo_files.PORTS["readyz"], "GET", "/-/readyz", b"", 1.0)
             if status == 200:
                 return round(time.monotonic() - begun, 2)
             await asyncio.sleep(0.1)
@@ -545,7 +546,7 @@
 
 
 def scale_run(args: Args) -> int:
-    """`folio scale-run`: play each size, and keep a record of each. Raises BadInputError."""
+    """`crowseam scale-run`: play each size, and keep a record of each. Raises BadInputError."""
     load = loads.parse(_read(args["FILE"][0], "FILE"))
     records = []
     for desks in sizes_of(args, load):
--- a/folio/reference/commands.py
+++ b/crowseam/cli/commands.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from folio.catalogue.structs import CatalogueError, Configuration, version
-from folio.reference import checks, difference, wire
-from folio.reference.errors import BAD_INPUT, DONE, FAILED, BadInputError, ToolboxError, UnclearError
-from folio.reference.tables import cell, rows, table
+from crowseam.cli import configuration_diff, control_client, file_checks
+from crowseam.cli.errors import BAD_INPUT, DONE, FAILED, BadInputError, ToolboxError, UnclearError
+from crowseam.cli.tables import cell, rows, table
+from crowseam.configuration.model import CatalogueError, Configuration, version
 
 Args = dict[str, Any]
 
@@ -73,22 +73,22 @@
     return addresses
 
 
-def caller(args: Args) -> wire.Caller:
+def caller(args: Args) -> control_client.Caller:
     """Return what makes the calls of one command. Raises BadInputError."""
     rng = random.Random()
     addresses = _addresses(args)
     rng.shuffle(addresses)
-    return wire.Caller(addresses, number(args, "--within", float), wire.send, time.monotonic, time.sleep, rng)
+    return control_client.Caller(addresses, number(args, "--within", float), control_client.send, time.monotonic, time.sleep, rng)
 
 
-def _call(args: Args, name: str, body: bytes = b"") -> wire.Answer:
+def _call(args: Args, name: str, body: bytes = b"") -> control_client.Answer:
     result = caller(args).call(name, body)
     if result.is_error():
         raise result.error
     return result.ok
 
 
-def _data(answer: wire.Answer) -> Any:
+def _data(answer: control_client.Answer) -> Any:
     try:
         return msgspec.json.decode(answer.body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -99,8 +99,8 @@
     """Check a file and print every fault."""
     kind = next(name for name in ("settings", "deploy", "config") if args[name])
     body = _read(args["FILE"][0], "FILE")
-    found = {"settings": checks.check_settings, "deploy": checks.check_deploy,
-             "config": checks.check_config}[kind](body)
+    found = {"settings": file_checks.check_settings, "deploy": file_checks.check_deploy,
+             "config": file_checks.check_config}[kind](body)
     if args["--json"]:
         _json([{"field": field, "text": text} for field, text in found])
     elif not found:
@@ -124,9 +124,9 @@
 def config_put(args: Args) -> int:
     """Send a whole configuration, or a PATCH where the file holds one, until a clear answer comes."""
     body = _read(args["FILE"][0], "FILE")
-    patch = checks.is_patch(body)
+    patch = file_checks.is_patch(body)
     if not args["--no-check"]:
-        found = checks.check_config(body)
+        found = file_checks.check_config(body)
         if found:
             raise BadInputError(*found[0])
     _call(args, "patch" if patch else "put", body)
@@ -162,13 +162,13 @@
             raise BadInputError(error.field, error.text) from None
         if ver <= old.ver:
             raise BadInputError("--as-patch", f"{args['--as-patch']} is not above {old.ver:08x}")
-        _out(difference.as_patch(old, new, args["--as-patch"]).decode() + "\n")
+        _out(configuration_diff.as_patch(old, new, args["--as-patch"]).decode() + "\n")
         return DONE
-    found = difference.differences(old, new)
+    found = configuration_diff.differences(old, new)
     if args["--json"]:
         _json({"from": f"{old.ver:08x}", "to": f"{new.ver:08x}", "items": found})
     else:
-        _out("".join(f"{line}\n" for line in [f"{old.ver:08x} -> {new.ver:08x}", *difference.lines(found)]))
+        _out("".join(f"{line}\n" for line in [f"{old.ver:08x} -> {new.ver:08x}", *configuration_diff.lines(found)]))
     return DONE
 
 
@@ -291,7 +291,7 @@
 
 
 def _until_safe(args: Args, idents: list[str], most: float) -> list[dict[str, Any]]:
-    from folio.reference.leaving import Wait
+    from crowseam.cli.retirement_wait import Wait
     ask = caller(args)
 
     def look(ident: str) -> dict[str, Any]:
@@ -333,7 +333,7 @@
 
 def trace(args: Args) -> int:
     """Print the events of one request out of several logs."""
-    from folio.reference.trace import follow
+    from crowseam.cli.trace import follow
     logs = [(path, _read(path, "FILE").decode("utf-8", "replace").splitlines()) for path in args["FILE"]]
     found = follow(args["ID"], logs)
     if args["--json"]:
@@ -351,8 +351,8 @@
 
 def schema(args: Args) -> int:
     """Print the JSON Schema of one kind of file, of configurations if none is named."""
-    from folio.reference.schema import SCHEMAS
-    from folio.reference.schema import schema as written
+    from crowseam.cli.schema import SCHEMAS
+    from crowseam.cli.schema import schema as written
     _json(written(next((name for name in SCHEMAS if args[name]), "config")))
     return DONE
 
@@ -361,19 +361,19 @@
     """Play a small cell on this computer and judge what was seen, or only write its files."""
     import tempfile
 
-    from folio.reference import demo as cell_of_three
-    from folio.reference import exhibit
+    from crowseam.cli import demo
+    from crowseam.cli import demo_files as cell_of_three
     if args["--files"]:
         return _demo_files(Path(args["DIR"]).absolute())
     seconds = number(args, "--seconds", float)
-    if seconds < exhibit.SHORTEST_S:
-        raise BadInputError("--seconds", f"{args['--seconds']} is under {exhibit.SHORTEST_S:g}")
-    folder = Path(args["DIR"] or tempfile.mkdtemp(prefix="folio-demo-")).absolute()
+    if seconds < demo.SHORTEST_S:
+        raise BadInputError("--seconds", f"{args['--seconds']} is under {demo.SHORTEST_S:g}")
+    folder = Path(args["DIR"] or tempfile.mkdtemp(prefix="crowseam-demo-")).absolute()
     say = (lambda line: None) if args["--json"] else (lambda line: print(line, flush=True))
     kept = True
     try:
-        seen = exhibit.play(cell_of_three.write(folder), seconds, say)
-        shown = exhibit.verdict(seen)
+        seen = demo.play(cell_of_three.write(folder), seconds, say)
+        shown = demo.verdict(seen)
         kept = bool(args["DIR"]) or not all(ok for ok, _ in shown)
     finally:
         if kept:
@@ -390,11 +390,11 @@
 
 
 def _demo_files(folder: Path) -> int:
-    from folio.reference import demo as cell_of_three
+    from crowseam.cli import demo_files as cell_of_three
     for role, file in cell_of_three.write(folder):
-        _out(f"CROWSEAM_BOOT={file} python3 -m folio {role}\n")
+        _out(f"CROWSEAM_BOOT={file} python3 -m crowseam {role}\n")
     at = f"{cell_of_three.MACHINES[0]}:{cell_of_three.PORTS['ctl']}"
-    _out(f"python3 -m folio config put {folder / 'configuration.json'} --at {at}\n")
+    _out(f"python3 -m crowseam config put {folder / 'configuration.json'} --at {at}\n")
     _out(f"curl -H 'Host: {cell_of_three.HOST}' -H 'Authorization: Bearer {cell_of_three.KEYS['kitchen']}' "
          f"-H 'X-Attempt-Id: 1' -H 'X-Time-Left: 2000' "
          f"http://{cell_of_three.MACHINES[0]}:{cell_of_three.PORTS['http']}/menu/today\n")
--- a/folio/reference/difference.py
+++ b/crowseam/cli/configuration_diff.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from folio.catalogue.structs import Configuration
+from crowseam.configuration.model import Configuration
 
 
 def _flat(value: Any, path: str = "") -> dict[str, Any]:
--- a/folio/reference/wire.py
+++ b/crowseam/cli/control_client.py
@@ -13,7 +13,7 @@
 from expression import Error, Ok, Result
 from msgspec import Struct
 
-from folio.reference.errors import RefusedError, ToolboxError, UnclearError
+from crowseam.cli.errors import RefusedError, ToolboxError, UnclearError
 
 # name: (method, path); the whole of what the toolbox asks of the system.
 CALLS = {
--- a/folio/reference/exhibit.py
+++ b/crowseam/cli/demo.py
@@ -23,9 +23,9 @@
 import msgspec
 from msgspec import Struct
 
-import folio
-from folio.reference import demo
-from folio.reference.errors import ToolboxError
+import crowseam
+from crowseam.cli import demo_files
+from crowseam.cli.errors import ToolboxError
 
 SHORTEST_S = 10.0       # a shorter day has no room for what happens on it
 READY_S = 20.0          # the cell is ready after so long, or isn't at all
@@ -74,24 +74,24 @@
 def verdict(seen: Seen) -> list[tuple[bool, str]]:
     """Return whether each thing that the day was to show held, and in words what was seen of it."""
     kitchen, pantry = seen.tenants["kitchen"], seen.tenants["pantry"]
-    most = most_within(seen.served_at.get("pantry", ()), demo.QUOTA_WINDOW_S)
-    bound = ((demo.RATE * demo.QUOTA_WINDOW_S + demo.BURST) * (1.0 + demo.QUOTA_EXCESS) + demo.QUOTA_SLACK)
+    most = most_within(seen.served_at.get("pantry", ()), demo_files.QUOTA_WINDOW_S)
+    bound = ((demo_files.RATE * demo_files.QUOTA_WINDOW_S + demo_files.BURST) * (1.0 + demo_files.QUOTA_EXCESS) + demo_files.QUOTA_SLACK)
     twice = sum(count > 1 for count in seen.runs.values())
     return [
         (kitchen.served >= LEAST_SERVED * kitchen.asked > 0.0,
          f"within its quota: {kitchen.served} of {kitchen.asked} requests of kitchen were served"),
         (pantry.served > 0 and pantry.refused > 0 and most <= bound,
-         f"beyond its quota: at most {most} of pantry in {demo.QUOTA_WINDOW_S:g} s, where the rule allows "
+         f"beyond its quota: at most {most} of pantry in {demo_files.QUOTA_WINDOW_S:g} s, where the rule allows "
          f"{bound:g}; {pantry.refused} refused"),
         (bool(seen.runs) and not twice, f"orders: {len(seen.runs)} run, {twice} of them more than once"),
         (seen.served_while_down > 0,
          f"machine killed: {seen.served_while_down} requests served by the others until it was back"),
-        (len(seen.versions) == len(demo.MACHINES) and set(seen.versions) == {demo.change()["ver"]},
+        (len(seen.versions) == len(demo_files.MACHINES) and set(seen.versions) == {demo_files.change()["ver"]},
          f"configuration: {', '.join(seen.versions)} at the registries"),
-        (seen.new_route == [200] * len(demo.MACHINES),
+        (seen.new_route == [200] * len(demo_files.MACHINES),
          f"added route: answered with {', '.join(map(str, seen.new_route))} by the desks"),
         (seen.late_at_left == 0,
-         f"server taken out: {seen.late_at_left} requests reached it more than {demo.DRAIN_S:g} s after"),
+         f"server taken out: {seen.late_at_left} requests reached it more than {demo_files.DRAIN_S:g} s after"),
     ]
 
 
@@ -139,7 +139,7 @@
     block_on_close = False
 
     def __init__(self, zone: str, seen: Seen, lock: threading.Lock):
-        super().__init__((demo.MACHINES[0], 0), StandIn)
+        super().__init__((demo_files.MACHINES[0], 0), StandIn)
         self.identity = f"i-{uuid.uuid4().hex[:8]}"
         self._zone, self._seen, self._lock = zone, seen, lock
         self._seq = 0
@@ -163,14 +163,14 @@
             "summary": {"svc": "menu", "ver": "v1", "az": self._zone, "slots": 4},
             "stat": {"phase": self.phase, "seq": self._seq, "warmup_time": "0ms"}})
         return any(200 <= call(machine, "ctl", "PUT", f"/-/backends/{self.identity}", body)[0] < 300
-                   for machine in demo.MACHINES)
+                   for machine in demo_files.MACHINES)
 
     def leave(self) -> None:
         """Say that it is leaving, until that is acknowledged."""
         self.phase = "draining"
         while not self.beat():
             time.sleep(0.1)
-        self.left_at = time.monotonic() + demo.DRAIN_S
+        self.left_at = time.monotonic() + demo_files.DRAIN_S
 
     def handle_error(self, request: Any, client_address: Any) -> None:
         """Say nothing of connections that broke: machines are killed here."""
@@ -179,7 +179,7 @@
 def call(machine: str, name: str, method: str, path: str, body: bytes = b"",
          headers: dict[str, str] | None = None, timeout: float = 1.0) -> tuple[int, dict[str, str], bytes]:
     """Make one call to a port of a machine: status, headers, body. Status 0: nothing was sent; 1: cut off."""
-    connection = HTTPConnection(machine, demo.PORTS[name], timeout=timeout)
+    connection = HTTPConnection(machine, demo_files.PORTS[name], timeout=timeout)
     try:
         connection.connect()
     except OSError:
@@ -205,7 +205,7 @@
         self._threads = [threading.Thread(target=self._work, daemon=True) for _ in range(CLIENTS)]
         self._threads += [threading.Thread(target=self._ask, args=each, daemon=True) for each in RATES]
         self._threads.append(threading.Thread(target=self._watch, daemon=True))
-        self._ready = demo.MACHINES
+        self._ready = demo_files.MACHINES
 
     def start(self) -> None:
         """Begin to ask."""
@@ -225,8 +225,8 @@
     def _watch(self) -> None:
         # As the platform does, though more often than once a second.
         while not self._stop.wait(WATCH_S):
-            self._ready = tuple(each for each in demo.MACHINES
-                                if call(each, "readyz", "GET", "/-/readyz")[0] == 200) or demo.MACHINES
+            self._ready = tuple(each for each in demo_files.MACHINES
+                                if call(each, "readyz", "GET", "/-/readyz")[0] == 200) or demo_files.MACHINES
 
     def _ask(self, tenant: str, method: str, path: str, rate: float) -> None:
         at = time.monotonic()
@@ -248,7 +248,7 @@
             status, told, _ = call(
                 ready[place % len(ready)], "http", method, path,
                 b"one portion" if method == "POST" else b"",
-                {"Host": demo.HOST, "Authorization": f"Bearer {demo.KEYS[tenant]}",
+                {"Host": demo_files.HOST, "Authorization": f"Bearer {demo_files.KEYS[tenant]}",
                  "X-Attempt-Id": uuid.uuid4().hex[:16], "X-Time-Left": str(int(left * 1000))}, left)
             if status == 0:
                 time.sleep(0.01)
@@ -280,8 +280,8 @@
         for role, file in self._of(place):
             with file.with_suffix(".log").open("ab") as log:
                 self._children[file] = subprocess.Popen(
-                    [sys.executable, "-m", "folio", role], stderr=log, stdin=subprocess.DEVNULL,
-                    env=os.environ | {"CROWSEAM_BOOT": str(file)}, cwd=Path(folio.__file__).parents[1])
+                    [sys.executable, "-m", "crowseam", role], stderr=log, stdin=subprocess.DEVNULL,
+                    env=os.environ | {"CROWSEAM_BOOT": str(file)}, cwd=Path(crowseam.__file__).parents[1])
 
     def kill(self, place: int) -> None:
         """Kill the processes of one machine."""
@@ -321,8 +321,8 @@
 
 def _free() -> None:
     """Raise ToolboxError where an address of the cell is in use, as by another demonstration."""
-    for machine in demo.MACHINES:
-        for port in demo.PORTS.values():
+    for machine in demo_files.MACHINES:
+        for port in demo_files.PORTS.values():
             with socket.socket() as probe:
                 probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
                 try:
@@ -333,7 +333,7 @@
 
 def _changed(method: str, data: dict[str, Any]) -> bool:
     body = msgspec.json.encode(data)
-    return any(call(each, "ctl", method, "/-/config", body)[0] == 200 for each in demo.MACHINES)
+    return any(call(each, "ctl", method, "/-/config", body)[0] == 200 for each in demo_files.MACHINES)
 
 
 def play(processes: list[tuple[str, Path]], seconds: float, say: Callable[[str], None]) -> Seen:
@@ -347,7 +347,7 @@
     cell, clients, over = Cell(processes), Clients(seen, lock), threading.Event()
 
     def beats() -> None:
-        while not over.wait(demo.BEAT_S):
+        while not over.wait(demo_files.BEAT_S):
             for server in servers:
                 if server.phase == "up":
                     server.beat()
@@ -364,10 +364,10 @@
         for thread in threads:
             thread.start()
         cell.start()
-        _until("taking the configuration", lambda: _changed("PUT", demo.configuration()), cell)
+        _until("taking the configuration", lambda: _changed("PUT", demo_files.configuration()), cell)
         _until("getting ready", lambda: all(
-            call(each, "readyz", "GET", "/-/readyz")[0] == 200 for each in demo.MACHINES), cell)
-        say(f"{len(processes)} processes on {len(demo.MACHINES)} machines are ready after "
+            call(each, "readyz", "GET", "/-/readyz")[0] == 200 for each in demo_files.MACHINES), cell)
+        say(f"{len(processes)} processes on {len(demo_files.MACHINES)} machines are ready after "
             f"{time.monotonic() - begun:.1f} s")
         begun = time.monotonic()
         at(0.0, "clients begin; pantry asks for three times its quota")
@@ -377,7 +377,7 @@
         with lock:
             before = sum(count.served for count in seen.tenants.values())
         at(0.4, "a configuration with one more route is sent while a voter is away")
-        _until("taking the change", lambda: _changed("PATCH", demo.change()), Cell([]))
+        _until("taking the change", lambda: _changed("PATCH", demo_files.change()), Cell([]))
         at(0.55, "machine 3 is started again")
         with lock:
             seen.served_while_down = sum(count.served for count in seen.tenants.values()) - before
@@ -386,11 +386,11 @@
         servers[0].leave()
         at(1.0, "clients end")
         clients.stop()
-        for each in demo.MACHINES:
+        for each in demo_files.MACHINES:
             status, _, body = call(each, "ctl", "GET", "/-/status")
             seen.versions.append(msgspec.json.decode(body)["ver"] if status == 200 else "none")
             seen.new_route.append(call(each, "http", "GET", "/notices/", b"", {
-                "Host": demo.HOST, "Authorization": f"Bearer {demo.KEYS['kitchen']}",
+                "Host": demo_files.HOST, "Authorization": f"Bearer {demo_files.KEYS['kitchen']}",
                 "X-Attempt-Id": uuid.uuid4().hex[:16], "X-Time-Left": "2000"}, 2.0)[0])
         return seen
     finally:
--- a/folio/reference/demo.py
+++ b/crowseam/cli/demo_files.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from folio.reference.errors import BadInputError
+from crowseam.cli.errors import BadInputError
 
 # Each machine has an address of its own, as all use the same ports. All of 127.0.0.0/8 is this computer.
 MACHINES = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
--- a/folio/reference/detection.py
+++ b/crowseam/cli/detection.py
@@ -9,10 +9,10 @@
 import sys
 from typing import Any
 
-from folio.reference.errors import BAD_INPUT, DONE
-from folio.stacks.cell import Cell
-from folio.stacks.day import build
-from folio.stacks.judge import quantile
+from crowseam.cli.errors import BAD_INPUT, DONE
+from crowseam.simulator.judge import quantile
+from crowseam.simulator.scenario.day import build
+from crowseam.simulator.simulation import Cell
 
 STEP = 0.02     # s between two looks
 SPAN = 3.0      # s that a trouble lasts
@@ -128,13 +128,13 @@
 
 
 def detection(args: dict[str, Any]) -> int:
-    """`folio detection`: print the summary of every kind, and how soon desks leave servers that go."""
+    """`crowseam detection`: print the summary of every kind, and how soon desks leave servers that go."""
     try:
         runs = int(args["--runs"])
     except ValueError:
         runs = 0
     if not 0 < runs <= 1000:
-        print(f"folio: --runs: {args['--runs']!r} is not a number from 1 to 1000", file=sys.stderr)
+        print(f"crowseam: --runs: {args['--runs']!r} is not a number from 1 to 1000", file=sys.stderr)
         return BAD_INPUT
     rows = [summary(kind, runs) for kind in KINDS]
     left = []
--- a/folio/reference/dispatch.py
+++ b/crowseam/cli/dispatch.py
@@ -4,51 +4,51 @@
 
 from docopt import DocoptExit, docopt
 
-from folio.reference import commands
-from folio.reference.errors import BAD_INPUT, FAILED, ToolboxError
-from folio.reference.usage import USAGE
+from crowseam.cli import commands
+from crowseam.cli.errors import BAD_INPUT, FAILED, ToolboxError
+from crowseam.cli.usage import USAGE
 
 
 def _custody():
     # The store and consensus are loaded only for the commands that work on them.
-    from folio.reference import custody
-    return custody
+    from crowseam.cli import store_commands
+    return store_commands
 
 
 def _emulation():
     # So is the emulator, which is most of the toolbox.
-    from folio.reference import emulation
-    emulation.steady()
-    return emulation
+    from crowseam.cli import simulation_commands
+    simulation_commands.steady()
+    return simulation_commands
 
 
 def _detection(args):
-    from folio.reference.detection import detection
+    from crowseam.cli.detection import detection
     return detection(args)
 
 
 def _scale(args):
-    from folio.reference.scale import scale
+    from crowseam.capacity.message_costs import scale
     return scale(args)
 
 
 def _scale_run(args):
-    from folio.reference.scale_run import scale_run
+    from crowseam.capacity.scale_run import scale_run
     return scale_run(args)
 
 
 def _capacity(args):
-    from folio.reference.capacity import capacity
+    from crowseam.capacity.page import capacity
     return capacity(args)
 
 
 def _model_check(args):
-    from folio.reference.model_check import model_check
+    from crowseam.cli.model_check import model_check
     return model_check(args)
 
 
 def _figures(args):
-    from folio.reference.figures import figures
+    from crowseam.cli.metrics_table import figures
     return figures(args)
 
 
@@ -93,7 +93,7 @@
         args = docopt(USAGE, argv)
     except DocoptExit:
         told = " ".join(argv) or "no command"
-        sys.stderr.write(f"arguments: {told!r} is not understood; `folio --help` shows what is\n")
+        sys.stderr.write(f"arguments: {told!r} is not understood; `crowseam --help` shows what is\n")
         return BAD_INPUT
     # `check config` holds a word that begins other commands, so those come last.
     command = next((COMMANDS[name] for name in COMMANDS if args[name]), None)
--- a/folio/reference/experiment.py
+++ b/crowseam/cli/experiment.py
@@ -23,8 +23,8 @@
 
 import msgspec
 
-from folio.reference.errors import BadInputError, ToolboxError
-from folio.stacks.day import Day, DayError, changed, read
+from crowseam.cli.errors import BadInputError, ToolboxError
+from crowseam.simulator.scenario.day import Day, DayError, changed, read
 
 DRAWS = 2000        # of the bootstrap
 SURE = 0.9          # part of the draws that an interval holds
@@ -116,7 +116,7 @@
     """The owner, the name and the value of a constant `module:NAME` or `module:Class.NAME`."""
     module, _, name = setting.partition(":")
     *owners, last = name.split(".")
-    if module.partition(".")[0] not in ("folio", "fennelpoint"):
+    if module.partition(".")[0] not in ("crowseam", "fennelpoint"):
         raise BadInputError(setting, "is no constant of this program")
     try:
         owner = importlib.import_module(module)
@@ -138,7 +138,7 @@
         for setting, value in values.items():
             owner, name, old = _place(setting)
             owners = [owner] + [module for key, module in list(sys.modules.items())
-                                if key.startswith(("folio.", "fennelpoint.")) and module is not owner
+                                if key.startswith(("crowseam.", "fennelpoint.")) and module is not owner
                                 and vars(module).get(name) is old and "." not in setting.partition(":")[2]]
             for each in owners:
                 before.append((each, name, old))
@@ -153,16 +153,16 @@
     """One run, here or by another version of the program; its figures in plain values."""
     if job.source:
         return _elsewhere(job)
-    from folio.stacks import cell
-    from folio.stacks.day import build
+    from crowseam.simulator import simulation
+    from crowseam.simulator.scenario.day import build
     with settings(job.set):
-        figures, _ = cell.play(build(job.day), job.seed)
+        figures, _ = simulation.play(build(job.day), job.seed)
     return msgspec.to_builtins(figures)
 
 
 def _elsewhere(job: Job) -> dict[str, Any]:
     path = os.pathsep.join([job.source, str(Path(job.source) / "target" / "deps"), *filter(None, sys.path)])
-    told = subprocess.run([sys.executable, "-m", "folio", "emulate", "-", f"--seed={job.seed}", "--json"],
+    told = subprocess.run([sys.executable, "-m", "crowseam", "emulate", "-", f"--seed={job.seed}", "--json"],
                           input=msgspec.json.encode(job.day), capture_output=True, cwd=job.source,
                           check=False, env=os.environ | {"PYTHONPATH": path})
     try:
--- a/folio/reference/checks.py
+++ b/crowseam/cli/file_checks.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from folio.catalogue.structs import CatalogueError, faults, parse_change, seconds
+from crowseam.configuration.model import CatalogueError, faults, parse_change, seconds
 
 Fault = tuple[str, str]
 
--- a/folio/reference/figures.py
+++ b/crowseam/cli/metrics_table.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from folio.figures.latency import FAILED, LATE, LEAST, LONGEST, OUTCOMES, REFUSED, SERVED, library
-from folio.reference import errors
-from folio.reference.commands import Args, _json, _out, caller
-from folio.reference.tables import table
+from crowseam.cli import errors
+from crowseam.cli.commands import Args, _json, _out, caller
+from crowseam.cli.tables import table
+from crowseam.metrics.latency import FAILED, LATE, LEAST, LONGEST, OUTCOMES, REFUSED, SERVED, library
 
 PLAIN = ("ready", "under_way", "desks", "in_session", "shares_missing", "in_touch", "servers", "voters",
          "duties_held", "waiting_calls", "disk_late_seconds", "slot")    # of each address, where it tells it
@@ -32,14 +32,14 @@
         buckets: dict[tuple[str, str, str], list[tuple[float, float]]] = {}
         plain = {}
         for name, labels, value, *_ in samples:
-            if name == "folio_request_seconds_bucket":
+            if name == "crowseam_request_seconds_bucket":
                 key = labels["route"], labels["service"], labels["outcome"]
                 buckets.setdefault(key, []).append((float(labels["le"]), value))
-            elif name == "folio_answer_quantile_seconds" and labels["quantile"] == "1":
+            elif name == "crowseam_answer_quantile_seconds" and labels["quantile"] == "1":
                 place = labels["route"], labels["service"]
                 self.worst[place] = max(value, self.worst.get(place, 0.0))
-            elif not labels and name.startswith("folio_"):
-                plain[name.removeprefix("folio_")] = value
+            elif not labels and name.startswith("crowseam_"):
+                plain[name.removeprefix("crowseam_")] = value
         for (route, service, outcome), counts in buckets.items():
             counts.sort()
             row = self.counts.setdefault((route, service), dict.fromkeys(OUTCOMES, 0))
--- a/folio/reference/model_check.py
+++ b/crowseam/cli/model_check.py
@@ -14,21 +14,21 @@
 from importlib import import_module
 from typing import Any
 
-from folio.reference.commands import number
-from folio.reference.errors import DONE, FAILED, BadInputError
-from folio.schedules import Mutant, Report
+from crowseam.cli.commands import number
+from crowseam.cli.errors import DONE, FAILED, BadInputError
+from crowseam.model_checks.schedules import Mutant, Report
 
 Args = dict[str, Any]
 
 PARTS = {
-    "agreement": "folio.consensus.check",
-    "lending": "folio.lending.check",
-    "callers": "folio.stacks.check_callers",
-    "handover": "folio.accession.check_handover",
-    "catchup": "folio.consensus.check_catchup",
-    "membership": "folio.consensus.check_membership",
-    "orders": "folio.stacks.check_orders",
-    "cutoff": "folio.stacks.check_cutoff",
+    "agreement": "crowseam.model_checks.agreement.check",
+    "lending": "crowseam.model_checks.quotas.check",
+    "callers": "crowseam.model_checks.callers.check",
+    "handover": "crowseam.model_checks.handover.check",
+    "catchup": "crowseam.model_checks.catchup.check",
+    "membership": "crowseam.model_checks.membership.check",
+    "orders": "crowseam.model_checks.orders.check",
+    "cutoff": "crowseam.model_checks.cutoff.check",
 }
 GROUPS = {"both": ("agreement", "lending"), "all": tuple(PARTS)}
 CHUNK = 8       # schedules that a process plays before it is given more
--- a/folio/reference/planner.py
+++ b/crowseam/cli/planner.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from folio.reference.errors import BadInputError
-from folio.reference.experiment import Job
-from folio.stacks.day import Day, DayError, changed
+from crowseam.cli.errors import BadInputError
+from crowseam.cli.experiment import Job
+from crowseam.simulator.scenario.day import Day, DayError, changed
 
 
 def cases(day: Day, zones: list[str], retired: list[tuple[str, int]], doubled: list[str],
--- a/folio/reference/report.py
+++ b/crowseam/cli/report.py
@@ -7,7 +7,7 @@
 from math import floor, log10
 from typing import Any
 
-from folio.reference.errors import BadInputError
+from crowseam.cli.errors import BadInputError
 
 STYLE = """body{font:15px/1.5 sans-serif;max-width:70em;margin:2em auto;padding:0 1em;color:#222}
 table{border-collapse:collapse;margin:1em 0}
@@ -41,7 +41,7 @@
     try:
         import matplotlib
         matplotlib.use("svg")
-        matplotlib.rcParams["svg.hashsalt"] = "folio"   # the same file for the same results
+        matplotlib.rcParams["svg.hashsalt"] = "crowseam"   # the same file for the same results
         from matplotlib.figure import Figure
     except ImportError:
         raise BadInputError(option, f"plots need what requirements-tools.txt lists; install it, or {instead}"
--- a/folio/reference/leaving.py
+++ b/crowseam/cli/retirement_wait.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from folio.reference.errors import RefusedError, ToolboxError, UnclearError
+from crowseam.cli.errors import RefusedError, ToolboxError, UnclearError
 
 EVERY_S = 0.5
 SURE = 3    # looks in a row that must find a server back in use, or unknown: a registry may be behind
--- a/folio/reference/schema.py
+++ b/crowseam/cli/schema.py
@@ -5,8 +5,8 @@
 import msgspec
 from msgspec import Struct
 
-from folio.catalogue.structs import LimitsSpec, Meta, RouteSpec, ServiceSpec, TenantSpec
-from folio.reference.checks import DeployFile, SettingsFile
+from crowseam.cli.file_checks import DeployFile, SettingsFile
+from crowseam.configuration.model import LimitsSpec, Meta, RouteSpec, ServiceSpec, TenantSpec
 
 
 class RouteItem(Struct, tag_field="type", tag="routes"):
--- a/folio/reference/emulation.py
+++ b/crowseam/cli/simulation_commands.py
@@ -8,13 +8,14 @@
 
 import msgspec
 
-from folio.reference import experiment as experiments
-from folio.reference import planner
-from folio.reference.commands import Args, _json, _out, _read, _write, number
-from folio.reference.errors import DONE, FAILED, BadInputError
-from folio.reference.tables import table
-from folio.stacks import cell, replay
-from folio.stacks.day import Day, DayError, changed, parse
+from crowseam.cli import experiment as experiments
+from crowseam.cli import planner
+from crowseam.cli.commands import Args, _json, _out, _read, _write, number
+from crowseam.cli.errors import DONE, FAILED, BadInputError
+from crowseam.cli.tables import table
+from crowseam.simulator import simulation
+from crowseam.simulator.scenario import replay
+from crowseam.simulator.scenario.day import Day, DayError, changed, parse
 
 NAMES = ("emulate", "experiment", "plan", "replay")
 
@@ -53,7 +54,7 @@
     return number(args, "--jobs", int) if args["--jobs"] else os.cpu_count() or 1
 
 
-def _told(figures: cell.Figures) -> str:
+def _told(figures: simulation.Figures) -> str:
     """The figures of one run for people."""
     head = {name: getattr(figures, name) for name in (
         "asks", "served", "share", "worth", "worst", "refused", "failed", "p50", "p99", "again", "budget",
@@ -69,7 +70,7 @@
 def _played(args: Args, day: Day) -> int:
     try:
         with experiments.settings(_constants(args)):
-            figures, lines = cell.play(day, number(args, "--seed", int), bool(args["--log"]))
+            figures, lines = simulation.play(day, number(args, "--seed", int), bool(args["--log"]))
     except ValueError as error:
         raise BadInputError("--set", str(error)) from None
     if args["--log"]:
@@ -115,7 +116,7 @@
     broken = [f"{job.variant}, seed {job.seed}: {line}" for job, figures in zip(jobs, found, strict=True)
               for line in [*figures["told"], *figures["failures"]]]
     if args["--report"]:
-        from folio.reference import report
+        from crowseam.cli import report
         spans: dict[str, list[list[float]]] = {}
         for job, figures in zip(jobs, found, strict=True):
             spans.setdefault(job.variant, []).append(figures["spans"])
--- a/folio/reference/custody.py
+++ b/crowseam/cli/store_commands.py
@@ -7,13 +7,13 @@
 from pathlib import Path
 from typing import Any
 
-from folio.catalogue.structs import version_text
-from folio.consensus.messages import Change, Voter, Voters
-from folio.consensus.records import Durable, Identity, Learned
-from folio.reference.checks import address_fault
-from folio.reference.errors import DONE, BadInputError, ToolboxError
-from folio.vault.errors import StoreError
-from folio.vault.store import Store
+from crowseam.cli.errors import DONE, BadInputError, ToolboxError
+from crowseam.cli.file_checks import address_fault
+from crowseam.configuration.model import version_text
+from crowseam.consensus.messages import Change, Voter, Voters
+from crowseam.consensus.records import Durable, Identity, Learned
+from crowseam.storage.errors import StoreError
+from crowseam.storage.store import Store
 
 Args = dict[str, Any]
 
--- a/folio/reference/usage.py
+++ b/crowseam/cli/usage.py
@@ -1,40 +1,40 @@
 """What the command line looks like."""
 
-USAGE = """folio: the gateway and its toolbox.
+USAGE = """crowseam: the gateway and its toolbox.
 
 Usage:
-  folio desk
-  folio registry
-  folio check (settings | deploy | config) FILE [--json]
-  folio config get [--at=LIST] [--within=S] [--out=FILE]
-  folio config put FILE [--at=LIST] [--within=S] [--no-check] [--json]
-  folio config diff NEW [--at=LIST] [--within=S] [--as-patch=VER | --json]
-  folio config diff OLD NEW [--as-patch=VER | --json]
-  folio config history [--at=LIST] [--within=S] [--json]
-  folio (servers | members | duties) [--at=LIST] [--within=S] [--json]
-  folio status [--at=LIST] [--within=S] [--json]
-  folio figures [--at=LIST] [--json]
-  folio retire (--server=ID | --version=VER | --zone=AZ) [--svc=SVC] [--undo | --force]
+  crowseam desk
+  crowseam registry
+  crowseam check (settings | deploy | config) FILE [--json]
+  crowseam config get [--at=LIST] [--within=S] [--out=FILE]
+  crowseam config put FILE [--at=LIST] [--within=S] [--no-check] [--json]
+  crowseam config diff NEW [--at=LIST] [--within=S] [--as-patch=VER | --json]
+  crowseam config diff OLD NEW [--as-patch=VER | --json]
+  crowseam config history [--at=LIST] [--within=S] [--json]
+  crowseam (servers | members | duties) [--at=LIST] [--within=S] [--json]
+  crowseam status [--at=LIST] [--within=S] [--json]
+  crowseam figures [--at=LIST] [--json]
+  crowseam retire (--server=ID | --version=VER | --zone=AZ) [--svc=SVC] [--undo | --force]
                [--wait] [--most=S] [--at=LIST] [--within=S] [--json]
-  folio retiring [ID] [--wait] [--most=S] [--at=LIST] [--within=S] [--json]
-  folio trace ID FILE... [--json]
-  folio snapshot STORE FILE
-  folio restore FILE STORE [--voters=LIST --me=ADDR]
-  folio schema [config | patch | settings | deploy]
-  folio model-check [--part=P] [--seeds=N] [--from=SEED] [--steps=N] [--jobs=N] [--mutants | --guards]
-  folio demo [DIR] [--seconds=S] [--json]
-  folio demo DIR --files
-  folio scale --curve [--plot=DIR] [--beat=S] [--json]
-  folio scale-run FILE [--desks=LIST] [--out=DIR] [--json]
-  folio capacity [--records=DIR] [--page=FILE] [--json]
-  folio scale [--desks=N] [--servers=N] [--tenants=N] [--registries=N] [--beat=S] [--json]
-  folio detection [--runs=N] [--json]
-  folio emulate DAY [--seed=N] [--set=LIST] [--log=FILE] [--json]
-  folio experiment FILE [--jobs=N] [--report=OUT] [--no-plots] [--keep=STORE] [--json]
-  folio plan DAY [--lose-zone=LIST] [--retire=LIST] [--double=LIST] [--load=LIST]
+  crowseam retiring [ID] [--wait] [--most=S] [--at=LIST] [--within=S] [--json]
+  crowseam trace ID FILE... [--json]
+  crowseam snapshot STORE FILE
+  crowseam restore FILE STORE [--voters=LIST --me=ADDR]
+  crowseam schema [config | patch | settings | deploy]
+  crowseam model-check [--part=P] [--seeds=N] [--from=SEED] [--steps=N] [--jobs=N] [--mutants | --guards]
+  crowseam demo [DIR] [--seconds=S] [--json]
+  crowseam demo DIR --files
+  crowseam scale --curve [--plot=DIR] [--beat=S] [--json]
+  crowseam scale-run FILE [--desks=LIST] [--out=DIR] [--json]
+  crowseam capacity [--records=DIR] [--page=FILE] [--json]
+  crowseam scale [--desks=N] [--servers=N] [--tenants=N] [--registries=N] [--beat=S] [--json]
+  crowseam detection [--runs=N] [--json]
+  crowseam emulate DAY [--seed=N] [--set=LIST] [--log=FILE] [--json]
+  crowseam experiment FILE [--jobs=N] [--report=OUT] [--no-plots] [--keep=STORE] [--json]
+  crowseam plan DAY [--lose-zone=LIST] [--retire=LIST] [--double=LIST] [--load=LIST]
              [--runs=N] [--jobs=N] [--json]
-  folio replay LOG... --day=DAY [--seed=N] [--set=LIST] [--log=FILE] [--json]
-  folio --help
+  crowseam replay LOG... --day=DAY [--seed=N] [--set=LIST] [--log=FILE] [--json]
+  crowseam --help
 
 The roles `desk` and `registry` read the settings file that the variable CROWSEAM_BOOT names.
 
@@ -67,7 +67,7 @@
   --seconds=S     How long the demonstration has clients; 10 at least [default: 20].
   --files         Only write the files of the demonstration, and print the commands that start it.
   --seed=N        What the run's chances are drawn from [default: 1].
-  --set=LIST      Constants of the code in this run, as folio.circulation.clerk:HEDGE=5,...
+  --set=LIST      Constants of the code in this run, as crowseam.gateway.load_balancer:HEDGE=5,...
   --desks=N       Ingresses that carry traffic; 96 unless said.  Of a scale run: its sizes, as 50,100,200.
   --servers=N     Servers of all services [default: 264].
   --tenants=N     Tenants with a quota [default: 88].
--- a/folio/catalogue/routing.py
+++ b/crowseam/configuration/routing.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from folio.catalogue.structs import Configuration, Item, seconds
+from crowseam.configuration.model import Configuration, Item, seconds
 
 
 class Route(Struct, frozen=True, eq=False):
--- a/folio/consensus/messages.py
+++ b/crowseam/consensus/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from folio.consensus.errors import ConsensusError
+from crowseam.consensus.errors import ConsensusError
 
 Slot = Annotated[int, msgspec.Meta(ge=0, lt=1 << 62)]
 
--- a/folio/consensus/node.py
+++ b/crowseam/consensus/node.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from folio.consensus import voters as policy
-from folio.consensus.errors import ConsensusError
-from folio.consensus.messages import (
+from crowseam.consensus import voters as policy
+from crowseam.consensus.errors import ConsensusError
+from crowseam.consensus.messages import (
     Accept,
     Accepted,
     Ballot,
@@ -40,7 +40,7 @@
     Voter,
     Voters,
 )
-from folio.consensus.records import (
+from crowseam.consensus.records import (
     Answer,
     Apply,
     Durable,
@@ -57,7 +57,7 @@
     Vote,
     Voted,
 )
-from folio.consensus.transfer import Fetch, Sealed, Source, seal, unseal
+from crowseam.consensus.snapshot_transfer import Fetch, Sealed, Source, seal, unseal
 
 _HANDLERS = {
     Prepare: "_on_prepare",
--- a/folio/consensus/records.py
+++ b/crowseam/consensus/records.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from folio.consensus.messages import Ballot, Entry, Message, Voter
+from crowseam.consensus.messages import Ballot, Entry, Message, Voter
 
 
 class Identity(msgspec.Struct, frozen=True):
--- a/folio/consensus/transfer.py
+++ b/crowseam/consensus/snapshot_transfer.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from folio.consensus.errors import ConsensusError
-from folio.consensus.messages import PartRequest, Snapshot, SnapshotPart, decode, encode
+from crowseam.consensus.errors import ConsensusError
+from crowseam.consensus.messages import PartRequest, Snapshot, SnapshotPart, decode, encode
 
 KEPT = 2            # sealed snapshots that are kept at most
 MOST = 64 << 20     # bytes that a sealed snapshot may have, and what is in it
--- a/folio/consensus/voters.py
+++ b/crowseam/consensus/voters.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable, Collection, Sequence
 from random import Random
 
-from folio.consensus.messages import Voter
-from folio.consensus.records import Durable, Identity, Record, Saved
+from crowseam.consensus.messages import Voter
+from crowseam.consensus.records import Durable, Identity, Record, Saved
 
 
 def settle(
--- a/folio/registry/agreement.py
+++ b/crowseam/controller/agreement.py
@@ -5,15 +5,15 @@
 import asyncio
 from collections.abc import Callable
 
-from folio import clock, logs
-from folio.catalogue.structs import CatalogueError, Change, version_text
-from folio.consensus import messages as consensus
-from folio.consensus.node import Node
-from folio.consensus.records import Answer, Apply, Fresh, Persist, Send, Taken
-from folio.registry.disk import Archive
-from folio.registry.machine import Again, Forgotten, Machine
-from folio.registry.slips import Slips, refusal
-from folio.transport.http import Call
+from crowseam import clock, logs
+from crowseam.configuration.model import CatalogueError, Change, version_text
+from crowseam.consensus import messages as consensus
+from crowseam.consensus.node import Node
+from crowseam.consensus.records import Answer, Apply, Fresh, Persist, Send, Taken
+from crowseam.controller.disk import Archive
+from crowseam.controller.pending_calls import Slips, refusal
+from crowseam.controller.state_machine import Again, Forgotten, Machine
+from crowseam.transport.http import Call
 
 TICK = 0.05     # s between two calls of `tick`; what is due sooner gets a timer
 ANSWER = 0.85   # s within which a change of the configuration is answered; callers move on after one
--- a/folio/registry/counter.py
+++ b/crowseam/controller/api.py
@@ -1,4 +1,4 @@
-"""The counter: the calls that servers and operators make of a registry, by the table in `folio.calls`."""
+"""The counter: the calls that servers and operators make of a registry, by the table in `crowseam.control_calls`."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 import msgspec
 
-from folio import calls, clock, logs
-from folio.accession.register import AccessionError, Register, check_id, parse_beat
-from folio.catalogue.structs import CatalogueError, parse_change, version_text
-from folio.lending.shards import KEYS
-from folio.membership.duties import Duties
-from folio.membership.sessions import Roll
-from folio.registry.agreement import Agreement
-from folio.registry.desks import Desks
-from folio.registry.disk import Archive
-from folio.registry.peers import Peers
-from folio.registry.reports import Reports
-from folio.registry.retirements import Retirements
-from folio.registry.slips import refusal
-from folio.transport.http import Call
-from folio.transport.links import Link
+from crowseam import clock, control_calls, logs
+from crowseam.configuration.model import CatalogueError, parse_change, version_text
+from crowseam.controller.agreement import Agreement
+from crowseam.controller.disk import Archive
+from crowseam.controller.gateway_sessions import Desks
+from crowseam.controller.peers import Peers
+from crowseam.controller.pending_calls import refusal
+from crowseam.controller.retirements import Retirements
+from crowseam.controller.server_reports import Reports
+from crowseam.discovery.service_registry import AccessionError, Register, check_id, parse_beat
+from crowseam.membership.duties import Duties
+from crowseam.membership.sessions import Roll
+from crowseam.quotas.shards import KEYS
+from crowseam.transport.http import Call
+from crowseam.transport.links import Link
 
 
 class Counter:
@@ -36,12 +36,12 @@
         self.desks, self.duties, self.archive = desks, duties, archive
         self.node, self.machine = agreement.node, agreement.machine
         self.closing = False    # whether the process is about to end, so that no more calls should come
-        self._handlers = {name: getattr(self, f"call_{name}") for _, _, name in calls.TABLE}
+        self._handlers = {name: getattr(self, f"call_{name}") for _, _, name in control_calls.TABLE}
         self.counts: dict[str, int] = {}
 
     def serve(self, call: Call) -> None:
         """Answer a call, at once or later. Nothing is raised: a fault of the program is answered with 500."""
-        found = calls.find(call.method, call.path)
+        found = control_calls.find(call.method, call.path)
         if isinstance(found, int):
             return call.reply(found, refusal(f"{call.method} {call.path} is no call of this system"))
         name, ident = found
@@ -121,8 +121,8 @@
 
     def call_metrics(self, call: Call, _: str, now: float) -> None:
         """The figures, for Prometheus."""
-        from folio.figures import families, scrape  # with the first scrape: a start is no longer
-        scrape.answer(call, self.loop, families.of_registry(self, now))
+        from crowseam.metrics import exposition, families
+        exposition.answer(call, self.loop, families.of_registry(self, now))
 
     def call_readyz(self, call: Call, _: str, now: float) -> None:
         """Whether calls should come here.
--- a/folio/registry/daemon.py
+++ b/crowseam/controller/daemon.py
@@ -23,33 +23,33 @@
 import msgspec
 import uvloop
 
-from folio import boot as boots
-from folio import clock, logs
-from folio.accession import quorum
-from folio.accession.digest import DigestOffer, RangeRecords, Repair
-from folio.accession.handover import Handover, Learn, Learned
-from folio.accession.register import Register
-from folio.catalogue.structs import version_text
-from folio.consensus import messages as consensus
-from folio.consensus.node import Node, Timing
-from folio.consensus.records import Apply
-from folio.lending.shards import KEYS
-from folio.membership import duties
-from folio.membership.sessions import Roll, SessionsTold
-from folio.registry.agreement import TICK, Agreement
-from folio.registry.counter import Counter
-from folio.registry.desks import Desks, Session
-from folio.registry.disk import COUNTED, Archive, Disk
-from folio.registry.loans import Loans
-from folio.registry.machine import Machine
-from folio.registry.peers import PING, SESSIONS, Peers
-from folio.registry.reports import Reports
-from folio.registry.retirements import Retirements
-from folio.registry.slips import Slips
-from folio.transport import messages as m
-from folio.transport.http import Caller
-from folio.transport.links import Link
-from folio.vault.store import Note, Store
+from crowseam import clock, logs
+from crowseam import settings as boots
+from crowseam.configuration.model import version_text
+from crowseam.consensus import messages as consensus
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import Apply
+from crowseam.controller.agreement import TICK, Agreement
+from crowseam.controller.api import Counter
+from crowseam.controller.disk import COUNTED, Archive, Disk
+from crowseam.controller.gateway_sessions import Desks, Session
+from crowseam.controller.lease_service import Loans
+from crowseam.controller.peers import PING, SESSIONS, Peers
+from crowseam.controller.pending_calls import Slips
+from crowseam.controller.retirements import Retirements
+from crowseam.controller.server_reports import Reports
+from crowseam.controller.state_machine import Machine
+from crowseam.discovery import quorum
+from crowseam.discovery.digest import DigestOffer, RangeRecords, Repair
+from crowseam.discovery.handover import Handover, Learn, Learned
+from crowseam.discovery.service_registry import Register
+from crowseam.membership import duties
+from crowseam.membership.sessions import Roll, SessionsTold
+from crowseam.quotas.shards import KEYS
+from crowseam.storage.store import Note, Store
+from crowseam.transport import messages as m
+from crowseam.transport.http import Caller
+from crowseam.transport.links import Link
 
 TELL, REPAIR, SAVE = 0.5, 1.0, 1.0  # s between news to registries, comparisons of registers, writes of ours
 TICKET_BITS = 10    # of a ticket, below the microseconds at which the process began
@@ -60,7 +60,7 @@
     """The process: owner of the parts, of the listeners and of the timers.
 
     `boot` are the settings, read from the file at `path` (None: where the environment says).  Raises
-    folio.vault.errors.StoreError where the disk can't be read.
+    crowseam.storage.errors.StoreError where the disk can't be read.
     """
 
     store_type, disk_type = Store, Disk     # the emulator has its own
@@ -349,14 +349,14 @@
 
 def main() -> int:
     """Run the role; the exit code."""
-    from folio.vault.errors import StoreError
+    from crowseam.storage.errors import StoreError
     signal.signal(signal.SIGHUP, signal.SIG_IGN)    # the file is about to be read anyway
     try:
         boot = boots.read()
         if not boot.bind.ctl:
             raise boots.BootError("bind.ctl is missing")
     except boots.BootError as error:
-        print(f"folio: {error}", file=sys.stderr)
+        print(f"crowseam: {error}", file=sys.stderr)
         return 2
     logs.begin("registry", boot.hostname)
     try:
--- a/folio/registry/disk.py
+++ b/crowseam/controller/disk.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from random import Random
 
-from folio import logs
-from folio.boot import Boot
-from folio.consensus.records import Durable
-from folio.consensus.voters import settle
-from folio.vault.errors import StoreError
-from folio.vault.store import Store
+from crowseam import logs
+from crowseam.consensus.records import Durable
+from crowseam.consensus.voters import settle
+from crowseam.settings import Boot
+from crowseam.storage.errors import StoreError
+from crowseam.storage.store import Store
 
 SLOW = 0.5      # s after which a write that is still out is told of
 WHOLE = "known/whole"   # the note that the desks on disk are all that may hold leases
@@ -87,7 +87,7 @@
     """What this registry keeps over restarts, on its disk if it has one.
 
     `durable` is the voter's part as read back; `disk` is None without a directory for data.  Raises
-    folio.vault.errors.StoreError where the store can't be opened.
+    crowseam.storage.errors.StoreError where the store can't be opened.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, boot: Boot, rng: Random,
@@ -101,7 +101,7 @@
             self.durable = Durable()
             settle(self.durable, boot.bind.ctl, boot.seeds, boot.bootstrap, rng)
             return
-        store = store_type(os.path.join(boot.datadir, "folio.db"))
+        store = store_type(os.path.join(boot.datadir, "crowseam.db"))
         store.open()
         self.durable = durable = store.load()
         self.whole = boot.bootstrap or WHOLE in store.notes()
--- a/folio/registry/desks.py
+++ b/crowseam/controller/gateway_sessions.py
@@ -4,21 +4,21 @@
 
 from math import inf
 
-from folio import logs
-from folio.accession.register import Register
-from folio.catalogue.structs import version_text
-from folio.consensus import messages as consensus
-from folio.consensus.records import Apply
-from folio.consensus.transfer import Sealed, Source, sealed
-from folio.lending.slices import Known
-from folio.membership.ills import Ills
-from folio.membership.sessions import Roll
-from folio.registry.disk import WHOLE
-from folio.registry.machine import Machine
-from folio.registry.peers import Peers
-from folio.transport import messages as m
-from folio.transport.links import Link, frame
-from folio.vault.store import Member, Note
+from crowseam import logs
+from crowseam.configuration.model import version_text
+from crowseam.consensus import messages as consensus
+from crowseam.consensus.records import Apply
+from crowseam.consensus.snapshot_transfer import Sealed, Source, sealed
+from crowseam.controller.disk import WHOLE
+from crowseam.controller.peers import Peers
+from crowseam.controller.state_machine import Machine
+from crowseam.discovery.service_registry import Register
+from crowseam.membership.outliers import Ills
+from crowseam.membership.sessions import Roll
+from crowseam.quotas.leases import Known
+from crowseam.storage.store import Member, Note
+from crowseam.transport import messages as m
+from crowseam.transport.links import Link, frame
 
 SEEN = 120.0    # s for which it is known when a desk was last a member
 LEASED = 9.0    # s after it was last a member that a desk may still hold a lease
--- a/folio/registry/loans.py
+++ b/crowseam/controller/lease_service.py
@@ -4,17 +4,17 @@
 
 from collections.abc import Callable
 
-from folio import logs
-from folio.lending.shards import KEYS, duty_of
-from folio.lending.slices import Held, Lease, Lender, LendingTerms, Reserve
-from folio.membership import duties
-from folio.membership.sessions import Roll
-from folio.registry.desks import Desks, Session
-from folio.registry.disk import DUTY, Archive
-from folio.registry.machine import Machine
-from folio.registry.peers import Peers
-from folio.transport import messages as m
-from folio.vault.store import Note
+from crowseam import logs
+from crowseam.controller.disk import DUTY, Archive
+from crowseam.controller.gateway_sessions import Desks, Session
+from crowseam.controller.peers import Peers
+from crowseam.controller.state_machine import Machine
+from crowseam.membership import duties
+from crowseam.membership.sessions import Roll
+from crowseam.quotas.leases import Held, Lease, Lender, LendingTerms, Reserve
+from crowseam.quotas.shards import KEYS, duty_of
+from crowseam.storage.store import Note
+from crowseam.transport import messages as m
 
 STRIKE = 1.0    # s between two looks for desks that borrow no more
 NOT_HERE = 0.12  # s after which a desk may draw again that came to a registry without the reserve
--- a/folio/registry/peers.py
+++ b/crowseam/controller/peers.py
@@ -5,13 +5,13 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
-from folio import boot as boots
-from folio import clock, logs
-from folio.consensus.node import Node
-from folio.membership.detector import Detector
-from folio.membership.sessions import Roll, SessionsTold
-from folio.transport import messages as m
-from folio.transport.links import Dialer, Link, frame
+from crowseam import clock, logs
+from crowseam import settings as boots
+from crowseam.consensus.node import Node
+from crowseam.membership.failure_detector import Detector
+from crowseam.membership.sessions import Roll, SessionsTold
+from crowseam.transport import messages as m
+from crowseam.transport.links import Dialer, Link, frame
 
 PING = 0.25     # s between signs of life
 LATELY = 2.0    # s since it was last heard for which a registry is named to others
--- a/folio/registry/slips.py
+++ b/crowseam/controller/pending_calls.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from folio.transport.http import Call
+from crowseam.transport.http import Call
 
 # Whole seconds, as RFC 9110 has it (10.2.3). Another registry may serve the call at once.
 RETRY = (("Retry-After", "1"),)
--- a/folio/registry/retirements.py
+++ b/crowseam/controller/retirements.py
@@ -7,18 +7,18 @@
 
 import msgspec
 
-from folio import clock, logs
-from folio.accession import quorum
-from folio.accession.register import PHASES, Record, Register, check_id
-from folio.accession.retiring import Asked, Look, RacedError, shares, tight
-from folio.membership.sessions import Roll
-from folio.registry.desks import Desks, Session
-from folio.registry.disk import Archive
-from folio.registry.peers import Peers
-from folio.registry.slips import Slips, refusal, unavailable
-from folio.transport import messages as m
-from folio.transport.http import Call
-from folio.vault.store import Note
+from crowseam import clock, logs
+from crowseam.controller.disk import Archive
+from crowseam.controller.gateway_sessions import Desks, Session
+from crowseam.controller.peers import Peers
+from crowseam.controller.pending_calls import Slips, refusal, unavailable
+from crowseam.discovery import quorum
+from crowseam.discovery.retirement import Asked, Look, RacedError, shares, tight
+from crowseam.discovery.service_registry import PHASES, Record, Register, check_id
+from crowseam.membership.sessions import Roll
+from crowseam.storage.store import Note
+from crowseam.transport import messages as m
+from crowseam.transport.http import Call
 
 NOTE = "retired/"   # what a record is kept under until the whole register is next written
 DOUBT = 0.02        # s between two looks whether an order may be refused
--- a/folio/registry/reports.py
+++ b/crowseam/controller/server_reports.py
@@ -4,16 +4,16 @@
 
 import msgspec
 
-from folio.accession import quorum
-from folio.accession.digest import DigestOffer, RangeRecords, Repair
-from folio.accession.register import Beat, Record, Register
-from folio.registry.desks import Desks
-from folio.registry.peers import Peers
-from folio.registry.retirements import Retirements
-from folio.registry.slips import Slips, refusal, unavailable
-from folio.transport import messages as m
-from folio.transport.http import Call
-from folio.vault.store import Note
+from crowseam.controller.gateway_sessions import Desks
+from crowseam.controller.peers import Peers
+from crowseam.controller.pending_calls import Slips, refusal, unavailable
+from crowseam.controller.retirements import Retirements
+from crowseam.discovery import quorum
+from crowseam.discovery.digest import DigestOffer, RangeRecords, Repair
+from crowseam.discovery.service_registry import Beat, Record, Register
+from crowseam.storage.store import Note
+from crowseam.transport import messages as m
+from crowseam.transport.http import Call
 
 NOTE = "register"   # what the whole register is kept under
 
--- a/folio/registry/machine.py
+++ b/crowseam/controller/state_machine.py
@@ -6,8 +6,8 @@
 
 import msgspec
 
-from folio.catalogue.structs import EMPTY, CatalogueError, Change, Configuration, judge, version_text
-from folio.consensus.messages import Change as Entry
+from crowseam.configuration.model import EMPTY, CatalogueError, Change, Configuration, judge, version_text
+from crowseam.consensus.messages import Change as Entry
 
 RECENT = 256        # taken changes of which all is known, for operators
 EARLIER = 4096      # taken before these, of which it is known that they were: a week of 590 changes a day
--- a/folio/accession/digest.py
+++ b/crowseam/discovery/digest.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from folio.accession.register import Record, Register, material
+from crowseam.discovery.service_registry import Record, Register, material
 
 RANGES = 16
 _encode = msgspec.msgpack.Encoder().encode
--- a/folio/accession/handover.py
+++ b/crowseam/discovery/handover.py
@@ -19,8 +19,8 @@
 
 import msgspec
 
-from folio.accession.quorum import leaving, majority
-from folio.accession.register import Record, Register
+from crowseam.discovery.quorum import leaving, majority
+from crowseam.discovery.service_registry import Record, Register
 
 AGAIN = 0.2     # s after which those that have not answered are asked once more
 # s after which a newcomer that no majority has answered counts all the same, as voters may be lost for good:
--- a/folio/accession/quorum.py
+++ b/crowseam/discovery/quorum.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from folio.accession.register import PHASES, Phase, Record, Register
+from crowseam.discovery.service_registry import PHASES, Phase, Record, Register
 
 WAIT = 0.7  # seconds until a call is told to come back; a server gives up after one second
 AGAIN = 0.2  # seconds after which an unanswered message is sent once more
--- a/folio/accession/retiring.py
+++ b/crowseam/discovery/retirement.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from folio.accession.register import FORGET_AFTER, PHASES, RETIRED_KEPT, TOMBSTONE, Record
+from crowseam.discovery.service_registry import FORGET_AFTER, PHASES, RETIRED_KEPT, TOMBSTONE, Record
 
 LEAST_ROOM = 1 / 3  # of the slots of a service; a retirement that leaves less has to be forced
 HEARD_SINCE = 1.0  # seconds after its end by which a server must have reported to count as never ended
--- a/folio/circulation/follower.py
+++ b/crowseam/gateway/controller_session.py
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 from random import Random
 
-from folio import clock, logs
-from folio.accession.retiring import Memory
-from folio.boot import Boot, BootError, address
-from folio.catalogue.routing import Table
-from folio.catalogue.structs import EMPTY, CatalogueError, Configuration
-from folio.consensus.messages import SnapshotOffer, SnapshotPart
-from folio.consensus.transfer import Fetch
-from folio.lending.shards import KEYS, duty_of
-from folio.lending.slices import Holdings
-from folio.transport import messages as m
-from folio.transport.links import Link
+from crowseam import clock, logs
+from crowseam.configuration.model import EMPTY, CatalogueError, Configuration
+from crowseam.configuration.routing import Table
+from crowseam.consensus.messages import SnapshotOffer, SnapshotPart
+from crowseam.consensus.snapshot_transfer import Fetch
+from crowseam.discovery.retirement import Memory
+from crowseam.quotas.leases import Holdings
+from crowseam.quotas.shards import KEYS, duty_of
+from crowseam.settings import Boot, BootError, address
+from crowseam.transport import messages as m
+from crowseam.transport.links import Link
 
 REPORT, REPORT_SOON = 0.5, 0.15     # s between reports; at the most, while a lease is missing or new
 SOON_LEAST, SOON_EACH = 0.04, 0.001     # s between them then: at the least, and for each desk there is
--- a/folio/circulation/daemon.py
+++ b/crowseam/gateway/daemon.py
@@ -10,17 +10,17 @@
 
 import uvloop
 
+from crowseam import clock, logs
+from crowseam import settings as boots
+from crowseam.configuration.routing import Table
+from crowseam.gateway.controller_session import Follower
+from crowseam.gateway.counters import SPAN
+from crowseam.gateway.gateway import Desk
+from crowseam.gateway.request_reader import Reader
+from crowseam.metrics import latency
+from crowseam.quotas.admission import PERIOD
+from crowseam.transport.http import Call, Caller
 from fennelpoint.net.server import Bounds, Server
-from folio import boot as boots
-from folio import clock, logs
-from folio.catalogue.routing import Table
-from folio.circulation.desk import Desk
-from folio.circulation.follower import Follower
-from folio.circulation.reader import Reader
-from folio.circulation.tally import SPAN
-from folio.figures import latency
-from folio.lending.admission import PERIOD
-from folio.transport.http import Call, Caller
 
 SLICES, SWEEP = 0.1, 0.5    # s between looks at the leases; at idle connections
 FILES = 200     # descriptors that are kept for files, and no socket gets
@@ -77,8 +77,8 @@
 
     def _readyz(self, call: Call) -> None:
         if call.path == "/-/metrics":
-            from folio.figures import families, scrape  # with the first scrape: a start is no longer
-            return scrape.answer(call, self.loop, families.of_desk(self))
+            from crowseam.metrics import exposition, families
+            return exposition.answer(call, self.loop, families.of_desk(self))
         if call.path != "/-/readyz":
             return call.reply(404)
         call.reply(200 if self.ready() else 503)
@@ -180,7 +180,7 @@
             if not getattr(boot.bind, name):
                 raise boots.BootError(f"bind.{name} is missing")
     except boots.BootError as error:
-        print(f"folio: {error}", file=sys.stderr)
+        print(f"crowseam: {error}", file=sys.stderr)
         return 2
     logs.begin("desk", boot.hostname)
     try:
--- a/folio/circulation/desk.py
+++ b/crowseam/gateway/gateway.py
@@ -7,21 +7,21 @@
 from dataclasses import dataclass, field
 from random import Random
 
+from crowseam import clock, logs
+from crowseam.configuration.routing import Table
+from crowseam.discovery.service_registry import Record
+from crowseam.gateway.counters import Tally
+from crowseam.gateway.http_dialect import ServerDialect, load_of
+from crowseam.gateway.load_balancer import Clerk, Draw, Give, Send, Wake
+from crowseam.gateway.request_reader import Asked
+from crowseam.metrics.latency import Recorder
+from crowseam.quotas.admission import Admission
+from crowseam.quotas.leases import beside_slices
+from crowseam.quotas.retry_budget import Most, RetryBudget
+from crowseam.settings import Boot, seconds
 from fennelpoint.interface import BackendEntry, BackendState, Roster, RosterKind, Status
 from fennelpoint.net.backends import HOP_BY_HOP, Answer, Backends, Exchange, UpstreamConnection
 from fennelpoint.net.flow import Budget
-from folio import clock, logs
-from folio.accession.register import Record
-from folio.boot import Boot, seconds
-from folio.catalogue.routing import Table
-from folio.circulation.clerk import Clerk, Draw, Give, Send, Wake
-from folio.circulation.dialect import ServerDialect, load_of
-from folio.circulation.reader import Asked
-from folio.circulation.tally import Tally
-from folio.figures.latency import Recorder
-from folio.lending.admission import Admission
-from folio.lending.budget import Most, RetryBudget
-from folio.lending.slices import beside_slices
 
 CONNECT_TIMEOUT = 0.3   # s for a server to take a connection
 IDLE_MOST = 4.0         # s that a connection to a server is kept unused: the servers close theirs some time
--- a/folio/circulation/clerk.py
+++ b/crowseam/gateway/load_balancer.py
@@ -12,13 +12,13 @@
 from math import inf
 from random import Random
 
+from crowseam.configuration.routing import Route
+from crowseam.discovery.service_registry import Record
+from crowseam.gateway.reserved_servers import Shelves
+from crowseam.gateway.subsetting import Subsets
+from crowseam.quotas.admission import Admission
+from crowseam.quotas.retry_budget import RetryBudget
 from fennelpoint.interface import Status
-from folio.accession.register import Record
-from folio.catalogue.routing import Route
-from folio.circulation.shelves import Shelves
-from folio.circulation.subset import Subsets
-from folio.lending.admission import Admission
-from folio.lending.budget import RetryBudget
 
 FIRST_GUESS = 0.3       # of a route's target: the time its work takes, before any answer
 LEARN, LEARN_SLOW = 0.15, 0.2   # weights of an answer in what a kind of work takes, and in a server's speed
--- a/folio/circulation/reader.py
+++ b/crowseam/gateway/request_reader.py
@@ -5,10 +5,10 @@
 import re
 from dataclasses import dataclass
 
+from crowseam.configuration.routing import Route, Table
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.flow import Upload
 from fennelpoint.net.server import BadRequest, sort_fields
-from folio.catalogue.routing import Route, Table
 
 ID = re.compile(rb"[!-~]{1,200}")
 MOST_LEFT_MS = 600_000  # ms; a longer wait is not meant
--- a/folio/logs.py
+++ b/crowseam/logs.py
@@ -7,9 +7,9 @@
 
 import picologging
 
-from folio import clock
+from crowseam import clock
 
-_log = picologging.getLogger("folio")
+_log = picologging.getLogger("crowseam")
 _SAMPLE, _SPAN = 5, 1.0     # lines of one event within so many seconds; the rest is counted
 _seen: dict[str, list] = {}
 _PLAIN = re.compile(r'[!#-<>-\[\]-~]+')     # printable, without a blank and what pairs are told apart by
--- a/folio/figures/scrape.py
+++ b/crowseam/metrics/exposition.py
@@ -11,14 +11,14 @@
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
 
-from folio import logs
-from folio.figures.latency import BOUNDS
+from crowseam import logs
+from crowseam.metrics.latency import BOUNDS
 
 if TYPE_CHECKING:
     from concurrent.futures import ThreadPoolExecutor
 
-    from folio.figures.families import Family
-    from folio.transport.http import Call
+    from crowseam.metrics.families import Family
+    from crowseam.transport.http import Call
 
 CONTENT_TYPE = "text/plain; version=0.0.4"
 TURN = 0.0005       # s; with the usual 5 ms the loop was late by so much at each turn
--- a/folio/figures/families.py
+++ b/crowseam/metrics/families.py
@@ -5,9 +5,9 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from folio.figures.latency import LATE, SERVED, Key, Recorder
-from folio.lending.shards import KEYS
-from folio.transport.links import Link
+from crowseam.metrics.latency import LATE, SERVED, Key, Recorder
+from crowseam.quotas.shards import KEYS
+from crowseam.transport.links import Link
 
 MOST_SHARES = 300   # tenants whose share is told, by name
 
@@ -51,19 +51,19 @@
     for (outcome, reason), count in recorder.reasons.items():
         reasons[outcome][reason] = count
     copies = recorder.copies()
-    return [Family("histogram", "folio_request_seconds", "From a client's whole request to its answer.",
+    return [Family("histogram", "crowseam_request_seconds", "From a client's whole request to its answer.",
                    ("route", "service", "outcome"), copies),
-            Family("gauge", "folio_answer_quantile_seconds",
+            Family("gauge", "crowseam_answer_quantile_seconds",
                    "Latency of what was served or late, since the start and within 1%; 1 is the worst.",
                    ("route", "service", "quantile"), _quantiles(copies)),
-            _by("counter", "folio_answers", "Answers by the class of their status.", "class",
+            _by("counter", "crowseam_answers", "Answers by the class of their status.", "class",
                 {f"{kind}xx": count for kind, count in recorder.answers.items()}),
-            _by("counter", "folio_refused", "Requests that no server ran, by reason.", "reason",
+            _by("counter", "crowseam_refused", "Requests that no server ran, by reason.", "reason",
                 reasons["refused"]),
-            _by("counter", "folio_failed", "Requests that may have run and got no good answer, by reason.",
+            _by("counter", "crowseam_failed", "Requests that may have run and got no good answer, by reason.",
                 "reason", reasons["failed"]),
-            _one("counter", "folio_gone", "Clients that left before their answer.", recorder.gone),
-            _one("counter", "folio_latencies_skipped", "Requests at the start that no histogram has.",
+            _one("counter", "crowseam_gone", "Clients that left before their answer.", recorder.gone),
+            _one("counter", "crowseam_latencies_skipped", "Requests at the start that no histogram has.",
                  recorder.skipped)]
 
 
@@ -78,23 +78,23 @@
     pools = desk.backends
     idle = sum(len(upstream.idle) for upstream in pools.upstreams.values())
     return [*of_recorder(desk.figures),
-            _by("counter", "folio_turned_away", "Requests that could not be taken as they were, by status.",
+            _by("counter", "crowseam_turned_away", "Requests that could not be taken as they were, by status.",
                 "status", {str(status): count for status, count in process.reader.turned.items()}),
-            _one("gauge", "folio_ready", "Whether it says that it is ready.", process.ready()),
-            _one("gauge", "folio_slot", "Place in the log of configurations.", follower.slot),
-            _one("gauge", "folio_under_way", "Requests without an answer, and attempts that are out.",
+            _one("gauge", "crowseam_ready", "Whether it says that it is ready.", process.ready()),
+            _one("gauge", "crowseam_slot", "Place in the log of configurations.", follower.slot),
+            _one("gauge", "crowseam_under_way", "Requests without an answer, and attempts that are out.",
                  desk.under_way),
-            _one("gauge", "folio_desks", "Desks that are members.", desk.members),
-            _one("gauge", "folio_in_session", "Whether a registry is followed.", follower.link is not None),
-            _one("gauge", "folio_client_connections", "Connections of clients.",
+            _one("gauge", "crowseam_desks", "Desks that are members.", desk.members),
+            _one("gauge", "crowseam_in_session", "Whether a registry is followed.", follower.link is not None),
+            _one("gauge", "crowseam_client_connections", "Connections of clients.",
                  len(process.server.connections)),
-            _by("gauge", "folio_server_connections", "Connections to servers.", "state",
+            _by("gauge", "crowseam_server_connections", "Connections to servers.", "state",
                 {"busy": max(0, len(pools.all) - idle), "idle": idle, "connecting": len(pools.connecting)}),
-            _by("gauge", "folio_share", "Part of a tenant's quota that is lent to this desk.", "tenant",
+            _by("gauge", "crowseam_share", "Part of a tenant's quota that is lent to this desk.", "tenant",
                 {name: lent[name] for name in sorted(lent)[:MOST_SHARES]}),
-            _one("gauge", "folio_shares_missing", "Tenants with a quota of which nothing is lent here.",
+            _one("gauge", "crowseam_shares_missing", "Tenants with a quota of which nothing is lent here.",
                  len(shares) - len(lent)),
-            _by("counter", "folio_retries", "Further tries that were spent.", "service",
+            _by("counter", "crowseam_retries", "Further tries that were spent.", "service",
                 {name: count for name, count in desk.budget.retried.items() if name in services})]
 
 
@@ -102,18 +102,18 @@
     """The figures of the registry that a counter belongs to; `now` in seconds of its steady clock."""
     node, peers = counter.node, counter.peers
     held = sum(counter.duties.holder_of(key, now) == peers.me for key in KEYS)
-    return [_by("counter", "folio_calls", "Calls of servers and operators by name.", "call", counter.counts),
-            _one("counter", "folio_unreadable", "Messages of other processes that could not be read.",
+    return [_by("counter", "crowseam_calls", "Calls of servers and operators by name.", "call", counter.counts),
+            _one("counter", "crowseam_unreadable", "Messages of other processes that could not be read.",
                  Link.unreadable),
-            _one("gauge", "folio_slot", "Place in the log of configurations.", node.last),
-            _one("gauge", "folio_in_touch", "Whether a majority of the voters is reached.",
+            _one("gauge", "crowseam_slot", "Place in the log of configurations.", node.last),
+            _one("gauge", "crowseam_in_touch", "Whether a majority of the voters is reached.",
                  peers.in_touch(now)),
-            _one("gauge", "folio_desks", "Desks that are members.", counter.roll.count(now)),
-            _one("gauge", "folio_servers", "Servers that are known.", len(counter.register.snapshot(now))),
-            _one("gauge", "folio_voters", "Who votes, in number.", len(node.voters)),
-            _one("gauge", "folio_voter", "Whether this one votes.", node.me in node.voters),
-            _one("gauge", "folio_duties_held", "Duties that this one has.", held),
-            _one("gauge", "folio_waiting_calls", "Calls that wait for a majority.",
+            _one("gauge", "crowseam_desks", "Desks that are members.", counter.roll.count(now)),
+            _one("gauge", "crowseam_servers", "Servers that are known.", len(counter.register.snapshot(now))),
+            _one("gauge", "crowseam_voters", "Who votes, in number.", len(node.voters)),
+            _one("gauge", "crowseam_voter", "Whether this one votes.", node.me in node.voters),
+            _one("gauge", "crowseam_duties_held", "Duties that this one has.", held),
+            _one("gauge", "crowseam_waiting_calls", "Calls that wait for a majority.",
                  len(counter.agreement.slips)),
-            _one("gauge", "folio_disk_late_seconds", "How long the oldest write is overdue.",
+            _one("gauge", "crowseam_disk_late_seconds", "How long the oldest write is overdue.",
                  counter.archive.stuck())]
--- a/folio/figures/latency.py
+++ b/crowseam/metrics/latency.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
-    from folio.catalogue.routing import Route
+    from crowseam.configuration.routing import Route
 
 SERVED, LATE, REFUSED, FAILED = "served", "late", "refused", "failed"
 OUTCOMES = (SERVED, LATE, REFUSED, FAILED)
--- /dev/null
+++ b/crowseam/model_checks/agreement/__init__.py
@@ -0,0 +1,1 @@
+"""Model check of the agreement on the configuration."""
--- a/folio/consensus/check.py
+++ b/crowseam/model_checks/agreement/check.py
@@ -1,9 +1,9 @@
 """Model check of the agreement: seeded random schedules of operators and faults over the real Node.
 
-What must hold is watched by `folio.consensus.world`.  A schedule belongs to one of a few climates, which say
+What must hold is watched by `crowseam.model_checks.agreement.world`.  A schedule belongs to one of a few climates, which say
 which faults are frequent: one that has all of them seldom brings about what takes three of a kind in a row.
 `Report.outcomes` counts each kind of fault, so that a figure tells what was played.  All orders of events of
-a small case are in `folio.consensus.walk`, and what both have to find in `folio.consensus.mutants`.
+a small case are in `crowseam.model_checks.agreement.exhaustive`, and what both have to find in `crowseam.model_checks.agreement.mutants`.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from functools import partial
 from random import Random
 
-from folio.consensus.mutants import MUTATIONS
-from folio.consensus.node import Node, Timing
-from folio.consensus.records import Fresh, Taken
-from folio.consensus.world import SAME, STALE, Disk, Host, Ledger, Order, World
-from folio.schedules import Mutant, Report, Violation, play
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import Fresh, Taken
+from crowseam.model_checks.agreement.mutants import MUTATIONS
+from crowseam.model_checks.agreement.world import SAME, STALE, Disk, Host, Ledger, Order, World
+from crowseam.model_checks.schedules import Mutant, Report, Violation, play
 
 __all__ = ["MUTANTS", "SAME", "STALE", "STEPS", "Disk", "Host", "Ledger", "Order", "World", "run"]
 
--- a/folio/consensus/walk.py
+++ b/crowseam/model_checks/agreement/exhaustive.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from folio.consensus.messages import (
+from crowseam.consensus.messages import (
     Accept,
     Accepted,
     Chosen,
@@ -21,9 +21,9 @@
     decode,
     encode,
 )
-from folio.consensus.node import Node, Timing, _Pending, _Round
-from folio.consensus.records import Answer, Effect, Identity, Persist, Saved, Send, Taken, Vote
-from folio.consensus.world import Disk, Ledger, Order
+from crowseam.consensus.node import Node, Timing, _Pending, _Round
+from crowseam.consensus.records import Answer, Effect, Identity, Persist, Saved, Send, Taken, Vote
+from crowseam.model_checks.agreement.world import Disk, Ledger, Order
 
 
 class Walk(msgspec.Struct):
--- a/folio/consensus/mutants.py
+++ b/crowseam/model_checks/agreement/mutants.py
@@ -1,7 +1,7 @@
 """The node without one of its guards, each as a class of its own: what the model check has to find.
 
 A guard stands between a fault of the world and a broken promise.  `seed` is that of a schedule of
-`folio.consensus.check` in which its absence shows; where there is none, `why` says whether it is needless
+`crowseam.model_checks.agreement.check` in which its absence shows; where there is none, `why` says whether it is needless
 for what is checked here, or beyond its reach.
 """
 
@@ -11,9 +11,9 @@
 
 import msgspec
 
-from folio.consensus.messages import Accept, Prepare, QuorumRead, QuorumReadReply
-from folio.consensus.node import _NEVER, Node
-from folio.consensus.records import Promised, Send, Voted
+from crowseam.consensus.messages import Accept, Prepare, QuorumRead, QuorumReadReply
+from crowseam.consensus.node import _NEVER, Node
+from crowseam.consensus.records import Promised, Send, Voted
 
 _with = msgspec.structs.replace
 
--- a/folio/consensus/world.py
+++ b/crowseam/model_checks/agreement/world.py
@@ -14,10 +14,10 @@
 
 import msgspec
 
-from folio.consensus.errors import ConsensusError
-from folio.consensus.messages import Change, Entry, Message, Voter, Voters, decode, encode
-from folio.consensus.node import Node, Timing
-from folio.consensus.records import (
+from crowseam.consensus.errors import ConsensusError
+from crowseam.consensus.messages import Change, Entry, Message, Voter, Voters, decode, encode
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import (
     Answer,
     Apply,
     Durable,
@@ -34,8 +34,8 @@
     Vote,
     Voted,
 )
-from folio.consensus.voters import settle
-from folio.schedules import Course, Violation
+from crowseam.consensus.voters import settle
+from crowseam.model_checks.schedules import Course, Violation
 
 SAME, STALE = "same", "stale"
 
--- /dev/null
+++ b/crowseam/model_checks/callers/__init__.py
@@ -0,0 +1,1 @@
+"""Model check of who is answered."""
--- a/folio/stacks/check_callers.py
+++ b/crowseam/model_checks/callers/check.py
@@ -1,7 +1,7 @@
 """Model check of who is answered: scripted peers before the real desk and the real registries.
 
 `run` plays seeded schedules on virtual time and links; every fourth is a sweep, every fourth of the
-control side.  Servers, clients, callers and the desk's registry are scripts (`folio.stacks.scripted`): they
+control side.  Servers, clients, callers and the desk's registry are scripts (`crowseam.model_checks.callers.scripted`): they
 answer late, twice, in part, with another's id, with none, with bytes that are no answer; they fall silent,
 close or reset at any byte, or close just as the next request comes.  Between them is the code that is
 deployed.  Watched is that
@@ -28,16 +28,10 @@
 
 import msgspec
 
-from fennelpoint.net.flow import STALLED
-from folio import boot as boots
-from folio.circulation import daemon
-from folio.schedules import Report, Violation, play
-from folio.stacks.callers_mutants import mutants
-from folio.stacks.cell import MemoryRegistry
-from folio.stacks.disk import Platter
-from folio.stacks.guise import worn
-from folio.stacks.network import Trouble
-from folio.stacks.scripted import (
+from crowseam import settings as boots
+from crowseam.gateway import daemon
+from crowseam.model_checks.callers.mutants import mutants
+from crowseam.model_checks.callers.scripted import (
     DESK,
     FAULTS,
     LARGE,
@@ -56,6 +50,12 @@
     drawn,
     request,
 )
+from crowseam.model_checks.schedules import Report, Violation, play
+from crowseam.simulator.simulation import MemoryRegistry
+from crowseam.simulator.world.disk import Platter
+from crowseam.simulator.world.network import Trouble
+from crowseam.simulator.world.patches import worn
+from fennelpoint.net.flow import STALLED
 
 STEPS = 40          # requests, or calls, of a random schedule
 SWEEP_EACH = 4      # one schedule of so many is a sweep, one is of the control side
--- a/folio/stacks/callers_mutants.py
+++ b/crowseam/model_checks/callers/mutants.py
@@ -8,17 +8,17 @@
 
 import msgspec
 
+from crowseam.controller.pending_calls import Slips
+from crowseam.gateway import controller_session, gateway, http_dialect
+from crowseam.gateway import load_balancer as clerks
+from crowseam.gateway.http_dialect import ServerDialect
+from crowseam.model_checks.schedules import Mutant, Report
+from crowseam.transport import messages as m
+from crowseam.transport.http import Call, Caller
+from crowseam.transport.links import Link
 from fennelpoint.interface import Status
 from fennelpoint.net import backends
 from fennelpoint.net import server as fronts
-from folio.circulation import clerk as clerks
-from folio.circulation import desk, dialect, follower
-from folio.circulation.dialect import ServerDialect
-from folio.registry.slips import Slips
-from folio.schedules import Mutant, Report
-from folio.transport import messages as m
-from folio.transport.http import Call, Caller
-from folio.transport.links import Link
 
 
 @contextmanager
@@ -89,7 +89,7 @@
         told(self, count)
 
 
-def _passing_begin(self: desk.Passing, answer: Any, length: int | None, source: Any) -> None:
+def _passing_begin(self: gateway.Passing, answer: Any, length: int | None, source: Any) -> None:
     ticket = self.ticket
     if ticket.client is None:
         return
@@ -101,27 +101,27 @@
     ticket.client.begin(answer, length, source)
 
 
-def _passing_piece(self: desk.Passing, data: bytes) -> None:
+def _passing_piece(self: gateway.Passing, data: bytes) -> None:
     if self.ticket.client is not None:
         self.ticket.client.piece(data)
 
 
-def _draw_any(self: follower.Follower, link: Link, message: m.Message,
-              told: Callable = follower.Follower._heard) -> None:
+def _draw_any(self: controller_session.Follower, link: Link, message: m.Message,
+              told: Callable = controller_session.Follower._heard) -> None:
     if isinstance(message, m.Drawn) and self.draws and link is self.link:
         message = msgspec.structs.replace(message, number=next(iter(self.draws)))
     told(self, link, message)
 
 
-def _draw_kept(self: follower.Follower, link: Link, message: m.Message,
-               told: Callable = follower.Follower._heard) -> None:
+def _draw_kept(self: controller_session.Follower, link: Link, message: m.Message,
+               told: Callable = controller_session.Follower._heard) -> None:
     done = self.draws.get(message.number) if isinstance(message, m.Drawn) else None
     told(self, link, message)
     if done is not None:
         self.draws[message.number] = done
 
 
-def _from_one(self: follower.Follower, *args: Any, told: Callable = follower.Follower.__init__) -> None:
+def _from_one(self: controller_session.Follower, *args: Any, told: Callable = controller_session.Follower.__init__) -> None:
     told(self, *args)
     self.last_draw = 0
 
@@ -168,7 +168,7 @@
     told(self)
 
 
-def _expire_answered(self: desk.Desk, ticket: desk.Ticket, told: Callable = desk.Desk._expire) -> None:
+def _expire_answered(self: gateway.Desk, ticket: gateway.Ticket, told: Callable = gateway.Desk._expire) -> None:
     if ticket.client is not None:
         told(self, ticket)
 
@@ -189,7 +189,7 @@
         mutant("the id of an answer compared", 2, (ServerDialect, "alien", lambda *_: False)),
         mutant("an answer without an id refused on a used connection", 2,
                (ServerDialect, "nameless", lambda *_: False)),
-        mutant("an answer that names two refused", 2, (dialect, "TOLD_ONCE", ())),
+        mutant("an answer that names two refused", 2, (http_dialect, "TOLD_ONCE", ())),
         mutant("an answer refused that does not say where it ends", 2, (ServerDialect, "doubt", _endless)),
         mutant("an answer cut short taken for none", 4, (CONNECTION, "eof_received", _take_cut)),
         mutant("a large answer cut short shown to be", 122,
@@ -211,13 +211,13 @@
         mutant("no unsafe request sent again after silence", 10, (clerks.Clerk, "_send", _hedge_all)),
         mutant("no 503 for what may have run", 0, (clerks.Clerk, "_again", _refuse_all)),
         mutant("a server's promise passed on only with X-Not-Run", 7, (clerks, "NOT_RUN", frozenset())),
-        mutant("one attempt's large answer begun", 27, (desk.Passing, "begin", _passing_begin)),
-        mutant("one attempt's pieces passed on", 27, (desk.Passing, "piece", _passing_piece)),
+        mutant("one attempt's large answer begun", 27, (gateway.Passing, "begin", _passing_begin)),
+        mutant("one attempt's pieces passed on", 27, (gateway.Passing, "piece", _passing_piece)),
         mutant("requests of a client served in turn", 3,
                (fronts.ClientConnection, "_next", _front_out_of_turn)),
-        mutant("the number of a draw compared", 6, (follower.Follower, "_heard", _draw_any)),
-        mutant("a draw's answer counted once", 2, (follower.Follower, "_heard", _draw_kept)),
-        mutant("numbers of draws begun with the life", 30, (follower.Follower, "__init__", _from_one)),
+        mutant("the number of a draw compared", 6, (controller_session.Follower, "_heard", _draw_any)),
+        mutant("a draw's answer counted once", 2, (controller_session.Follower, "_heard", _draw_kept)),
+        mutant("numbers of draws begun with the life", 30, (controller_session.Follower, "__init__", _from_one)),
         mutant("calls of a connection served in turn", 1, (Caller, "_next", _out_of_turn)),
         mutant("each ticket given out once", 21, (Slips, "number", _same_ticket)),
         mutant("a call taken off with its answer", None, (Slips, "reply", _keep_call),
@@ -229,9 +229,9 @@
                    "the same number"),
         mutant("100 Continue told in a call's turn only", 5,
                (Caller, "on_headers_complete", _go_on_at_once)),
-        mutant("a slower attempt given up at the deadline", 2, (desk.Desk, "_expire", _expire_answered)),
+        mutant("a slower attempt given up at the deadline", 2, (gateway.Desk, "_expire", _expire_answered)),
         mutant("a body that waits behind let go of", 115,
                (fronts.ClientConnection, "_drop", staticmethod(lambda turn: None))),
-        mutant("an answer kept from who has left", None, (desk.Desk, "gone", lambda *_: None),
+        mutant("an answer kept from who has left", None, (gateway.Desk, "gone", lambda *_: None),
                why="needless for who is answered: a lost connection writes nothing more; it spares work"),
     )
--- a/folio/stacks/scripted.py
+++ b/crowseam/model_checks/callers/scripted.py
@@ -15,14 +15,14 @@
 import httptools
 import msgspec
 
-from folio.accession.register import Record
-from folio.lending.shards import duty_of
-from folio.lending.slices import PARTS, Lease
-from folio.schedules import Violation
-from folio.stacks.loop import World
-from folio.stacks.network import Network
-from folio.transport import messages as m
-from folio.transport.links import Link
+from crowseam.discovery.service_registry import Record
+from crowseam.model_checks.schedules import Violation
+from crowseam.quotas.leases import PARTS, Lease
+from crowseam.quotas.shards import duty_of
+from crowseam.simulator.world.loop import World
+from crowseam.simulator.world.network import Network
+from crowseam.transport import messages as m
+from crowseam.transport.links import Link
 
 TRIES = 3           # of each route
 LEFT = 1.0          # s that a client waits
--- /dev/null
+++ b/crowseam/model_checks/catchup/__init__.py
@@ -0,0 +1,1 @@
+"""Model check of catching up with the log."""
--- a/folio/consensus/check_catchup.py
+++ b/crowseam/model_checks/catchup/check.py
@@ -2,7 +2,7 @@
 
 `run` plays seeded random schedules: states from nothing to megabytes, members behind 2 Mbit/s that restart,
 come back after minutes, start empty, are cut off in the middle of a transfer or lose its source, while
-changes go on. It watches, besides what `folio.consensus.check` does,
+changes go on. It watches, besides what `crowseam.model_checks.agreement.check` does,
 
 - that each member is up to date within a stated time and number of bytes once the faults end, though changes
   go on;
@@ -21,9 +21,8 @@
 
 from msgspec.structs import replace
 
-from folio.consensus.check import Host, Ledger, Order, World
-from folio.consensus.errors import ConsensusError
-from folio.consensus.messages import (
+from crowseam.consensus.errors import ConsensusError
+from crowseam.consensus.messages import (
     Accepted,
     CatchUp,
     Change,
@@ -36,10 +35,11 @@
     decode,
     encode,
 )
-from folio.consensus.node import Node, Timing
-from folio.consensus.records import Effect, Fresh, Learned, Persist, Record, Saved, Send
-from folio.consensus.transfer import KEPT, Fetch, Sealed, Source
-from folio.schedules import Mutant, Report, Violation, play
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import Effect, Fresh, Learned, Persist, Record, Saved, Send
+from crowseam.consensus.snapshot_transfer import KEPT, Fetch, Sealed, Source
+from crowseam.model_checks.agreement.check import Host, Ledger, Order, World
+from crowseam.model_checks.schedules import Mutant, Report, Violation, play
 
 STEPS = 8           # acts of fate in a schedule
 SLOW, FAST = 250_000, 12_500_000    # bytes/s of a link: 2 and 100 Mbit/s
--- /dev/null
+++ b/crowseam/model_checks/cutoff/__init__.py
@@ -0,0 +1,1 @@
+"""Model check of controllers that are cut off."""
--- a/folio/stacks/check_cutoff.py
+++ b/crowseam/model_checks/cutoff/check.py
@@ -31,27 +31,27 @@
 
 import msgspec
 
-from folio import clock
-from folio.accession import quorum
-from folio.accession.retiring import Memory
-from folio.catalogue.structs import EMPTY, Configuration
-from folio.circulation import follower as following
-from folio.circulation.follower import Follower
-from folio.consensus.node import _Pending
-from folio.lending.slices import PARTS, Holdings
-from folio.membership import detector
-from folio.membership.detector import Detector
-from folio.membership.duties import Duties
-from folio.registry import reports
-from folio.registry.desks import Desks
-from folio.registry.peers import Peers
-from folio.schedules import Course, Mutant, Report, Violation, play
-from folio.stacks import day as days
-from folio.stacks import wire
-from folio.stacks.cell import Cell
-from folio.stacks.guise import worn
-from folio.stacks.network import Trouble
-from folio.transport import messages as m
+from crowseam import clock
+from crowseam.configuration.model import EMPTY, Configuration
+from crowseam.consensus.node import _Pending
+from crowseam.controller import server_reports
+from crowseam.controller.gateway_sessions import Desks
+from crowseam.controller.peers import Peers
+from crowseam.discovery import quorum
+from crowseam.discovery.retirement import Memory
+from crowseam.gateway import controller_session as following
+from crowseam.gateway.controller_session import Follower
+from crowseam.membership import failure_detector
+from crowseam.membership.duties import Duties
+from crowseam.membership.failure_detector import Detector
+from crowseam.model_checks.schedules import Course, Mutant, Report, Violation, play
+from crowseam.quotas.leases import PARTS, Holdings
+from crowseam.simulator.actors import http_client
+from crowseam.simulator.scenario import day as days
+from crowseam.simulator.simulation import Cell
+from crowseam.simulator.world.network import Trouble
+from crowseam.simulator.world.patches import worn
+from crowseam.transport import messages as m
 
 STEPS = 20          # seconds that the registries are hit for, at most
 SETTLE = 5.0        # s until the first fault
@@ -156,7 +156,7 @@
         cell = self.cell
         try:
             with (worn(cell.world, cell.say),
-                  mock.patch.object(wire, "fetch", self._fetching(wire.fetch)),
+                  mock.patch.object(http_client, "fetch", self._fetching(http_client.fetch)),
                   mock.patch.object(Follower, "_heard", self._hearing(Follower._heard))):
                 self._plan()
                 self._run(cell.load_ends + 2.5)
@@ -338,7 +338,7 @@
         if len(up) > 4:
             ident = self.rng.choice(up)
 
-            def done(answer: wire.Answer | None) -> None:
+            def done(answer: http_client.Answer | None) -> None:
                 if answer is not None and answer.status == 200:
                     self.retired.setdefault(ident, self.cell.now)
 
@@ -371,17 +371,17 @@
         self.cell.judge.trouble([machine.name], self.cell.now, self.cell.now + 1.0)
 
     def _call(self, method: str, path: str, body: bytes = b"",
-              done: Callable[[wire.Answer | None], None] = lambda answer: None) -> None:
+              done: Callable[[http_client.Answer | None], None] = lambda answer: None) -> None:
         at = self.cell.a_registry(self.rng)
-        data = wire.request(method, at, path, [], body)
-        wire.fetch(self.cell.operator.process, at, data, 1.2, done)
+        data = http_client.request(method, at, path, [], body)
+        http_client.fetch(self.cell.operator.process, at, data, 1.2, done)
 
     def _fetching(self, fetch: Callable) -> Callable:
         """All calls of a registry pass here, of servers and operators alike."""
         def watched(process: Any, address: str, data: bytes, timeout: float, done: Callable) -> None:
             began, machine = self.cell.now, self.registries.get(address)
 
-            def ended(answer: wire.Answer | None) -> None:
+            def ended(answer: http_client.Answer | None) -> None:
                 if machine is not None and answer is not None:
                     self._answered(machine, data, answer, began)
                 done(answer)
@@ -432,7 +432,7 @@
 
     # Invariants of calls
 
-    def _answered(self, machine: Any, data: bytes, answer: wire.Answer, began: float) -> None:
+    def _answered(self, machine: Any, data: bytes, answer: http_client.Answer, began: float) -> None:
         now = self.cell.now
         head, _, body = data.partition(b"\r\n\r\n")
         method, path = head.split(b" ")[:2]
@@ -719,7 +719,7 @@
     Mutant("an answer in what is near, as hearing is enough", _patched(
         (Detector, "heard", _heard_is_answered())), 20),
     Mutant("an end of the proof of a majority before 20 s", _patched(
-        (detector, "PROOF", 20.0), (Detector, "state", lambda self, peer, now: "alive")), 0),
+        (failure_detector, "PROOF", 20.0), (Detector, "state", lambda self, peer, now: "alive")), 0),
     Mutant("a stand-still of its own in the age of the proof", _patched(
         (Detector, "tick", _pause_forgiven())), 4),
     Mutant("a majority in touch since the call before a retirement is refused", _patched(
@@ -728,7 +728,7 @@
         (Peers, "reached", lambda self, addrs: True)),
         why="beyond reach: desks that don't confirm hold the word back too, unless all are with that one"),
     Mutant("503 to beats out of touch", _patched(
-        (reports, "unavailable", lambda call, text: call.reply(200, b"{}"))), 0),
+        (server_reports, "unavailable", lambda call, text: call.reply(200, b"{}"))), 0),
     Mutant("the age of what is shown", _patched((Peers, "age", lambda self, now: 0.0)), 0),
     Mutant("slots of those near in signs of life", _patched((Peers, "current", Peers.in_touch)),
            why="beyond reach: the slots come with the next message, before the proof; kept for large states"),
--- a/folio/accession/check_handover.py
+++ b/crowseam/model_checks/handover/check.py
@@ -31,31 +31,31 @@
 
 import msgspec
 
-from folio.accession import quorum
-from folio.accession.digest import DigestOffer, RangeRecords, Repair
-from folio.accession.handover import Handover, Learn, Learned
-from folio.accession.register import PHASES, Beat, Record, Register
-from folio.consensus import messages as consensus
-from folio.consensus.check import Disk as LogDisk
-from folio.consensus.messages import Voter
-from folio.consensus.node import Node, Timing
-from folio.consensus.records import Persist, Send
-from folio.consensus.voters import settle
-from folio.membership import duties
-from folio.membership.detector import Detector
-from folio.membership.duties import Duties
-from folio.membership.sessions import Roll
-from folio.registry.disk import COUNTED, DUTY
-from folio.registry.loans import Loans
-from folio.registry.machine import Machine as Configured
-from folio.registry.reports import NOTE as REGISTER
-from folio.registry.reports import Reports
-from folio.registry.retirements import NOTE as RETIRED
-from folio.registry.retirements import Retirements
-from folio.registry.slips import Slips
-from folio.schedules import Course, Mutant, Report, Violation, play
-from folio.transport import messages as m
-from folio.vault.store import Note
+from crowseam.consensus import messages as consensus
+from crowseam.consensus.messages import Voter
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import Persist, Send
+from crowseam.consensus.voters import settle
+from crowseam.controller.disk import COUNTED, DUTY
+from crowseam.controller.lease_service import Loans
+from crowseam.controller.pending_calls import Slips
+from crowseam.controller.retirements import NOTE as RETIRED
+from crowseam.controller.retirements import Retirements
+from crowseam.controller.server_reports import NOTE as REGISTER
+from crowseam.controller.server_reports import Reports
+from crowseam.controller.state_machine import Machine as Configured
+from crowseam.discovery import quorum
+from crowseam.discovery.digest import DigestOffer, RangeRecords, Repair
+from crowseam.discovery.handover import Handover, Learn, Learned
+from crowseam.discovery.service_registry import PHASES, Beat, Record, Register
+from crowseam.membership import duties
+from crowseam.membership.duties import Duties
+from crowseam.membership.failure_detector import Detector
+from crowseam.membership.sessions import Roll
+from crowseam.model_checks.agreement.check import Disk as LogDisk
+from crowseam.model_checks.schedules import Course, Mutant, Report, Violation, play
+from crowseam.storage.store import Note
+from crowseam.transport import messages as m
 
 STEPS = 30      # acts of a schedule
 KEY = "quota/0"
@@ -232,7 +232,7 @@
 
 
 class Host:
-    """A registry's process, as `folio.registry.daemon` puts it together."""
+    """A registry's process, as `crowseam.controller.daemon` puts it together."""
 
     def __init__(self, world: World, machine: Machine, bootstrap: bool = False) -> None:
         self.world, self.machine, self.addr = world, machine, machine.addr
--- /dev/null
+++ b/crowseam/model_checks/membership/__init__.py
@@ -0,0 +1,1 @@
+"""Model check of changes of voters."""
--- a/folio/consensus/check_membership.py
+++ b/crowseam/model_checks/membership/check.py
@@ -26,12 +26,12 @@
 
 import msgspec
 
-from folio.consensus import voters as policy
-from folio.consensus.check import Host, Order, World
-from folio.consensus.messages import Accepted, JoinRequest, Promise, Voters, decode
-from folio.consensus.node import Node, Timing
-from folio.consensus.records import Fresh, Identity, Taken
-from folio.schedules import Mutant, Report, Violation, play
+from crowseam.consensus import voters as policy
+from crowseam.consensus.messages import Accepted, JoinRequest, Promise, Voters, decode
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import Fresh, Identity, Taken
+from crowseam.model_checks.agreement.check import Host, Order, World
+from crowseam.model_checks.schedules import Mutant, Report, Violation, play
 
 STEPS = 12      # acts of a schedule
 SITES = ((3, 1), (3, 1), (4, 1), (5, 2), (6, 1), (6, 2), (8, 1), (8, 2))     # founders, `survive`
--- /dev/null
+++ b/crowseam/model_checks/orders/__init__.py
@@ -0,0 +1,1 @@
+"""Model check of the orders of operators."""
--- a/folio/stacks/check_orders.py
+++ b/crowseam/model_checks/orders/check.py
@@ -19,23 +19,23 @@
 
 import msgspec
 
-from folio.catalogue.structs import EMPTY, CatalogueError, Configuration
-from folio.circulation.follower import Follower
-from folio.consensus.messages import Change as Entry
-from folio.consensus.messages import Prepare
-from folio.consensus.node import Node, Timing, _Pending, _Round
-from folio.consensus.records import Apply, Taken, Unclear
-from folio.registry.agreement import Agreement
-from folio.registry.machine import Machine as State
-from folio.registry.slips import Slips
-from folio.schedules import Mutant, Report, Violation, play
-from folio.stacks import wire
-from folio.stacks.cell import Machine
-from folio.stacks.day import Deployment, Route, Service, Zone
-from folio.stacks.guise import worn
-from folio.stacks.loop import World
-from folio.stacks.network import Network, Trouble
-from folio.stacks.operator import FINAL
+from crowseam.configuration.model import EMPTY, CatalogueError, Configuration
+from crowseam.consensus.messages import Change as Entry
+from crowseam.consensus.messages import Prepare
+from crowseam.consensus.node import Node, Timing, _Pending, _Round
+from crowseam.consensus.records import Apply, Taken, Unclear
+from crowseam.controller.agreement import Agreement
+from crowseam.controller.pending_calls import Slips
+from crowseam.controller.state_machine import Machine as State
+from crowseam.gateway.controller_session import Follower
+from crowseam.model_checks.schedules import Mutant, Report, Violation, play
+from crowseam.simulator.actors import http_client
+from crowseam.simulator.actors.operator import FINAL
+from crowseam.simulator.scenario.day import Deployment, Route, Service, Zone
+from crowseam.simulator.simulation import Machine
+from crowseam.simulator.world.loop import World
+from crowseam.simulator.world.network import Network, Trouble
+from crowseam.simulator.world.patches import worn
 
 STEPS = 24          # acts of a schedule
 SILENCE = 1.0       # s without an answer after which an operator calls another registry
@@ -245,7 +245,7 @@
     def _call(self, order: Order, operator: Any, losing: float, tries: int, avoid: str) -> None:
         at = self.rng.choice([box for box in self.registries if box.name != avoid])
 
-        def answered(answer: wire.Answer | None) -> None:
+        def answered(answer: http_client.Answer | None) -> None:
             if answer is not None and tries < 6 and self.rng.random() < losing:
                 answer = None
             if answer is not None and answer.status == 200:
@@ -262,8 +262,8 @@
             # Other bytes of the same content are the same order.
             body = msgspec.json.format(body, indent=1)
             self.orders[order.method.encode() + body] = order
-        data = wire.request(order.method, at.ctl, "/-/config", [], body)
-        wire.fetch(operator, at.ctl, data, SILENCE, answered)
+        data = http_client.request(order.method, at.ctl, "/-/config", [], body)
+        http_client.fetch(operator, at.ctl, data, SILENCE, answered)
 
     def _acked(self, order: Order) -> None:
         self.outcomes["taken" if order.acked_at is None else "again"] += 1
@@ -308,7 +308,7 @@
         at = at or self.rng.choice(self.registries)
         floor = self.acked
 
-        def answered(answer: wire.Answer | None) -> None:
+        def answered(answer: http_client.Answer | None) -> None:
             if answer is None or answer.status != 200:
                 self.outcomes["unread"] += 1
                 return
@@ -322,7 +322,7 @@
                 self.broke(f"something else was read at {at.name} under {ver:08x}")
 
         operator = self.rng.choice(self.operators)
-        wire.fetch(operator, at.ctl, wire.request("GET", at.ctl, "/-/config", []), SILENCE, answered)
+        http_client.fetch(operator, at.ctl, http_client.request("GET", at.ctl, "/-/config", []), SILENCE, answered)
 
     # Trouble
 
--- /dev/null
+++ b/crowseam/model_checks/quotas/__init__.py
@@ -0,0 +1,1 @@
+"""Model check of quota leases and duties."""
--- a/folio/lending/check.py
+++ b/crowseam/model_checks/quotas/check.py
@@ -11,7 +11,7 @@
 - in calm times a tenant that asks within its quota is served.
 
 What the daemons add to these classes is a few lines each and mirrored here: `Site` is what
-`folio.circulation` does, `Giver` what `folio.registry` does. One duty is played; others are the same again.
+`crowseam.gateway` does, `Giver` what `crowseam.controller` does. One duty is played; others are the same again.
 
 All times are seconds; `now` of a class under check is its own machine's steady clock.
 """
@@ -25,12 +25,12 @@
 
 import msgspec
 
-from folio.lending.admission import Admission, TenantTerms
-from folio.lending.budget import Most
-from folio.lending.slices import PARTS, Holdings, Known, Lease, Lender, LendingTerms, Reserve, beside_slices
-from folio.membership.duties import Duties, DutyTerms, Granted
-from folio.membership.sessions import Roll
-from folio.schedules import Course, Mutant, Report, Violation, play
+from crowseam.membership.duties import Duties, DutyTerms, Granted
+from crowseam.membership.sessions import Roll
+from crowseam.model_checks.schedules import Course, Mutant, Report, Violation, play
+from crowseam.quotas.admission import Admission, TenantTerms
+from crowseam.quotas.leases import PARTS, Holdings, Known, Lease, Lender, LendingTerms, Reserve, beside_slices
+from crowseam.quotas.retry_budget import Most
 
 STEPS = 30      # acts of a schedule
 KEY = "quota/0"
@@ -138,7 +138,7 @@
 
 
 class Giver:
-    """A registry's process: its duties, its roll, and what `folio.registry.daemon` does with them."""
+    """A registry's process: its duties, its roll, and what `crowseam.controller.daemon` does with them."""
 
     def __init__(self, world: World, name: str, clock: Clock, life: int) -> None:
         self.world, self.name, self.clock, self.life = world, name, clock, life
@@ -353,7 +353,7 @@
 
 
 class Site:
-    """A desk's process: its holdings and buckets, and what `folio.circulation` does with them."""
+    """A desk's process: its holdings and buckets, and what `crowseam.gateway` does with them."""
 
     def __init__(self, world: World, name: str, clock: Clock, life: int) -> None:
         self.world, self.name, self.clock, self.life = world, name, clock, life
--- a/folio/stacks/clients.py
+++ b/crowseam/simulator/actors/clients.py
@@ -5,11 +5,11 @@
 import zlib
 from typing import TYPE_CHECKING
 
-from folio.stacks import wire
-from folio.stacks.day import Route, Tenant
+from crowseam.simulator.actors import http_client
+from crowseam.simulator.scenario.day import Route, Tenant
 
 if TYPE_CHECKING:
-    from folio.stacks.cell import Cell, Machine
+    from crowseam.simulator.simulation import Cell, Machine
 
 CONNECT = 1.0       # s that a connection is given to come up
 ASK_READY = 1.0     # s between two looks at a desk
@@ -36,7 +36,7 @@
             self.process.loop.call_later(ASK_READY * number / len(cell.machines), self._look, machine)
 
     def _look(self, machine: Machine) -> None:
-        def done(answer: wire.Answer | None) -> None:
+        def done(answer: http_client.Answer | None) -> None:
             if answer is not None and answer.status == 200:
                 self.misses[machine.name], self.ready[machine.name] = 0, True
                 self.cell.judge.said_ready(machine.name)
@@ -46,7 +46,7 @@
                     self.ready[machine.name] = False
 
         self.process.loop.call_later(ASK_READY, self._look, machine)
-        wire.fetch(self.process, machine.readyz, wire.request("GET", machine.readyz, "/-/readyz", []),
+        http_client.fetch(self.process, machine.readyz, http_client.request("GET", machine.readyz, "/-/readyz", []),
                    ASK_READY, done)
 
     def pick(self, zone: str, client: int, tries: int) -> Machine:
@@ -88,7 +88,7 @@
                          for route in cell.deployment.routes}
         self.process = cell.network.process(f"clients-{name}", f"10.240.{len(cell.client_zones)}.1")
         self.loop = self.process.loop
-        self.kept: list[tuple[wire.Caller, Machine, float]] = []
+        self.kept: list[tuple[http_client.Caller, Machine, float]] = []
 
     def begin(self) -> None:
         """The load begins: arrivals are Poisson, by route."""
@@ -149,7 +149,7 @@
         ending.machine = self.cell.platform.pick(self.name, ask.client, ask.tries - 1)
         ending.open()
 
-    def failed(self, ask: Ask, answer: wire.Answer | None, read: bool) -> None:
+    def failed(self, ask: Ask, answer: http_client.Answer | None, read: bool) -> None:
         """A try has brought no success; `read`: the ingress may have read the request."""
         now, route = self.world.now, ask.route
         status = answer.status if answer is not None else 0
@@ -176,7 +176,7 @@
     def __init__(self, zone: Zone, ask: Ask, attempt: str) -> None:
         self.zone, self.ask, self.attempt = zone, ask, attempt
         self.machine: Machine | None = None
-        self.caller: wire.Caller | None = None
+        self.caller: http_client.Caller | None = None
         self.timer = self.made = None
         self.sent = self.over = False
 
@@ -185,7 +185,7 @@
         host, _, port = self.machine.http.rpartition(":")
         self.made = zone.loop.create_future()
         self.made.add_done_callback(self._up)
-        caller = self.caller = wire.Caller()
+        caller = self.caller = http_client.Caller()
         self.timer = zone.loop.call_later(min(CONNECT, self.ask.ends - zone.world.now), self.made.cancel)
         zone.loop.network.dial(zone.process, lambda: caller, host, int(port), self.made)
 
@@ -209,7 +209,7 @@
         cell.judge.sent(ask, self.attempt, self.machine.name, path, "GET" if safe else "POST", body)
         self.sent = True
         self.timer = zone.loop.call_later(ask.ends - now + 0.05, self._late)
-        data = wire.request("GET" if safe else "POST", cell.host, path, fields, body)
+        data = http_client.request("GET" if safe else "POST", cell.host, path, fields, body)
         self.caller.ask(data, self._done)
 
     def _late(self) -> None:
@@ -218,7 +218,7 @@
             self.over = True
             self.caller.leave()
 
-    def _done(self, answer: wire.Answer | None) -> None:
+    def _done(self, answer: http_client.Answer | None) -> None:
         if self.over:
             return
         self.over = True
@@ -237,7 +237,7 @@
             return
         zone.failed(self.ask, answer, read)
 
-    def _fail(self, answer: wire.Answer | None, read: bool) -> None:
+    def _fail(self, answer: http_client.Answer | None, read: bool) -> None:
         if not self.over:
             self.over = True
             self.zone.failed(self.ask, answer, read)
--- a/folio/stacks/wire.py
+++ b/crowseam/simulator/actors/http_client.py
@@ -8,7 +8,7 @@
 
 import httptools
 
-from folio.stacks.loop import Process
+from crowseam.simulator.world.loop import Process
 
 
 @dataclass(slots=True)
--- a/folio/stacks/operator.py
+++ b/crowseam/simulator/actors/operator.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from folio.stacks import wire
-from folio.stacks.judge import Version
+from crowseam.simulator.actors import http_client
+from crowseam.simulator.judge import Version
 
 if TYPE_CHECKING:
-    from folio.stacks.cell import Cell
+    from crowseam.simulator.simulation import Cell
 
 SILENCE = 1.0           # s without an answer after which another registry is called
 PER_BYTE = 1 / 500_000  # s more for each byte of a body
@@ -139,7 +139,7 @@
         """Send the body unchanged until a clear answer comes."""
         at = self.cell.a_registry(self.rng, avoid)
 
-        def answered(answer: wire.Answer | None) -> None:
+        def answered(answer: http_client.Answer | None) -> None:
             if self.lost and self.rng.random() < self.lost:
                 answer = None
             if answer is not None and (answer.status == 200 or answer.status in FINAL):
@@ -147,8 +147,8 @@
             pause = min(PAUSE_MOST, PAUSE * 1.5 ** tries)
             self.process.loop.call_later(pause, self._call, method, body, done, tries + 1, at)
 
-        data = wire.request(method, at, "/-/config", [("Content-Type", "application/json")], body)
-        wire.fetch(self.process, at, data, SILENCE + len(body) * PER_BYTE, answered)
+        data = http_client.request(method, at, "/-/config", [("Content-Type", "application/json")], body)
+        http_client.fetch(self.process, at, data, SILENCE + len(body) * PER_BYTE, answered)
 
     # Reading back
 
@@ -156,12 +156,12 @@
         """Ask for the configuration until it comes; the last answer counts."""
         at = self.cell.a_registry(self.rng)
 
-        def answered(answer: wire.Answer | None) -> None:
+        def answered(answer: http_client.Answer | None) -> None:
             if answer is not None and answer.status == 200:
                 self.read = answer.body
             self.process.loop.call_later(0.3, self.read_back)
 
-        wire.fetch(self.process, at, wire.request("GET", at, "/-/config", []), SILENCE, answered)
+        http_client.fetch(self.process, at, http_client.request("GET", at, "/-/config", []), SILENCE, answered)
 
     def differs(self, version: Version, body: bytes) -> bool:
         """Whether the configuration in `body` says other than what was sent under its number."""
--- a/folio/stacks/servers.py
+++ b/crowseam/simulator/actors/servers.py
@@ -11,12 +11,12 @@
 import httptools
 import msgspec
 
-from folio.stacks import wire
-from folio.stacks.day import Service
-from folio.stacks.loop import Process
+from crowseam.simulator.actors import http_client
+from crowseam.simulator.scenario.day import Service
+from crowseam.simulator.world.loop import Process
 
 if TYPE_CHECKING:
-    from folio.stacks.cell import Cell
+    from crowseam.simulator.simulation import Cell
 
 BEAT_TIMEOUT = 1.0      # s for the answer to a beat
 LEAVE_MOST = 8.0        # s after which a server that is leaving ends unacknowledged
@@ -282,7 +282,7 @@
                                            "slots": self.service.slots},
             "stat": {"phase": phase, "seq": self.seq, "warmup_time": f"{int(warm * 1000)}ms"}})
 
-        def done(answer: wire.Answer | None) -> None:
+        def done(answer: http_client.Answer | None) -> None:
             if answer is not None and 200 <= answer.status < 300 and len(answer.body) <= 4096:
                 self.beat_at = at
                 if phase == "draining":
@@ -291,8 +291,8 @@
                 self.beat_at = ""
                 self.loop.call_later(0.05 + 0.1 * tries, self._report, tries + 1, since)
 
-        data = wire.request("PUT", at, f"/-/backends/{self.id}", [("Content-Type", "application/json")], body)
-        wire.fetch(self.process, at, data, BEAT_TIMEOUT, done)
+        data = http_client.request("PUT", at, f"/-/backends/{self.id}", [("Content-Type", "application/json")], body)
+        http_client.fetch(self.process, at, data, BEAT_TIMEOUT, done)
 
     # Ends
 
@@ -319,14 +319,14 @@
             return
         at = self.cell.a_registry(self.rng)
 
-        def done(answer: wire.Answer | None) -> None:
+        def done(answer: http_client.Answer | None) -> None:
             if (answer is not None and answer.status < 300) or tries >= 4:
                 self.end()
             else:
                 self.loop.call_later(0.3, self._delete, tries + 1)
 
-        data = wire.request("DELETE", at, f"/-/backends/{self.id}", [])
-        wire.fetch(self.process, at, data, BEAT_TIMEOUT, done)
+        data = http_client.request("DELETE", at, f"/-/backends/{self.id}", [])
+        http_client.fetch(self.process, at, data, BEAT_TIMEOUT, done)
 
     def end(self) -> None:
         """The process ends; nothing more is said."""
--- a/folio/stacks/judge.py
+++ b/crowseam/simulator/judge.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from folio.stacks import wire
-from folio.stacks.servers import Job, Server, seal
+from crowseam.simulator.actors import http_client
+from crowseam.simulator.actors.servers import Job, Server, seal
 
 if TYPE_CHECKING:
-    from folio.stacks.cell import Cell
-    from folio.stacks.clients import Ask
+    from crowseam.simulator.actors.clients import Ask
+    from crowseam.simulator.simulation import Cell
 
 TOLD = 40           # breaks of rules that are kept with their text
 PROMISES = frozenset((429, 503, 408, 421))
@@ -175,7 +175,7 @@
         for service in ask.route.services():
             self.firsts.append((self.world.now, service))
 
-    def answered(self, ask: Ask, attempt: str, machine: str, answer: wire.Answer | None,
+    def answered(self, ask: Ask, attempt: str, machine: str, answer: http_client.Answer | None,
                  read: bool = True) -> None:
         """A try has ended; with no answer where the connection closed. `read`: the ingress had its bytes."""
         sent, now = self.sents[attempt], self.world.now
--- /dev/null
+++ b/crowseam/simulator/scenario/__init__.py
@@ -0,0 +1,1 @@
+"""What a day holds: its deployment, its load and its faults."""
--- a/folio/stacks/day.py
+++ b/crowseam/simulator/scenario/day.py
@@ -181,7 +181,7 @@
 
 def check(day: Day) -> Day:
     """Raises DayError for what can't be played."""
-    from folio.stacks.faults import KINDS
+    from crowseam.simulator.scenario.faults import KINDS
     d = day.deployment
     services = {service.name for service in d.services}
     for field, names in (("zones", [z.name for z in d.zones]), ("services", [s.name for s in d.services]),
--- a/folio/stacks/faults.py
+++ b/crowseam/simulator/scenario/faults.py
@@ -6,12 +6,12 @@
 from fnmatch import fnmatchcase
 from typing import TYPE_CHECKING
 
-from folio.stacks.day import Fault
-from folio.stacks.network import Trouble
+from crowseam.simulator.scenario.day import Fault
+from crowseam.simulator.world.network import Trouble
 
 if TYPE_CHECKING:
-    from folio.stacks.cell import Cell, Machine
-    from folio.stacks.servers import Server
+    from crowseam.simulator.actors.servers import Server
+    from crowseam.simulator.simulation import Cell, Machine
 
 RESTART = 1.0       # s until a process that ended is started again
 RELEASE_STEP = 0.6  # s between the servers of a release
--- a/folio/stacks/replay.py
+++ b/crowseam/simulator/scenario/replay.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from folio.circulation.tally import ASKED
+from crowseam.gateway.counters import ASKED
 
 # A desk counts its requests by route and tenant and tells them in one line a span:
 #     event=asked span=5 counts=look-up/north-branch:12,borrow/south-branch:3
--- a/folio/stacks/cell.py
+++ b/crowseam/simulator/simulation.py
@@ -7,19 +7,19 @@
 from itertools import accumulate
 from random import Random
 
-from folio import boot as boots
-from folio.circulation.daemon import Process as DeskDaemon
-from folio.registry.daemon import Registry
-from folio.stacks.clients import Platform, Zone
-from folio.stacks.day import Day, Route, Service, Tenant
-from folio.stacks.disk import MemoryDisk, MemoryStore, Platter
-from folio.stacks.faults import KINDS, RESTART
-from folio.stacks.guise import worn
-from folio.stacks.judge import Figures, Judge, Version
-from folio.stacks.loop import EPOCH, Process, World
-from folio.stacks.network import Network
-from folio.stacks.operator import Operator
-from folio.stacks.servers import Server
+from crowseam import settings as boots
+from crowseam.controller.daemon import Registry
+from crowseam.gateway.daemon import Process as DeskDaemon
+from crowseam.simulator.actors.clients import Platform, Zone
+from crowseam.simulator.actors.operator import Operator
+from crowseam.simulator.actors.servers import Server
+from crowseam.simulator.judge import Figures, Judge, Version
+from crowseam.simulator.scenario.day import Day, Route, Service, Tenant
+from crowseam.simulator.scenario.faults import KINDS, RESTART
+from crowseam.simulator.world.disk import MemoryDisk, MemoryStore, Platter
+from crowseam.simulator.world.loop import EPOCH, Process, World
+from crowseam.simulator.world.network import Network
+from crowseam.simulator.world.patches import worn
 
 HTTP, READYZ, CTL, PEERS = 8405, 8406, 8407, (7660, 7675)
 FIRST_CONFIG = 1.0      # s after the machines' start that the operator begins
--- a/folio/stacks/thin.py
+++ b/crowseam/simulator/thin_links.py
@@ -2,7 +2,7 @@
 
 Three registries agree on a configuration and go on changing it; then an empty registry and an empty desk come
 up behind 2 Mbit/s.  `measure` tells how long each takes, how many bytes go over its links, and the longest
-time between two signs of life there.  `python -m folio.stacks.thin ROUTES TENANTS SERVICES` does it once.
+time between two signs of life there.  `python -m crowseam.simulator.thin_links ROUTES TENANTS SERVICES` does it once.
 """
 
 from __future__ import annotations
@@ -15,17 +15,17 @@
 
 import msgspec
 
-from folio import boot as boots
-from folio import clock
-from folio.catalogue.structs import EMPTY
-from folio.circulation.follower import Follower
-from folio.stacks import wire
-from folio.stacks.cell import MemoryRegistry
-from folio.stacks.disk import Platter
-from folio.stacks.guise import worn
-from folio.stacks.loop import World
-from folio.stacks.network import Network
-from folio.transport import messages as m
+from crowseam import clock
+from crowseam import settings as boots
+from crowseam.configuration.model import EMPTY
+from crowseam.gateway.controller_session import Follower
+from crowseam.simulator.actors import http_client
+from crowseam.simulator.simulation import MemoryRegistry
+from crowseam.simulator.world.disk import Platter
+from crowseam.simulator.world.loop import World
+from crowseam.simulator.world.network import Network
+from crowseam.simulator.world.patches import worn
+from crowseam.transport import messages as m
 
 RATE = 250_000      # bytes/s of a thin link: 2 Mbit/s
 SEEDS = ("10.1.0.5", "10.2.0.5", "10.3.0.5")
@@ -136,12 +136,12 @@
         body = self.body if not self.ver else patch(self.ver + 1, self.ver)
         method = "PATCH" if self.ver else "PUT"
 
-        def answered(answer: wire.Answer | None) -> None:
+        def answered(answer: http_client.Answer | None) -> None:
             if answer is not None and answer.status == 200:
                 self.taken += 1
                 self.ver += 1
         address = f"{SEEDS[0]}:{CTL}"
-        wire.fetch(self.caller, address, wire.request(method, address, "/-/config", [], body), 2.0, answered)
+        http_client.fetch(self.caller, address, http_client.request(method, address, "/-/config", [], body), 2.0, answered)
 
     def run(self, span: float) -> None:
         """Let `span` s go by, with changes."""
--- a/folio/stacks/disk.py
+++ b/crowseam/simulator/world/disk.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Iterable
 from random import Random
 
-from folio.consensus.records import Durable, Identity, Learned, Promised, Saved, Vote, Voted
-from folio.stacks.loop import ProcessLoop
-from folio.vault.errors import StoreError
-from folio.vault.store import Member, Note
+from crowseam.consensus.records import Durable, Identity, Learned, Promised, Saved, Vote, Voted
+from crowseam.simulator.world.loop import ProcessLoop
+from crowseam.storage.errors import StoreError
+from crowseam.storage.store import Member, Note
 
 SYNC = 0.002        # s that a sync takes
 SLOW = 0.5          # s after which a write that is out is told of
@@ -91,7 +91,7 @@
 
 
 class MemoryStore:
-    """`folio.vault.store.Store` over a platter. Writing before the start of the loop takes no time."""
+    """`crowseam.storage.store.Store` over a platter. Writing before the start of the loop takes no time."""
 
     set_aside = False
 
@@ -121,7 +121,7 @@
 
 
 class MemoryDisk:
-    """`folio.registry.disk.Disk` on the virtual clock: one transaction at a time, synced a while later."""
+    """`crowseam.controller.disk.Disk` on the virtual clock: one transaction at a time, synced a while later."""
 
     def __init__(self, loop: ProcessLoop, store: MemoryStore) -> None:
         self.loop, self.store, self.platter = loop, store, store.platter
--- a/folio/stacks/loop.py
+++ b/crowseam/simulator/world/loop.py
@@ -15,7 +15,7 @@
 from typing import TYPE_CHECKING, Any
 
 if TYPE_CHECKING:
-    from folio.stacks.network import Network
+    from crowseam.simulator.world.network import Network
 
 LATE = 0.001        # s, most that a timer fires late
 EPOCH = 1_700_000_000.0     # s, time of day at which the emulation begins
--- a/folio/stacks/network.py
+++ b/crowseam/simulator/world/network.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from folio.stacks.loop import Process, World
+from crowseam.simulator.world.loop import Process, World
 
 WINDOW = 64 * 1024      # bytes that the kernel takes in for a peer that does not read
 AGAIN = 0.2             # s, least until what a cut held up is sent again
--- a/folio/stacks/guise.py
+++ b/crowseam/simulator/world/patches.py
@@ -6,10 +6,10 @@
 from contextlib import contextmanager
 from time import perf_counter
 
+from crowseam import clock, logs
+from crowseam.simulator.world.loop import EPOCH, World
+from crowseam.simulator.world.network import Select
 from fennelpoint.net import backends, notice, server
-from folio import clock, logs
-from folio.stacks.loop import EPOCH, World
-from folio.stacks.network import Select
 
 
 class VirtualTime:
--- a/folio/vault/store.py
+++ b/crowseam/storage/store.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from folio.consensus.messages import Ballot, Entry, Nothing, Voter, Voters
-from folio.consensus.records import Durable, Identity, Learned, Promised, Record, Saved, Vote, Voted
-from folio.vault.errors import StoreError
+from crowseam.consensus.messages import Ballot, Entry, Nothing, Voter, Voters
+from crowseam.consensus.records import Durable, Identity, Learned, Promised, Record, Saved, Vote, Voted
+from crowseam.storage.errors import StoreError
 
 _TABLES = {
     "identity": "TEXT",
@@ -186,7 +186,7 @@
     # Reading and writing
 
     def load(self) -> Durable:
-        """What the disk holds. Without an id, `folio.consensus.voters.settle` has to give one first."""
+        """What the disk holds. Without an id, `crowseam.consensus.voters.settle` has to give one first."""
         try:
             held = dict(self._rows("identity"))
             durable = Durable(
--- a/folio/transport/links.py
+++ b/crowseam/transport/links.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from folio import logs
-from folio.transport.messages import Message, decode, encode
+from crowseam import logs
+from crowseam.transport.messages import Message, decode, encode
 
 MOST_FRAME = 32 * 1024 * 1024   # bytes
 MOST_WAITING = 8 * 1024 * 1024  # bytes that a peer may leave unread before it is dropped
--- a/folio/transport/messages.py
+++ b/crowseam/transport/messages.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from folio.accession.digest import DigestOffer, RangeRecords
-from folio.accession.handover import Learn, Learned
-from folio.accession.quorum import Held as ReportHeld
-from folio.accession.quorum import Hold
-from folio.accession.register import Record
-from folio.consensus import messages as consensus
-from folio.lending.slices import Held, Lease
-from folio.membership import duties
-from folio.membership.sessions import SessionsTold
+from crowseam.consensus import messages as consensus
+from crowseam.discovery.digest import DigestOffer, RangeRecords
+from crowseam.discovery.handover import Learn, Learned
+from crowseam.discovery.quorum import Held as ReportHeld
+from crowseam.discovery.quorum import Hold
+from crowseam.discovery.service_registry import Record
+from crowseam.membership import duties
+from crowseam.membership.sessions import SessionsTold
+from crowseam.quotas.leases import Held, Lease
 
 PACK_FROM = 2048    # bytes of a body from which on it is packed
 
--- a/tests/folio/test_accession.py
+++ b/tests/crowseam/test_accession.py
@@ -13,9 +13,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from folio.accession import quorum
-from folio.accession.digest import DigestOffer, RangeRecords, Repair, compare, digests, range_of
-from folio.accession.register import (
+from crowseam.discovery import quorum
+from crowseam.discovery.digest import DigestOffer, RangeRecords, Repair, compare, digests, range_of
+from crowseam.discovery.service_registry import (
     AccessionError,
     Beat,
     Record,
--- a/tests/folio/test_admission.py
+++ b/tests/crowseam/test_admission.py
@@ -4,9 +4,9 @@
 from random import Random
 from statistics import fmean, pstdev
 
+from crowseam.quotas.admission import Admission, AdmissionError, TenantTerms
+from crowseam.quotas.leases import beside_slices
 from fennelpoint.regions import FULL_STEP, MOST_CUT, PERIOD, STEP, STEPS
-from folio.lending.admission import Admission, AdmissionError, TenantTerms
-from folio.lending.slices import beside_slices
 
 AIM, START = 1.0, 1000.0
 
--- a/tests/folio/test_budget.py
+++ b/tests/crowseam/test_budget.py
@@ -4,7 +4,7 @@
 from bisect import bisect_left, bisect_right
 from random import Random
 
-from folio.lending.budget import Most, RetryBudget
+from crowseam.quotas.retry_budget import Most, RetryBudget
 
 
 class BudgetTest(unittest.TestCase):
--- a/tests/folio/test_capacity.py
+++ b/tests/crowseam/test_capacity.py
@@ -10,13 +10,13 @@
 
 import msgspec
 
-from folio.catalogue.structs import Configuration, parse_change
-from folio.reference import capacity, hollow, loads, procfs, scale_run
-from folio.reference.capacity import fill, fit, trouble
-from folio.reference.dispatch import run
-from folio.reference.errors import BadInputError
-from folio.transport import messages as m
-from folio.transport.links import frame
+from crowseam.capacity import hollow_peers, loads, page, procfs, scale_run
+from crowseam.capacity.page import fill, fit, trouble
+from crowseam.cli.dispatch import run
+from crowseam.cli.errors import BadInputError
+from crowseam.configuration.model import Configuration, parse_change
+from crowseam.transport import messages as m
+from crowseam.transport.links import frame
 
 SMALL = loads.Load(servers=6, services=2, routes=4, tenants=50, zones=2, requests=5100.0)
 
@@ -61,7 +61,7 @@
 
 class AccountTest(unittest.TestCase):
     def test_what_a_desk_asks_fades_and_what_has_no_slice_is_drawn(self):
-        asked = hollow.Asked({"t": 10.0})
+        asked = hollow_peers.Asked({"t": 10.0})
         self.assertFalse(asked.ask("t", 0.0, 100.0))
         self.assertAlmostEqual(asked.report(100.0)["t"], 0.347, delta=0.001)
         asked.dry("t", 105.0)
@@ -71,8 +71,8 @@
         self.assertEqual(asked.report(200.0), {})
 
     def test_a_link_counts_by_type_and_passes_over_what_it_does_not_know(self):
-        traffic, heard = hollow.Traffic(), []
-        link = hollow.HollowLink(lambda link, message: heard.append(message), lambda link: None, traffic)
+        traffic, heard = hollow_peers.Traffic(), []
+        link = hollow_peers.HollowLink(lambda link, message: heard.append(message), lambda link: None, traffic)
         link.transport = type("Open", (), {"is_closing": lambda self: False})()
         new = msgspec.msgpack.encode(["newer", 1, 2])
         data = frame(m.Quiet([])) + len(new).to_bytes(4, "big") + new + frame(m.Bye())
@@ -86,7 +86,7 @@
 
     def test_the_answers_of_registries_are_read_in_order(self):
         class Crowd:
-            traffic, answers, lost_servers = hollow.Traffic(), [], []
+            traffic, answers, lost_servers = hollow_peers.Traffic(), [], []
 
             def answered(self, server, method, status, body, sent):
                 self.answers.append((server, method, status, body))
@@ -95,9 +95,9 @@
                 self.lost_servers.append(server)
 
         crowd = Crowd()
-        pipe = hollow.Pipe(crowd, "127.0.0.1:1")
+        pipe = hollow_peers.Pipe(crowd, "127.0.0.1:1")
         pipe.connection_made(type("Out", (), {"write": lambda self, data: None})())
-        servers = [hollow.HollowServer(n, 0, SMALL) for n in range(3)]
+        servers = [hollow_peers.HollowServer(n, 0, SMALL) for n in range(3)]
         for server in servers:
             pipe.call(server, "PUT", server.body(), 0.0)
         data = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
@@ -154,13 +154,13 @@
         self.assertIn("ended", trouble({}))
 
     def test_tables_go_between_their_markers_and_nothing_else_changes(self):
-        page = "a\n<!-- capacity runs begin -->\nold\n<!-- capacity runs end -->\nb\n"
-        told = fill(page, {"runs": capacity.markdown([{"x": 1, "y": "a|b"}])})
+        text = "a\n<!-- capacity runs begin -->\nold\n<!-- capacity runs end -->\nb\n"
+        told = fill(text, {"runs": page.markdown([{"x": 1, "y": "a|b"}])})
         self.assertEqual(told, "a\n<!-- capacity runs begin -->\n| x | y |\n| --- | --- |\n| 1 | a/b |\n"
                                "<!-- capacity runs end -->\nb\n")
         self.assertEqual(fill(told, {}), told)
         with self.assertRaises(BadInputError):
-            fill(page, {"desk": ""})
+            fill(text, {"desk": ""})
 
     def test_sweeps_and_goals_make_rows(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -172,7 +172,7 @@
                 '[[rows]]\nrole = "desk"\nquantity = "MB"\nunit = "MB"\n'
                 'values = { 10 = 80, 20 = 82, 50 = 79 }\n'
                 '[[rows]]\nrole = "desk"\nquantity = "files"\nunit = "files"\nvalues = { 10 = 1, 20 = 2 }\n')
-            rows = capacity.tables(*capacity.read(Path(folder)))["desk"]
+            rows = page.tables(*page.read(Path(folder)))["desk"]
             self.assertEqual([row["at the size to come"] for row in rows],
                              ["0.51 (beyond)", "80.3, far: measured to 50", "not carried on from 2 sizes"])
             self.assertEqual(rows[0]["how"], "bench")
@@ -185,9 +185,9 @@
 class PageTest(unittest.TestCase):
     def test_the_page_holds_what_the_records_say(self):
         root = Path(__file__).parents[2] / "docs"
-        page = (root / "CAPACITY.md").read_text()
-        found = capacity.tables(*capacity.read(root / "capacity"))
-        self.assertEqual(fill(page, {name: capacity.markdown(told) for name, told in found.items()}), page)
+        text = (root / "CAPACITY.md").read_text()
+        found = page.tables(*page.read(root / "capacity"))
+        self.assertEqual(fill(text, {name: page.markdown(told) for name, told in found.items()}), text)
 
 
 class HollowTest(unittest.TestCase):
@@ -206,10 +206,10 @@
                     if len(reported) > 6:
                         done.set()
 
-            from folio.transport.links import Link
+            from crowseam.transport.links import Link
             server = await loop.create_server(lambda: Link(heard, lambda link: None), "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
-            crowd = hollow.Desks(loop, hollow.Job(SMALL, ["127.0.0.1:8407"], port, 0, 2))
+            crowd = hollow_peers.Desks(loop, hollow_peers.Job(SMALL, ["127.0.0.1:8407"], port, 0, 2))
             await asyncio.wait_for(done.wait(), 8.0)
             told = crowd.order({"do": "tell"})
             server.close()
--- a/tests/folio/test_catalogue.py
+++ b/tests/crowseam/test_catalogue.py
@@ -6,8 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from folio.catalogue.routing import Table
-from folio.catalogue.structs import (
+from crowseam.configuration.model import (
     EMPTY,
     CatalogueError,
     Configuration,
@@ -15,6 +14,7 @@
     judge,
     parse_change,
 )
+from crowseam.configuration.routing import Table
 
 
 def svc(name, **spec):
--- a/tests/folio/test_check_agreement.py
+++ b/tests/crowseam/test_check_agreement.py
@@ -4,10 +4,10 @@
 
 import unittest
 
-from folio.consensus.check import MUTANTS, STALE, Order, World, run
-from folio.consensus.records import Fresh
-from folio.reference.model_check import known
-from folio.schedules import Violation
+from crowseam.cli.model_check import known
+from crowseam.consensus.records import Fresh
+from crowseam.model_checks.agreement.check import MUTANTS, STALE, Order, World, run
+from crowseam.model_checks.schedules import Violation
 
 CLIMATES = {"mixed", "power", "links", "disks", "crowd", "age", "siege", "duel"}
 
--- a/tests/folio/test_check_callers.py
+++ b/tests/crowseam/test_check_callers.py
@@ -2,11 +2,11 @@
 
 import unittest
 
+from crowseam.cli.model_check import known
+from crowseam.gateway.http_dialect import ServerDialect
+from crowseam.model_checks.callers import check
+from crowseam.model_checks.callers.check import FAULTS, STRIDE, SWEEP_EACH, BeforeDesk, Plan, Sweep, request
 from fennelpoint.net.backends import UpstreamConnection
-from folio.circulation.dialect import ServerDialect
-from folio.reference.model_check import known
-from folio.stacks import check_callers
-from folio.stacks.check_callers import FAULTS, STRIDE, SWEEP_EACH, BeforeDesk, Plan, Sweep, request
 
 
 class Slow(BeforeDesk):
@@ -45,7 +45,7 @@
 
 class Schedules(unittest.TestCase):
     def test_a_fixed_set_breaks_nothing_and_answers_many(self):
-        report = check_callers.run(range(64))
+        report = check.run(range(64))
         self.assertEqual(report.violations, [])
         for outcome in ("200", "429", "500", "502", "503", "504", "no answer", "drain 200", "leave 200",
                         "retire 200", "look 200", "read 200", "change 200", "change 412", "unknown 404"):
@@ -53,7 +53,7 @@
 
     def test_a_seed_plays_the_same_each_time(self):
         for seed in range(4):
-            one, other = check_callers.run([seed]), check_callers.run([seed])
+            one, other = check.run([seed]), check.run([seed])
             self.assertEqual((one.events, one.outcomes), (other.events, other.outcomes))
 
     def test_the_sweeps_of_a_thousand_seeds_meet_each_byte_with_each_fault(self):
@@ -71,7 +71,7 @@
         self.assertEqual((ServerDialect.alien, UpstreamConnection._answered), before)
 
     def test_what_is_never_found_says_why(self):
-        for mutant in check_callers.MUTANTS:
+        for mutant in check.MUTANTS:
             self.assertTrue((mutant.seed is None) == bool(mutant.why), mutant.guard)
 
 
--- a/tests/folio/test_check_catchup.py
+++ b/tests/crowseam/test_check_catchup.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from folio.consensus.check_catchup import MUTANTS, run
+from crowseam.model_checks.catchup.check import MUTANTS, run
 
 SEEDS = (0, 2, 4, 7)
 
--- a/tests/folio/test_check_cutoff.py
+++ b/tests/crowseam/test_check_cutoff.py
@@ -5,16 +5,16 @@
 from random import Random
 from unittest import mock
 
-from folio import clock
-from folio.boot import Bind, Boot
-from folio.circulation.follower import Follower
-from folio.reference import model_check
-from folio.stacks import check_cutoff
-from folio.stacks.guise import worn
-from folio.stacks.network import Trouble
-from folio.transport import messages as m
-from tests.folio import test_registry
-from tests.folio.test_registry import CTL, IPS, beat
+from crowseam import clock
+from crowseam.cli import model_check
+from crowseam.gateway.controller_session import Follower
+from crowseam.model_checks.cutoff import check
+from crowseam.settings import Bind, Boot
+from crowseam.simulator.world.network import Trouble
+from crowseam.simulator.world.patches import worn
+from crowseam.transport import messages as m
+from tests.crowseam import test_registry
+from tests.crowseam.test_registry import CTL, IPS, beat
 
 
 class Apart(unittest.TestCase):
@@ -111,14 +111,14 @@
 
 class Check(unittest.TestCase):
     def test_schedules_break_nothing(self):
-        report = check_cutoff.run(range(4))
+        report = check.run(range(4))
         self.assertEqual(report.violations, [])
         self.assertGreater(report.cut_calls, 40)
-        self.assertLess(max(report.moves), check_cutoff.REJOIN)
+        self.assertLess(max(report.moves), check.REJOIN)
 
     def test_each_guard_that_is_left_out_is_missed(self):
         for mutant, violations in model_check.known("cutoff"):
             with self.subTest(guard=mutant.guard):
                 self.assertTrue(violations)
-        for mutant in check_cutoff.MUTANTS:
+        for mutant in check.MUTANTS:
             self.assertTrue(mutant.seed is not None or mutant.why, mutant.guard)
--- a/tests/folio/test_check_handover.py
+++ b/tests/crowseam/test_check_handover.py
@@ -2,10 +2,10 @@
 
 import unittest
 
-from folio.accession.check_handover import run
-from folio.accession.handover import AGAIN, MOST, Handover, Learn, Learned
-from folio.accession.register import Beat, Register
-from folio.reference import model_check
+from crowseam.cli import model_check
+from crowseam.discovery.handover import AGAIN, MOST, Handover, Learn, Learned
+from crowseam.discovery.service_registry import Beat, Register
+from crowseam.model_checks.handover.check import run
 
 OLD = {"a": "1", "b": "2", "c": "3"}    # ids by address
 NEW = {"a": "1", "b": "2", "n": "9"}    # the newcomer has taken the place of c
--- a/tests/folio/test_check_membership.py
+++ b/tests/crowseam/test_check_membership.py
@@ -5,14 +5,14 @@
 import unittest
 from random import Random
 
-from folio.consensus import messages as wire
-from folio.consensus.check import Disk, Ledger, Order, World
-from folio.consensus.check_membership import MUTANTS, run
-from folio.consensus.messages import Voter, Voters
-from folio.consensus.node import Node, Timing
-from folio.consensus.records import Learned, Saved, Send, Taken
-from folio.consensus.voters import propose
-from folio.reference.model_check import known
+from crowseam.cli.model_check import known
+from crowseam.consensus import messages as wire
+from crowseam.consensus.messages import Voter, Voters
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import Learned, Saved, Send, Taken
+from crowseam.consensus.voters import propose
+from crowseam.model_checks.agreement.check import Disk, Ledger, Order, World
+from crowseam.model_checks.membership.check import MUTANTS, run
 
 
 def voting(world: World) -> list[str]:
--- a/tests/folio/test_check_orders.py
+++ b/tests/crowseam/test_check_orders.py
@@ -5,12 +5,13 @@
 
 import msgspec
 
-from folio.catalogue.structs import CatalogueError, parse_change
-from folio.consensus.messages import Change as Entry
-from folio.reference.model_check import known
-from folio.registry.machine import EARLIER, RECENT, Again, Forgotten, Machine, Taken
-from folio.stacks import cell, check_orders
-from folio.stacks.day import read
+from crowseam.cli.model_check import known
+from crowseam.configuration.model import CatalogueError, parse_change
+from crowseam.consensus.messages import Change as Entry
+from crowseam.controller.state_machine import EARLIER, RECENT, Again, Forgotten, Machine, Taken
+from crowseam.model_checks.orders import check
+from crowseam.simulator import simulation
+from crowseam.simulator.scenario.day import read
 
 
 def order(ver, parent, name="a"):
@@ -92,14 +93,14 @@
         day = read(Path(__file__).parents[2] / "examples" / "racing-operators.toml")
         day.length = 14.0
         day.faults = [fault for fault in day.faults if fault.at < 12.0]
-        told, _ = cell.play(day, 1)
+        told, _ = simulation.play(day, 1)
         self.assertEqual((told.rules, told.failures, told.unacked), ({}, [], 0))
         self.assertGreaterEqual(len(told.acks), 6)
 
 
 class CheckTest(unittest.TestCase):
     def test_nothing_breaks(self):
-        report = check_orders.run(range(20, 26))
+        report = check.run(range(20, 26))
         self.assertEqual(report.violations, [])
         for outcome in ("taken", "again", "unclear", "refused 400", "refused 412", "read"):
             self.assertGreater(report.outcomes[outcome], 10, outcome)
@@ -109,7 +110,7 @@
             self.assertTrue(violations, mutant.guard)
 
     def test_a_mutant_without_a_seed_says_why(self):
-        for mutant in check_orders.MUTANTS:
+        for mutant in check.MUTANTS:
             self.assertTrue(mutant.seed is not None or mutant.why, mutant.guard)
 
 
--- a/tests/folio/test_clerk.py
+++ b/tests/crowseam/test_clerk.py
@@ -10,13 +10,13 @@
 import random
 import unittest
 
+from crowseam.configuration.routing import Route
+from crowseam.discovery.service_registry import Record
+from crowseam.gateway.load_balancer import Clerk, Draw, Give, Send, Wake
+from crowseam.quotas.admission import Admission, TenantTerms
+from crowseam.quotas.retry_budget import RetryBudget
 from fennelpoint.interface import Status
 from fennelpoint.net.backends import Answer
-from folio.accession.register import Record
-from folio.catalogue.routing import Route
-from folio.circulation.clerk import Clerk, Draw, Give, Send, Wake
-from folio.lending.admission import Admission, TenantTerms
-from folio.lending.budget import RetryBudget
 
 PROMISES = (429, 503, 408, 421)
 MAY_HAVE_RUN = (Status.ERROR, Status.RESET, Status.TIMEOUT)
--- a/tests/folio/test_consensus.py
+++ b/tests/crowseam/test_consensus.py
@@ -8,14 +8,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from folio.consensus import messages as wire
-from folio.consensus.check import Disk, Ledger, Order, World, run
-from folio.consensus.errors import ConsensusError
-from folio.consensus.messages import Ballot, Change, Voter, Voters, decode, encode
-from folio.consensus.node import Node, Timing
-from folio.consensus.records import Fresh, Learned, Persist, Saved, Send, Taken, Unclear
-from folio.consensus.voters import propose, settle
-from folio.consensus.walk import explore
+from crowseam.consensus import messages as wire
+from crowseam.consensus.errors import ConsensusError
+from crowseam.consensus.messages import Ballot, Change, Voter, Voters, decode, encode
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import Fresh, Learned, Persist, Saved, Send, Taken, Unclear
+from crowseam.consensus.voters import propose, settle
+from crowseam.model_checks.agreement.check import Disk, Ledger, Order, World, run
+from crowseam.model_checks.agreement.exhaustive import explore
 
 OUTCOMES = {"taken": Taken, "fresh": Fresh, "unclear": Unclear, "stale": "stale", "same": "same"}
 
--- a/tests/folio/test_detection.py
+++ b/tests/crowseam/test_detection.py
@@ -4,8 +4,8 @@
 from contextlib import redirect_stderr
 from io import StringIO
 
-from folio.reference import detection
-from folio.reference.dispatch import run
+from crowseam.cli import detection
+from crowseam.cli.dispatch import run
 
 
 class DetectionTest(unittest.TestCase):
--- a/tests/folio/test_dialect.py
+++ b/tests/crowseam/test_dialect.py
@@ -6,11 +6,11 @@
 from types import SimpleNamespace
 from unittest import mock
 
+from crowseam.gateway.gateway import UNSAFE_IDLE
+from crowseam.gateway.http_dialect import ServerDialect, load_of
 from fennelpoint.interface import BackendEntry, BackendState, Roster, RosterKind, Status
 from fennelpoint.net import backends, flow
 from fennelpoint.net.backends import Backends, Exchange
-from folio.circulation.desk import UNSAFE_IDLE
-from folio.circulation.dialect import ServerDialect, load_of
 
 BODY = b"the server's bytes"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
--- a/tests/folio/test_duties.py
+++ b/tests/crowseam/test_duties.py
@@ -5,8 +5,8 @@
 from random import Random
 from unittest import mock
 
-from folio.membership.duties import Duties, DutyTerms, Granted, Refused, Release, Seek, wanted
-from folio.registry.loans import Loans
+from crowseam.controller.lease_service import Loans
+from crowseam.membership.duties import Duties, DutyTerms, Granted, Refused, Release, Seek, wanted
 
 KEY = "quota/0"
 TERMS = DutyTerms(term=2.0, renew=0.5, settle=1.0)
--- a/tests/folio/test_figures.py
+++ b/tests/crowseam/test_figures.py
@@ -12,25 +12,25 @@
 
 from prometheus_client.parser import text_string_to_metric_families
 
+from crowseam.cli import control_client
+from crowseam.cli.dispatch import run
+from crowseam.cli.metrics_table import Merged
+from crowseam.discovery.service_registry import Record
+from crowseam.gateway.gateway import Desk
+from crowseam.gateway.request_reader import Reader
+from crowseam.metrics import exposition, families, latency
+from crowseam.simulator.world.patches import worn
 from fennelpoint.interface import Status
 from fennelpoint.net.backends import Answer
-from folio.accession.register import Record
-from folio.circulation.desk import Desk
-from folio.circulation.reader import Reader
-from folio.figures import families, latency, scrape
-from folio.reference import wire
-from folio.reference.dispatch import run
-from folio.reference.figures import Merged
-from folio.stacks.guise import worn
-from tests.folio import test_registry
+from tests.crowseam import test_registry
 
 MAKE = latency.library()
 START = r"""
 import asyncio, json, socket, sys
 from random import Random
-from folio import boot
-from folio.circulation.daemon import Process, load_figures
-import folio.registry.daemon
+from crowseam import settings
+from crowseam.gateway.daemon import Process, load_figures
+import crowseam.controller.daemon
 
 def loaded():
     return [name for name in ("prometheus_client", "ddsketch") if name in sys.modules]
@@ -39,11 +39,11 @@
     free = [socket.create_server(("127.0.0.1", 0)) for _ in range(2)]
     http, readyz = (f"127.0.0.1:{each.getsockname()[1]}" for each in free)
     [each.close() for each in free]
-    told = boot.Boot("h", "127.0.0.1", "z", (7660, 7675), [], boot.Bind(http=http, readyz=readyz))
+    told = settings.Boot("h", "127.0.0.1", "z", (7660, 7675), [], settings.Bind(http=http, readyz=readyz))
     process = Process(asyncio.get_running_loop(), told, Random(1))
     await process.start()
     found = [loaded()]
-    reader, writer = await asyncio.open_connection(*boot.address(readyz))
+    reader, writer = await asyncio.open_connection(*settings.address(readyz))
     writer.write(b"GET /-/metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
     answer = (await reader.read()).decode()
     found.append(loaded())
@@ -114,12 +114,12 @@
         made = recorder(loans := route())
         for span in spans:
             made.ended(loans, "a", 200, "", span)
-        told = samples(scrape.render(families.of_recorder(made)))
+        told = samples(exposition.render(families.of_recorder(made)))
         for name, place in (("0.5", 2499), ("0.99", 4949), ("1", 4999)):
-            found = told["folio_answer_quantile_seconds", name, "loans", "a"]
+            found = told["crowseam_answer_quantile_seconds", name, "loans", "a"]
             self.assertAlmostEqual(found / spans[place], 1.0, delta=0.011)
         for bound in latency.BOUNDS:
-            count = sum(told["folio_request_seconds_bucket", str(bound), outcome, "loans", "a"]
+            count = sum(told["crowseam_request_seconds_bucket", str(bound), outcome, "loans", "a"]
                         for outcome in ("served", "late"))
             self.assertLessEqual(sum(span <= bound for span in spans), count)
             self.assertGreaterEqual(sum(span <= 1.0203 * bound for span in spans), count)
@@ -146,7 +146,7 @@
             sent[0].end(Status.OK, Answer(200, [], b""))
             sent[1].end(Status.RESET)
             desk.gone(numbers[2])
-            told = samples(scrape.render(families.of_desk(types.SimpleNamespace(
+            told = samples(exposition.render(families.of_desk(types.SimpleNamespace(
                 desk=desk, ready=lambda: True, server=mock.Mock(connections=[1]), reader=Reader(),
                 follower=mock.Mock(slot=3, link=None)))))
         for name, labels, value in (
@@ -154,7 +154,7 @@
                 ("request_seconds_count", ("refused", "loans", "a"), 1), ("failed_total", ("reset",), 1),
                 ("request_seconds_count", ("failed", "loans", "a"), 1), ("gone_total", (), 1),
                 ("under_way", (), 0), ("slot", (), 3), ("answers_total", ("5xx",), 2)):
-            self.assertEqual(told[f"folio_{name}", *labels], value, (name, labels))
+            self.assertEqual(told[f"crowseam_{name}", *labels], value, (name, labels))
 
     def test_a_registry_tells_its_own(self):
         system = test_registry.System(1)
@@ -163,10 +163,10 @@
             registry = system.registries["r1"]
             system.world.enter(system.processes["r1"])
             registry.counter.counts["status"] = 2
-            told = samples(scrape.render(families.of_registry(registry.counter, registry.now())))
-        self.assertEqual(told["folio_calls_total", "status"], 2)
+            told = samples(exposition.render(families.of_registry(registry.counter, registry.now())))
+        self.assertEqual(told["crowseam_calls_total", "status"], 2)
         for name, value in (("in_touch", 1), ("voters", 3), ("voter", 1), ("desks", 1)):
-            self.assertEqual(told[f"folio_{name}",], value, name)
+            self.assertEqual(told[f"crowseam_{name}",], value, name)
 
     def test_neither_library_is_loaded_before_it_is_needed(self):
         done = subprocess.run([sys.executable, "-c", START], capture_output=True, text=True, timeout=60)
@@ -175,7 +175,7 @@
         self.assertEqual(found, [[], ["prometheus_client"], ["prometheus_client", "ddsketch"]])
         head, _, body = answer.encode().partition(b"\r\n\r\n")
         self.assertIn(b"Content-Type: text/plain; version=0.0.4", head)
-        self.assertEqual(samples(body)["folio_ready",], 0)
+        self.assertEqual(samples(body)["crowseam_ready",], 0)
 
 
 class OverDesks(unittest.TestCase):
@@ -185,7 +185,7 @@
             made.ended(loans, "a", 200, "", span)
         for _ in range(refused):
             made.ended(loans, "", 429, "quota", 0.0)
-        return scrape.render(families.of_recorder(made))
+        return exposition.render(families.of_recorder(made))
 
     def test_what_two_desks_tell_is_what_one_with_all_requests_would(self):
         rng = Random(2)
@@ -205,12 +205,12 @@
 
         def send(address, method, path, body, timeout):
             if address not in answers:
-                raise wire.NoAnswerError("silence")
-            return wire.Answer(200, "", answers[address])
+                raise control_client.NoAnswerError("silence")
+            return control_client.Answer(200, "", answers[address])
 
         def said(*argv):
             out, err = io.StringIO(), io.StringIO()
-            with (mock.patch.object(wire, "send", send), contextlib.redirect_stdout(out),
+            with (mock.patch.object(control_client, "send", send), contextlib.redirect_stdout(out),
                   contextlib.redirect_stderr(err)):
                 return run(["figures", *argv]), out.getvalue(), err.getvalue()
 
--- a/tests/folio/test_first_slices.py
+++ b/tests/crowseam/test_first_slices.py
@@ -8,12 +8,12 @@
 from random import Random
 from unittest import mock
 
-from folio import clock
-from folio.boot import Bind, Boot
-from folio.circulation.desk import SETTLED, YOUNG, Desk
-from folio.lending.admission import TenantTerms
-from folio.lending.shards import KEYS, duty_of
-from folio.lending.slices import PARTS, Holdings, Lease
+from crowseam import clock
+from crowseam.gateway.gateway import SETTLED, YOUNG, Desk
+from crowseam.quotas.admission import TenantTerms
+from crowseam.quotas.leases import PARTS, Holdings, Lease
+from crowseam.quotas.shards import KEYS, duty_of
+from crowseam.settings import Bind, Boot
 
 AIM = 0.4
 
--- a/tests/folio/test_follower.py
+++ b/tests/crowseam/test_follower.py
@@ -5,10 +5,10 @@
 import unittest
 from unittest import mock
 
-from folio import clock
-from folio.boot import Bind, Boot
-from folio.circulation.follower import Follower
-from folio.transport import messages as m
+from crowseam import clock
+from crowseam.gateway.controller_session import Follower
+from crowseam.settings import Bind, Boot
+from crowseam.transport import messages as m
 
 
 class OpenTest(unittest.IsolatedAsyncioTestCase):
@@ -16,7 +16,7 @@
         boot = Boot("edge-1", "10.1.0.1", "z", (7660, 7675), ["10.1.0.1:8407"], Bind())
         loop = mock.Mock(create_connection=mock.AsyncMock())
         follower = Follower(loop, boot, random.Random(1), None, None, None, dict)
-        with mock.patch("folio.circulation.follower.Link") as made:
+        with mock.patch("crowseam.gateway.controller_session.Link") as made:
             await follower._dial(0.0)
         sent = [type(call.args[0]) for call in made.return_value.send.call_args_list]
         self.assertEqual(sent, [m.Open, m.Report])
--- a/tests/folio/test_guards.py
+++ b/tests/crowseam/test_guards.py
@@ -6,8 +6,8 @@
 from io import StringIO
 from pathlib import Path
 
-from folio.reference import dispatch
-from folio.reference.model_check import PARTS, guards
+from crowseam.cli import dispatch
+from crowseam.cli.model_check import PARTS, guards
 
 PAGE = Path(__file__).resolve().parents[2] / "docs/control.md"
 
--- a/tests/folio/test_ills.py
+++ b/tests/crowseam/test_ills.py
@@ -3,13 +3,13 @@
 import unittest
 from random import Random
 
+from crowseam.configuration.routing import Route
+from crowseam.discovery.service_registry import Record
+from crowseam.gateway.load_balancer import Clerk, Send
+from crowseam.membership.outliers import LASTS, Ills
+from crowseam.quotas.admission import Admission
+from crowseam.quotas.retry_budget import RetryBudget
 from fennelpoint.interface import Status
-from folio.accession.register import Record
-from folio.catalogue.routing import Route
-from folio.circulation.clerk import Clerk, Send
-from folio.lending.admission import Admission
-from folio.lending.budget import RetryBudget
-from folio.membership.ills import LASTS, Ills
 
 SERVERS = ("s1", "s2", "s3", "s4", "s5", "s6")
 
--- a/tests/folio/test_known_red.py
+++ b/tests/crowseam/test_known_red.py
@@ -25,8 +25,8 @@
         self.assertEqual(self.read(None), {})
 
     def test_each_line_names_test_cause_and_issue(self):
-        line = "tests.folio.test_a.B.test_c | a lease is counted twice | 19"
-        self.assertEqual(self.read(f"{line}\n\n"), {"tests.folio.test_a.B.test_c": line})
+        line = "tests.crowseam.test_a.B.test_c | a lease is counted twice | 19"
+        self.assertEqual(self.read(f"{line}\n\n"), {"tests.crowseam.test_a.B.test_c": line})
         four = "\n".join(f"t{number} | b | 1" for number in range(4))
         for wrong in ("tests.a", "a | b", "a | | c", "a | b | 1\na | b | 2", four):
             with self.subTest(text=wrong), self.assertRaises(ci.ListError):
@@ -45,9 +45,9 @@
         """The exit code and what is printed for a tree with one test."""
         with tempfile.TemporaryDirectory() as folder:
             root = Path(folder)
-            (root / "tests/folio").mkdir(parents=True)
-            (root / "tests/folio/__init__.py").write_text("")     # and none in tests, as here
-            (root / "tests/folio/test_one.py").write_text(
+            (root / "tests/crowseam").mkdir(parents=True)
+            (root / "tests/crowseam/__init__.py").write_text("")     # and none in tests, as here
+            (root / "tests/crowseam/test_one.py").write_text(
                 "import unittest\nclass T(unittest.TestCase):\n"
                 f"    def test_x(self): self.assertTrue({passes})\n")
             (root / "tests/test_two.py").write_text("def test_y(): pass\n")
@@ -60,7 +60,7 @@
             return done.returncode, done.stdout
 
     def test_a_listed_one_may_fail_and_has_to(self):
-        line = "tests.folio.test_one.T.test_x | why | 19"
+        line = "tests.crowseam.test_one.T.test_x | why | 19"
         self.assertEqual(self.verdict(None, True)[0], 0)
         self.assertEqual(self.verdict(None, False)[0], 1)
         code, told = self.verdict(line, False)
@@ -69,4 +69,4 @@
         code, told = self.verdict(line, True)
         self.assertEqual(code, 1)
         self.assertIn("passes: take it out", told)
-        self.assertEqual(self.verdict("tests.folio.test_one.T.test_z | why | 19", True)[0], 1)
+        self.assertEqual(self.verdict("tests.crowseam.test_one.T.test_z | why | 19", True)[0], 1)
--- a/tests/folio/test_large_states.py
+++ b/tests/crowseam/test_large_states.py
@@ -7,18 +7,18 @@
 
 import msgspec
 
-from folio.boot import Bind, Boot
-from folio.circulation.follower import Follower
-from folio.consensus import messages as wire
-from folio.consensus.check import Ledger, Order
-from folio.consensus.check_catchup import Padded
-from folio.consensus.messages import Snapshot, SnapshotOffer, SnapshotPart, Voter
-from folio.consensus.node import Node, Timing
-from folio.consensus.records import Durable, Saved, Send
-from folio.consensus.transfer import Fetch, Source, seal, sealed, unseal
-from folio.stacks.guise import worn
-from folio.stacks.thin import SEEDS, Thin, configuration
-from folio.transport import messages as m
+from crowseam.consensus import messages as wire
+from crowseam.consensus.messages import Snapshot, SnapshotOffer, SnapshotPart, Voter
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import Durable, Saved, Send
+from crowseam.consensus.snapshot_transfer import Fetch, Source, seal, sealed, unseal
+from crowseam.gateway.controller_session import Follower
+from crowseam.model_checks.agreement.check import Ledger, Order
+from crowseam.model_checks.catchup.check import Padded
+from crowseam.settings import Bind, Boot
+from crowseam.simulator.thin_links import SEEDS, Thin, configuration
+from crowseam.simulator.world.patches import worn
+from crowseam.transport import messages as m
 
 BODY = configuration(430, 1700, 23)     # 340 kB, packed 85
 
--- a/tests/folio/test_leaving.py
+++ b/tests/crowseam/test_leaving.py
@@ -3,10 +3,10 @@
 import unittest
 from unittest import mock
 
-from folio.stacks.disk import Platter
-from folio.stacks.guise import worn
-from tests.folio import test_registry
-from tests.folio.test_registry import System, config
+from crowseam.simulator.world.disk import Platter
+from crowseam.simulator.world.patches import worn
+from tests.crowseam import test_registry
+from tests.crowseam.test_registry import System, config
 
 IP = "10.1.0.6"
 
--- a/tests/folio/test_lending.py
+++ b/tests/crowseam/test_lending.py
@@ -4,8 +4,9 @@
 from contextlib import redirect_stderr, redirect_stdout
 from io import StringIO
 
-from folio.lending.admission import TenantTerms
-from folio.lending.check import (
+from crowseam.cli import dispatch, model_check
+from crowseam.membership.duties import wanted
+from crowseam.model_checks.quotas.check import (
     KEY,
     BorrowersUnnamed,
     HoldingsThatObeyAll,
@@ -16,9 +17,8 @@
     figures,
     run,
 )
-from folio.lending.slices import LendingTerms
-from folio.membership.duties import wanted
-from folio.reference import dispatch, model_check
+from crowseam.quotas.admission import TenantTerms
+from crowseam.quotas.leases import LendingTerms
 
 
 class CheckTest(unittest.TestCase):
--- a/tests/folio/test_logs.py
+++ b/tests/crowseam/test_logs.py
@@ -7,10 +7,10 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from folio import clock, logs
+from crowseam import clock, logs
 
 ROOT = Path(__file__).parents[2]
-PACKAGES = {"circulation": ("desk",), "registry": ("registry",), "transport": ("desk", "registry")}
+PACKAGES = {"gateway": ("desk",), "controller": ("registry",), "transport": ("desk", "registry")}
 ROLES = {"desk": ("desk",), "registry": ("registry",), "both": ("desk", "registry")}
 
 
@@ -18,7 +18,7 @@
     """(role, event) -> (fields, whether there may be more) of the calls in the code."""
     found = {}
     for package, roles in PACKAGES.items():
-        for path in sorted((ROOT / "folio" / package).glob("*.py")):
+        for path in sorted((ROOT / "crowseam" / package).glob("*.py")):
             for node in ast.walk(ast.parse(path.read_text())):
                 if not (isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute)
                         and isinstance(node.func.value, ast.Name) and node.func.value.id == "logs"
--- a/tests/folio/test_reader.py
+++ b/tests/crowseam/test_reader.py
@@ -6,11 +6,11 @@
 import unittest
 from types import SimpleNamespace
 
+from crowseam.configuration.model import Configuration
+from crowseam.configuration.routing import Table
+from crowseam.gateway.request_reader import Asked, Reader
 from fennelpoint.net import flow
 from fennelpoint.net.server import BadRequest, ClientConnection, Server
-from folio.catalogue.routing import Table
-from folio.catalogue.structs import Configuration
-from folio.circulation.reader import Asked, Reader
 
 
 def item(group, name, **spec):
