--- a/tests/folio/test_reference.py
+++ b/tests/crowseam/test_reference.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 from unittest import mock
 
-from folio.catalogue.structs import Configuration
-from folio.consensus.messages import Change, Voter
-from folio.consensus.records import Identity, Learned, Promised, Saved
-from folio.reference import checks, demo, difference, exhibit, wire
-from folio.reference.dispatch import run
-from folio.reference.errors import RefusedError, UnclearError
-from folio.reference.tables import rows, table
-from folio.vault.store import Store
+from crowseam.cli import configuration_diff, control_client, demo, demo_files, file_checks
+from crowseam.cli.dispatch import run
+from crowseam.cli.errors import RefusedError, UnclearError
+from crowseam.cli.tables import rows, table
+from crowseam.configuration.model import Configuration
+from crowseam.consensus.messages import Change, Voter
+from crowseam.consensus.records import Identity, Learned, Promised, Saved
+from crowseam.storage.store import Store
 
 
 class Played:
@@ -44,14 +44,14 @@
         if cell == "-":
             self.now += timeout
             self.at += 1
-            raise wire.NoAnswerError("silence")
+            raise control_client.NoAnswerError("silence")
         self.now += 0.01
         status, _, onward = cell.partition(":")
         self.moments[self.at][address] = "."
         if not onward or self.moments[self.at][f"{onward}:1"] == ".":
             self.at += 1
         location = f"http://{onward}:1{path}" if onward else ""
-        return wire.Answer(int(status), location, b'{"said": 1}')
+        return control_client.Answer(int(status), location, b'{"said": 1}')
 
     def sleep(self, span):
         self.pauses.append(span)
@@ -59,7 +59,7 @@
 
     def call(self, name, body=b"", within=30.0):
         rng = random.Random(5)
-        caller = wire.Caller(self.addresses, within, self.send, lambda: self.now, self.sleep, rng)
+        caller = control_client.Caller(self.addresses, within, self.send, lambda: self.now, self.sleep, rng)
         return caller.call(name, body)
 
 
@@ -79,7 +79,7 @@
         self.assertGreater(played.pauses[3], played.pauses[0], "the pause has to grow")
 
     def test_a_clear_refusal_ends_it(self):
-        for status in sorted(wire.FINAL):
+        for status in sorted(control_client.FINAL):
             played = Played(f"""
                 a    b
                 {status}  .
@@ -134,27 +134,27 @@
         path.write_bytes(data if isinstance(data, bytes) else json.dumps(data).encode())
         return str(path)
 
-    def folio(self, *words, answer=None):
+    def crowseam(self, *words, answer=None):
         """Return (exit code, output, error output); calls are answered by (status, data), or not at all."""
 
         def send(address, method, path, body, timeout):
             self.calls.append((address, method, path, body))
             if answer is None:
-                raise wire.NoAnswerError("silence")
+                raise control_client.NoAnswerError("silence")
             status, data = answer(address) if callable(answer) else answer
-            return wire.Answer(status, "", data if isinstance(data, bytes) else json.dumps(data).encode())
+            return control_client.Answer(status, "", data if isinstance(data, bytes) else json.dumps(data).encode())
 
         out, err = io.StringIO(), io.StringIO()
         with (contextlib.redirect_stdout(out), contextlib.redirect_stderr(err),
-              mock.patch.object(wire, "send", send), mock.patch("time.sleep", lambda _: None),
+              mock.patch.object(control_client, "send", send), mock.patch("time.sleep", lambda _: None),
               mock.patch.dict(os.environ)):
             os.environ.pop("CROWSEAM_BOOT", None)
             code = run(list(words))
         return code, out.getvalue(), err.getvalue()
 
     def test_bad_input_is_one_line_that_names_the_field(self):
-        config = self.file("c.json", demo.configuration())
-        broken = self.file("b.json", demo.configuration() | {"ver": "1"})
+        config = self.file("c.json", demo_files.configuration())
+        broken = self.file("b.json", demo_files.configuration() | {"ver": "1"})
         cases = [
             (["frobnicate"], "arguments"), ([], "arguments"), (["config", "put"], "arguments"),
             (["servers"], "--at"), (["servers", "--at", "nowhere"], "--at"),
@@ -177,27 +177,27 @@
         ]
         for words, field in cases:
             with self.subTest(words=words):
-                code, out, err = self.folio(*words)
+                code, out, err = self.crowseam(*words)
                 self.assertEqual((code, out, err.count("\n")), (2, "", 1), err)
                 self.assertTrue(err.startswith(f"{field}: "), err)
         self.assertEqual(self.calls, [])
 
     def test_put_sends_the_file_as_it_is_and_patches_as_patches(self):
-        whole = json.dumps(demo.configuration(), indent=3).encode()
+        whole = json.dumps(demo_files.configuration(), indent=3).encode()
         patch = b'{"ver":"00000002","parent":"00000001","remove":{"routes":["menu-lookup"]}}'
         for body, method in ((whole, "PUT"), (patch, "PATCH")):
-            code, out, _ = self.folio("config", "put", self.file("c", body), "--at", "h:1", answer=(200, {}))
+            code, out, _ = self.crowseam("config", "put", self.file("c", body), "--at", "h:1", answer=(200, {}))
             self.assertEqual((code, self.calls.pop()), (0, ("h:1", method, "/-/config", body)))
             self.assertIn("taken", out)
-        code, out, err = self.folio("config", "put", self.file("c", whole), "--at", "h:1",
+        code, out, err = self.crowseam("config", "put", self.file("c", whole), "--at", "h:1",
                                     answer=(412, b"version 00000009 is current"))
         self.assertEqual((code, out, err), (3, "", "refused with 412: version 00000009 is current\n"))
-        self.assertEqual(self.folio("config", "put", self.file("c", whole), "--at", "h:1",
+        self.assertEqual(self.crowseam("config", "put", self.file("c", whole), "--at", "h:1",
                                     "--within", "0.001")[0], 1)
 
     def test_the_addresses_come_from_the_settings_file(self):
-        told = self.file("node.json", demo.settings(0, "registry", self.folder))
-        with mock.patch.object(wire, "send", lambda *_: wire.Answer(200, "", b"[]")) as _, \
+        told = self.file("node.json", demo_files.settings(0, "registry", self.folder))
+        with mock.patch.object(control_client, "send", lambda *_: control_client.Answer(200, "", b"[]")) as _, \
                 mock.patch.dict(os.environ, {"CROWSEAM_BOOT": told}), \
                 contextlib.redirect_stdout(io.StringIO()) as out:
             self.assertEqual(run(["servers"]), 0)
@@ -206,11 +206,11 @@
     def test_status_tells_what_is_wrong_on_one_screen(self):
         def two_of_three(address):
             if address == "c:1":
-                raise wire.NoAnswerError("timed out")
+                raise control_client.NoAnswerError("timed out")
             return 200, {"ver": "0000000c", "in_touch": True, "voter": True} if address == "a:1" else \
                 {"ver": "0000000b", "in_touch": False, "disk_late_s": 2.0, "silent": ["i-1"], "desks": 0}
 
-        code, out, _ = self.folio("status", "--at", "a:1,b:1,c:1", answer=two_of_three)
+        code, out, _ = self.crowseam("status", "--at", "a:1,b:1,c:1", answer=two_of_three)
         self.assertEqual(code, 1)
         self.assertEqual([line for line in out.splitlines() if line.startswith("WRONG")], [
             "WRONG b:1: reaches no majority of the voters",
@@ -219,102 +219,102 @@
             "WRONG b:1: knows of no desks",
             "WRONG c:1 does not answer: timed out",
             "WRONG versions differ: 0000000b at b:1; 0000000c at a:1"])
-        code, out, _ = self.folio("status", "--at", "a:1", answer=(200, {"ver": "0000000c", "servers": 3}))
+        code, out, _ = self.crowseam("status", "--at", "a:1", answer=(200, {"ver": "0000000c", "servers": 3}))
         self.assertEqual((code, out.splitlines()[0]), (0, "nothing is wrong"))
 
     def test_the_demonstration_says_what_did_not_hold(self):
-        seen = exhibit.Seen(
-            tenants={"kitchen": exhibit.Count(100, 96, 4), "pantry": exhibit.Count(60, 20, 40)},
+        seen = demo.Seen(
+            tenants={"kitchen": demo.Count(100, 96, 4), "pantry": demo.Count(60, 20, 40)},
             served_at={"pantry": [0.3 * number for number in range(20)]}, runs=Counter(["a", "b"]),
             served_while_down=9, versions=["00000002"] * 3, new_route=[200] * 3)
-        self.assertEqual([ok for ok, _ in exhibit.verdict(seen)], [True] * 7)
-        worse = exhibit.Seen(
-            tenants={"kitchen": exhibit.Count(100, 94, 6), "pantry": exhibit.Count(60, 40, 20)},
+        self.assertEqual([ok for ok, _ in demo.verdict(seen)], [True] * 7)
+        worse = demo.Seen(
+            tenants={"kitchen": demo.Count(100, 94, 6), "pantry": demo.Count(60, 40, 20)},
             served_at={"pantry": [0.12 * number for number in range(40)]}, runs=Counter(["a", "b", "a"]),
             versions=["00000002", "00000001", "none"], new_route=[200, 404, 200], late_at_left=1)
-        self.assertEqual([ok for ok, _ in exhibit.verdict(worse)], [False] * 7)
-        self.assertEqual([exhibit.most_within(times, 5.0) for times in ([], [0, 5], [9, 0, 4, 4.9])],
+        self.assertEqual([ok for ok, _ in demo.verdict(worse)], [False] * 7)
+        self.assertEqual([demo.most_within(times, 5.0) for times in ([], [0, 5], [9, 0, 4, 4.9])],
                          [0, 1, 3])
 
     def test_the_files_of_the_demonstration_pass_the_checks(self):
-        for _, file in demo.write(self.folder / "cell"):
-            self.assertEqual(self.folio("check", "settings", str(file))[0], 0, file)
+        for _, file in demo_files.write(self.folder / "cell"):
+            self.assertEqual(self.crowseam("check", "settings", str(file))[0], 0, file)
         for name in ("configuration", "change"):
-            self.assertEqual(self.folio("check", "config", str(self.folder / "cell" / f"{name}.json"))[0], 0)
-        code, _, err = self.folio("demo", "--seconds", "3")
+            self.assertEqual(self.crowseam("check", "config", str(self.folder / "cell" / f"{name}.json"))[0], 0)
+        code, _, err = self.crowseam("demo", "--seconds", "3")
         self.assertEqual((code, err), (2, "--seconds: 3 is under 10\n"))
 
     def test_tables_and_json(self):
         data = {"servers": {"i-2": {"svc": "menu", "slots": 4, "draining": True},
                             "i-10": {"svc": "x\x1b[2J"}}}
-        code, out, _ = self.folio("servers", "--at", "h:1", answer=(200, data))
+        code, out, _ = self.crowseam("servers", "--at", "h:1", answer=(200, data))
         self.assertEqual((code, out), (0, "ID    SVC    SLOTS  DRAINING\n"
                                           "i-2   menu   4      yes\n"
                                           "i-10  x?[2J  -      -\n"))
-        out = self.folio("servers", "--at", "h:1", "--json", answer=(200, data))[1]
+        out = self.crowseam("servers", "--at", "h:1", "--json", answer=(200, data))[1]
         self.assertEqual(json.loads(out), data)
-        self.assertEqual(self.folio("servers", "--at", "h:1", answer=(200, b"<html>"))[0], 1)
+        self.assertEqual(self.crowseam("servers", "--at", "h:1", answer=(200, b"<html>"))[0], 1)
         self.assertEqual(table(rows([{"a": 0.25, "b": [1, 2]}, {"a": None}], "x")),
                          "A     B\n0.25  1,2\n-     -\n")
 
     def test_retire_says_what_and_whether_to_undo(self):
-        self.folio("retire", "--version", "v2", "--svc", "menu", "--at", "h:1", answer=(200, {"servers": 3}))
-        self.folio("retire", "--zone", "a", "--undo", "--at", "h:1", answer=(200, b""))
+        self.crowseam("retire", "--version", "v2", "--svc", "menu", "--at", "h:1", answer=(200, {"servers": 3}))
+        self.crowseam("retire", "--zone", "a", "--undo", "--at", "h:1", answer=(200, b""))
         self.assertEqual([json.loads(call[3]) for call in self.calls],
                          [{"undo": False, "ver": "v2", "svc": "menu"}, {"undo": True, "az": "a"}])
 
     def test_a_difference_can_be_sent_as_a_change(self):
-        old = demo.configuration()
+        old = demo_files.configuration()
         new = json.loads(json.dumps(old)) | {"ver": "00000009"}
         new["objs"][0]["spec"]["timeout"] = "3s"
         new["objs"][0]["spec"]["note"] = None
         del new["objs"][2]
         new["objs"].append({"type": "svcs", "meta": {"name": "orders"}, "spec": {"hc_path": "/h"}})
         files = self.file("old", old), self.file("new", new)
-        out = self.folio("config", "diff", *files)[1]
+        out = self.crowseam("config", "diff", *files)[1]
         self.assertEqual(out.splitlines(), [
             "00000001 -> 00000009", "~ routes menu-lookup", '    spec.timeout: "2500ms" -> "3s"',
             "    spec.note: (none) -> null", "- tenants kitchen", "+ svcs orders"])
-        out = self.folio("config", "diff", files[1], "--at", "h:1", "--as-patch", "0000000a",
+        out = self.crowseam("config", "diff", files[1], "--at", "h:1", "--as-patch", "0000000a",
                          answer=(200, old))[1]
         made = Configuration.from_put(json.dumps(old).encode()).patched(out.encode())
         aim = Configuration.from_put(json.dumps(new).encode())
-        self.assertEqual((made.ver, difference.differences(made, aim)), (10, []))
+        self.assertEqual((made.ver, configuration_diff.differences(made, aim)), (10, []))
 
     def test_one_request_through_many_logs(self):
         one = self.file("one.log", b"t=10.5 event=arrived id=9c41 path=/a\nt=11.5 event=arrived id=9c412\n"
                                    b"t=12.5 event=answered id=9c41 status=200\n")
         two = self.file("two.log", b'noise 9c41\nt=11.0 event=sent try="9c41" why="slow \\"peer\\""\n')
-        code, out, _ = self.folio("trace", "9c41", two, one)
+        code, out, _ = self.crowseam("trace", "9c41", two, one)
         self.assertEqual((code, [line.split("event=")[1].split()[0] for line in out.splitlines()]),
                          (0, ["arrived", "sent", "answered"]))
-        events = json.loads(self.folio("trace", "9c41", "--json", two, one)[1])
+        events = json.loads(self.crowseam("trace", "9c41", "--json", two, one)[1])
         self.assertEqual((events[1]["why"], events[1]["line"], events[1]["log"]), ('slow "peer"', 2, two))
-        self.assertEqual(self.folio("trace", "ffff", one)[0], 1)
+        self.assertEqual(self.crowseam("trace", "ffff", one)[0], 1)
 
     def test_schemas_name_every_field_that_is_read(self):
         for name in ("config", "patch", "settings", "deploy"):
-            code, out, _ = self.folio("schema", name)
+            code, out, _ = self.crowseam("schema", name)
             self.assertEqual((code, json.loads(out)["$schema"][:5]), (0, "https"))
-        self.assertIn("rate_per_s", self.folio("schema")[1])
+        self.assertIn("rate_per_s", self.crowseam("schema")[1])
 
     def test_a_snapshot_restores_a_system_whose_voters_are_gone(self):
-        body = json.dumps(demo.configuration()).encode()
+        body = json.dumps(demo_files.configuration()).encode()
         store = Store(self.folder / "old.db")
         store.open()
         store.write([Identity("genesis/a"), Saved(0, b"", [Voter("genesis/a", "1.1.1.1:1")], 1),
                      Learned(1, Change("t", 1, 0, True, body, "d")), Promised(2, (3, "b"))])
         copy = str(self.folder / "copy")
-        code, _, err = self.folio("snapshot", str(store.path), copy)
+        code, _, err = self.crowseam("snapshot", str(store.path), copy)
         self.assertEqual(code, 1)
         self.assertIn("in use", err)
         store.close()
-        code, out, err = self.folio("snapshot", str(store.path), copy)
+        code, out, err = self.crowseam("snapshot", str(store.path), copy)
         self.assertEqual((code, out.split(", digest")[0]), (0, "slot 1, version 00000001"), err)
         kept = []
         for place, me in enumerate(("2.2.2.2:1", "3.3.3.3:1")):
             path = self.folder / f"new{place}.db"
-            code, *_ = self.folio("restore", copy, str(path), "--voters=3.3.3.3:1,2.2.2.2:1", f"--me={me}")
+            code, *_ = self.crowseam("restore", copy, str(path), "--voters=3.3.3.3:1,2.2.2.2:1", f"--me={me}")
             self.assertEqual(code, 0)
             new = Store(path)
             new.open()
@@ -324,47 +324,47 @@
         self.assertEqual([voter.id for voter in kept[0].chosen[2].voters], [each.id for each in kept])
         self.assertEqual(kept[0].votes, {})
         damaged = Path(copy).read_bytes()[:-1] + b"?"
-        code, _, err = self.folio("restore", self.file("bad", damaged), str(self.folder / "no.db"))
+        code, _, err = self.crowseam("restore", self.file("bad", damaged), str(self.folder / "no.db"))
         self.assertEqual((code, (self.folder / "no.db").exists()), (1, False), err)
 
 
 class Checks(unittest.TestCase):
 
     def test_settings(self):
-        good = demo.settings(1, "desk", Path("/x"))
-        self.assertEqual(checks.check_settings(json.dumps(good | {"new": 1}).encode()), [])
+        good = demo_files.settings(1, "desk", Path("/x"))
+        self.assertEqual(file_checks.check_settings(json.dumps(good | {"new": 1}).encode()), [])
         bad = json.loads(json.dumps(good))
         del bad["hb"], bad["bind"]["readyz"], bad["bounds"]["ack"], bad["datadir"]
         bad |= {"az": "moon", "seeds": ["10.0.0.1"], "port_range": [9, 3], "ip": "1.2.3", "voting": True}
         bad["bounds"] |= {"drain": "soon", "retry_ratio": -0.1}
         bad["limits"]["nofile"] = "many"
-        self.assertEqual(sorted(field for field, _ in checks.check_settings(json.dumps(bad).encode())), [
+        self.assertEqual(sorted(field for field, _ in file_checks.check_settings(json.dumps(bad).encode())), [
             "az", "bind.readyz", "bounds.ack", "bounds.drain", "bounds.retry_ratio", "datadir", "hb", "ip",
             "limits.nofile", "port_range", "seeds[0]"])
         for body in (b"", b"[]", b"\xff"):
-            self.assertTrue(checks.check_settings(body))
+            self.assertTrue(file_checks.check_settings(body))
 
     def test_deploy(self):
         good = """
             build = "make"
             [roles.desk]
-            run = "python3 -m folio desk"
+            run = "python3 -m crowseam desk"
             on = "edge"
             share = 1.0
             serves = ["edge"]
             [roles.registry]
-            run = "python3 -m folio registry"
+            run = "python3 -m crowseam registry"
             on = "edge"
             count = 2
             serves = ["ctl"]
         """
-        self.assertEqual(checks.check_deploy(good.encode()), [])
+        self.assertEqual(file_checks.check_deploy(good.encode()), [])
         cases = [("share = 1.0", "share = 1.5", "roles.desk.share"), ("share = 1.0", "", "roles.desk.share"),
                  ("count = 2", "count = 0", "roles.registry.count"),
                  ("count = 2", "count = 2\nshare = 0.5", "roles.registry.count"),
-                 ('run = "python3 -m folio desk"', 'run = "env A=1 x"', "roles.desk.run"),
-                 ('run = "python3 -m folio desk"', 'run = "x | y"', "roles.desk.run"),
-                 ('run = "python3 -m folio desk"', "", "roles.desk.run"),
+                 ('run = "python3 -m crowseam desk"', 'run = "env A=1 x"', "roles.desk.run"),
+                 ('run = "python3 -m crowseam desk"', 'run = "x | y"', "roles.desk.run"),
+                 ('run = "python3 -m crowseam desk"', "", "roles.desk.run"),
                  ('["ctl"]', '["edge"]', "roles.registry.serves[0]"), ('["ctl"]', "[]", "roles"),
                  ('["ctl"]', '["ctl", "dns"]', "roles.registry.serves[1]"),
                  ("count = 2", 'count = "2"', "roles.registry.count"), ('build = "make"', "", "build"),
@@ -372,7 +372,7 @@
                  ("[roles.desk]", "[roles", "")]
         for old, new, field in cases:
             with self.subTest(new=new):
-                found = checks.check_deploy(good.replace(old, new, 1).encode())
+                found = file_checks.check_deploy(good.replace(old, new, 1).encode())
                 self.assertIn(field, [each for each, _ in found])
 
 
--- a/tests/folio/test_registry.py
+++ b/tests/crowseam/test_registry.py
@@ -12,15 +12,15 @@
 import unittest
 from random import Random
 
-from folio import boot as boots
-from folio.catalogue.structs import Configuration
-from folio.circulation.follower import Follower
-from folio.stacks import wire
-from folio.stacks.cell import MemoryRegistry
-from folio.stacks.disk import Platter
-from folio.stacks.guise import worn
-from folio.stacks.loop import World
-from folio.stacks.network import Network, Trouble
+from crowseam import settings as boots
+from crowseam.configuration.model import Configuration
+from crowseam.gateway.controller_session import Follower
+from crowseam.simulator.actors import http_client
+from crowseam.simulator.simulation import MemoryRegistry
+from crowseam.simulator.world.disk import Platter
+from crowseam.simulator.world.loop import World
+from crowseam.simulator.world.network import Network, Trouble
+from crowseam.simulator.world.patches import worn
 
 IPS = {"r1": "10.1.0.5", "r2": "10.2.0.5", "r3": "10.3.0.5", "desk": "10.1.0.9"}
 REGISTRIES = ("r1", "r2", "r3")
@@ -105,7 +105,7 @@
         def answered(answer):
             if self.asked[name] == number:
                 self.answers[name] = answer
-        wire.fetch(self.caller, CTL[name], wire.request(method, CTL[name], path, [], body), 2.0, answered)
+        http_client.fetch(self.caller, CTL[name], http_client.request(method, CTL[name], path, [], body), 2.0, answered)
 
 
 class Case(unittest.TestCase):
--- a/tests/folio/test_retiring.py
+++ b/tests/crowseam/test_retiring.py
@@ -19,21 +19,21 @@
 
 import msgspec
 
-from folio.accession import quorum, retiring
-from folio.accession.register import Beat, Record, Register
-from folio.circulation.desk import Desk
-from folio.circulation.follower import Follower
-from folio.reference import leaving, wire
-from folio.reference.dispatch import run
-from folio.reference.errors import RefusedError, ToolboxError, UnclearError
-from folio.stacks import cell
-from folio.stacks import wire as stack_wire
-from folio.stacks.guise import worn
-from folio.stacks.network import Trouble
-from tests.folio import test_registry
-from tests.folio.test_clerk import ROUTES
-from tests.folio.test_registry import COST, REGISTRIES
-from tests.folio.test_stacks import small
+from crowseam.cli import control_client, retirement_wait
+from crowseam.cli.dispatch import run
+from crowseam.cli.errors import RefusedError, ToolboxError, UnclearError
+from crowseam.discovery import quorum, retirement
+from crowseam.discovery.service_registry import Beat, Record, Register
+from crowseam.gateway.controller_session import Follower
+from crowseam.gateway.gateway import Desk
+from crowseam.simulator import simulation
+from crowseam.simulator.actors import http_client as stack_wire
+from crowseam.simulator.world.network import Trouble
+from crowseam.simulator.world.patches import worn
+from tests.crowseam import test_registry
+from tests.crowseam.test_clerk import ROUTES
+from tests.crowseam.test_registry import COST, REGISTRIES
+from tests.crowseam.test_stacks import small
 
 IPS = test_registry.IPS | {"a": "10.1.0.21", "b": "10.3.0.22"}
 
@@ -341,7 +341,7 @@
 
     def test_what_an_ingress_knows_is_not_undone_by_one_that_is_behind(self):
         # id phase retired quiet(ms) -> what stands then
-        memory = retiring.Memory()
+        memory = retirement.Memory()
         for time, told, whole, stands in (
                 (0.0, [("a", "up", 0, 100), ("b", "up", 0, 100)], True, [("up", 0), ("up", 0)]),
                 (1.0, [("a", "up", 1, 100)], False, [("up", 1)]),
@@ -369,10 +369,10 @@
             register.beat(ident, Beat(svc, f"10.0.0.{ord(ident)}:80", "z", "v", slots, "up", 1, 0), 0.0)
         self.assertEqual(register.room(["a"], True), {"s": (8, 12, 12)})
         self.assertEqual(register.room(["a", "d"], True, ["b"]), {"s": (4, 8, 12), "t": (0, 2, 2)})
-        self.assertEqual(retiring.tight(register.room(["a", "d"], True, ["b"])), ["t"])
-        self.assertEqual(retiring.tight(register.room(["a"], True, ["b", "c"])), ["s"])
+        self.assertEqual(retirement.tight(register.room(["a", "d"], True, ["b"])), ["t"])
+        self.assertEqual(retirement.tight(register.room(["a"], True, ["b", "c"])), ["s"])
         # Who is silent anyway takes nothing away.
-        self.assertEqual(retiring.tight(register.room(["a"], True, ["a", "b", "c"])), [])
+        self.assertEqual(retirement.tight(register.room(["a"], True, ["a", "b", "c"])), [])
         register.retire(["a"], True, 1.0)
         register.beat("d", Beat("t", "10.0.0.100:80", "z", "v", 2, "draining", 2, 0), 3.0)
         self.assertEqual([(r.id, age) for r, age in register.leaving(5.0)], [("a", 4.0), ("d", 2.0)])
@@ -389,7 +389,7 @@
         self.assertEqual(pending.confirmed("r1", "a", "up", 1), ["t"])
         pending.begin("v", record, ["r1", "r2", "r3"], 1.0)
         self.assertEqual(pending.confirmed("r1", "a", "up", 1), [])
-        asked = retiring.Asked(["a", "b"], True)
+        asked = retirement.Asked(["a", "b"], True)
         self.assertTrue(asked.held("a", Record("a", retired=2)))
         self.assertFalse(asked.held("a", Record("a", retired=3)))
         self.assertFalse(asked.held("b", Record("b", phase="gone")))
@@ -431,7 +431,7 @@
     def retire(self, seed, command):
         """Play a day on which `command` is given; the servers are switched off as soon as that is safe."""
         day = small(8.0)
-        told = cell.Cell(day, seed)
+        told = simulation.Cell(day, seed)
         begun, said, ended, views = told.begins + 1.0, [], [], []
 
         def call(at, method, path, body, done):
@@ -489,7 +489,7 @@
         def sleep(span):
             now[0] += span
 
-        wait = leaving.Wait(look, lambda: now[0], sleep, said.append)
+        wait = retirement_wait.Wait(look, lambda: now[0], sleep, said.append)
         try:
             return [row["id"] for row in wait.until_safe(idents, most)], said
         except ToolboxError as error:
@@ -514,34 +514,34 @@
         error, _ = self.until(["i-1"], [{"i-1": {"under_way": {"a": 1}}}] * 9, 2.0)
         self.assertIsInstance(error, UnclearError)
 
-    def folio(self, *words, answers):
+    def crowseam(self, *words, answers):
         out, err, calls = io.StringIO(), io.StringIO(), []
 
         def send(address, method, path, body, timeout):
             calls.append((method, path, json.loads(body or b"null")))
-            return wire.Answer(*answers.pop(0))
+            return control_client.Answer(*answers.pop(0))
 
-        with mock.patch.object(wire, "send", send), contextlib.redirect_stdout(out), \
+        with mock.patch.object(control_client, "send", send), contextlib.redirect_stdout(out), \
                 contextlib.redirect_stderr(err):
             return run([*words, "--at", "h:1"]), out.getvalue(), err.getvalue(), calls
 
     def test_commands_and_exit_codes(self):
         safe = json.dumps({"in_touch": True, "servers": [{"id": "i-1", "state": "retired", "safe": True}]}
                           ).encode()
-        code, out, err, calls = self.folio("retire", "--server", "i-1", "--wait", "--force", answers=[
+        code, out, err, calls = self.crowseam("retire", "--server", "i-1", "--wait", "--force", answers=[
             (200, "", b'{"found":["i-1"],"changed":["i-1"],"room":{"s":0.5}}'), (200, "", safe)])
         self.assertEqual((code, err, calls[0][2]), (0, "", {"undo": False, "id": "i-1", "force": True}))
         self.assertIn("safe to switch off: i-1", out)
-        code, out, err, calls = self.folio("retire", "--zone", "z", answers=[
+        code, out, err, calls = self.crowseam("retire", "--zone", "z", answers=[
             (409, "", b'{"error":"s would keep 0% of its slots"}')])
         self.assertEqual((code, out, "s would keep 0%" in err), (3, "", True))
-        code, out, _, calls = self.folio("retiring", "i-1", answers=[(200, "", safe)])
+        code, out, _, calls = self.crowseam("retiring", "i-1", answers=[(200, "", safe)])
         self.assertEqual((code, calls[0][1], out.splitlines()[1].split()), (
             0, "/-/retiring/i-1", ["i-1", "retired", "yes"]))
-        code, out, _, _ = self.folio("retiring", "--wait", "--json", answers=[(200, "", safe)])
+        code, out, _, _ = self.crowseam("retiring", "--wait", "--json", answers=[(200, "", safe)])
         self.assertEqual((code, json.loads(out)["servers"][0]["id"]), (0, "i-1"))
-        self.assertEqual(self.folio("retire", "--zone", "z", "--undo", "--wait", answers=[])[0], 2)
-        self.assertEqual(self.folio("retiring", "--wait", "--most", "0", answers=[])[0], 2)
+        self.assertEqual(self.crowseam("retire", "--zone", "z", "--undo", "--wait", answers=[])[0], 2)
+        self.assertEqual(self.crowseam("retiring", "--wait", "--most", "0", answers=[])[0], 2)
 
 
 if __name__ == "__main__":
--- a/tests/folio/test_scale.py
+++ b/tests/crowseam/test_scale.py
@@ -4,9 +4,9 @@
 import io
 import unittest
 
-from folio.reference import curves
-from folio.reference.dispatch import run
-from folio.reference.scale import costs
+from crowseam.capacity import curves
+from crowseam.capacity.message_costs import costs
+from crowseam.cli.dispatch import run
 
 
 class ScaleTest(unittest.TestCase):
--- a/tests/folio/test_sessions.py
+++ b/tests/crowseam/test_sessions.py
@@ -11,8 +11,8 @@
 
 import msgspec
 
-from folio.membership.detector import Detector
-from folio.membership.sessions import Roll, SessionsTold
+from crowseam.membership.failure_detector import Detector
+from crowseam.membership.sessions import Roll, SessionsTold
 
 
 class Timeline:
--- a/tests/folio/test_shelves.py
+++ b/tests/crowseam/test_shelves.py
@@ -4,13 +4,13 @@
 from dataclasses import dataclass
 from random import Random
 
+from crowseam.configuration.routing import Route
+from crowseam.discovery.service_registry import Record
+from crowseam.gateway.load_balancer import Clerk, Send
+from crowseam.gateway.reserved_servers import FIRST, LEAST, MOST, Shelves
+from crowseam.quotas.admission import Admission
+from crowseam.quotas.retry_budget import RetryBudget
 from fennelpoint.interface import Status
-from folio.accession.register import Record
-from folio.catalogue.routing import Route
-from folio.circulation.clerk import Clerk, Send
-from folio.circulation.shelves import FIRST, LEAST, MOST, Shelves
-from folio.lending.admission import Admission
-from folio.lending.budget import RetryBudget
 
 
 @dataclass
--- a/tests/folio/test_slices.py
+++ b/tests/crowseam/test_slices.py
@@ -4,7 +4,7 @@
 import unittest
 from random import Random
 
-from folio.lending.slices import (
+from crowseam.quotas.leases import (
     MANY,
     PARTS,
     WIDE_MOST,
--- a/tests/folio/test_stacks.py
+++ b/tests/crowseam/test_stacks.py
@@ -17,20 +17,21 @@
 
 import msgspec
 
-from folio.circulation.clerk import Clerk
-from folio.circulation.desk import Desk
-from folio.consensus.messages import Ballot, Change, Voter
-from folio.consensus.records import Identity, Learned, Promised, Saved, Voted
-from folio.lending.admission import Admission, Verdict
-from folio.lending.budget import RetryBudget
-from folio.reference import dispatch, experiment, planner
-from folio.reference.errors import BadInputError
-from folio.stacks import cell, replay
-from folio.stacks.day import DayError, build, changed, parse
-from folio.stacks.disk import MemoryDisk, MemoryStore, Platter
-from folio.stacks.loop import World
-from folio.stacks.network import Network, Trouble
-from folio.vault.store import Member, Note, Store
+from crowseam.cli import dispatch, experiment, planner
+from crowseam.cli.errors import BadInputError
+from crowseam.consensus.messages import Ballot, Change, Voter
+from crowseam.consensus.records import Identity, Learned, Promised, Saved, Voted
+from crowseam.gateway.gateway import Desk
+from crowseam.gateway.load_balancer import Clerk
+from crowseam.quotas.admission import Admission, Verdict
+from crowseam.quotas.retry_budget import RetryBudget
+from crowseam.simulator import simulation
+from crowseam.simulator.scenario import replay
+from crowseam.simulator.scenario.day import DayError, build, changed, parse
+from crowseam.simulator.world.disk import MemoryDisk, MemoryStore, Platter
+from crowseam.simulator.world.loop import World
+from crowseam.simulator.world.network import Network, Trouble
+from crowseam.storage.store import Member, Note, Store
 
 
 class End(asyncio.Protocol):
@@ -289,7 +290,7 @@
             platter = Platter(random.Random(seed))
             memory = MemoryStore(platter)
             with tempfile.TemporaryDirectory() as folder:
-                store = Store(f"{folder}/folio.db")
+                store = Store(f"{folder}/crowseam.db")
                 store.open()
                 for records in random_records(random.Random(seed)):
                     store.write(records)
@@ -333,12 +334,12 @@
 
 class TestDays(unittest.TestCase):
     def test_a_quiet_day_is_served_and_the_same_each_time(self):
-        one, two = cell.play(small(), 3)[0], cell.play(small(), 3)[0]
+        one, two = simulation.play(small(), 3)[0], simulation.play(small(), 3)[0]
         self.assertEqual((one.rules, one.failures, one.share, one.unacked), ({}, [], 1.0, 0))
         self.assertGreater(one.asks, 120)
         one.took = two.took = 0.0
         self.assertEqual(one, two)
-        self.assertNotEqual(cell.play(small(), 4)[0].asks, one.asks)
+        self.assertNotEqual(simulation.play(small(), 4)[0].asks, one.asks)
 
     def test_a_day_of_faults_breaks_no_rule(self):
         faults = [{"kind": "kill", "at": 0.5, "target": "n-1", "role": "registry", "span": 1.0},
@@ -348,7 +349,7 @@
                   {"kind": "retire", "at": 4.0, "target": "maps", "count": 1},
                   {"kind": "load", "at": 4.0, "target": "south", "amount": 8.0, "span": 3.0},
                   {"kind": "wipe", "at": 8.0, "target": "s-1", "span": 1.0}]
-        told = cell.play(small(10.0, faults=faults), 1)[0]
+        told = simulation.play(small(10.0, faults=faults), 1)[0]
         self.assertEqual((told.rules, told.failures), ({}, []))
         self.assertEqual((len(told.acks), told.events["change_refused"]), (3, 1))
         self.assertGreater(told.share, 0.6)
@@ -356,13 +357,13 @@
     def test_without_a_majority_nothing_is_acknowledged_and_with_it_again_all_is(self):
         faults = [{"kind": "cut", "at": 0.0, "target": "*", "to": "*", "span": 3.0},
                   {"kind": "config_shift", "at": 0.5, "target": "look-up", "to": "loans"}]
-        told = cell.play(small(6.0, faults=faults), 2)[0]
+        told = simulation.play(small(6.0, faults=faults), 2)[0]
         self.assertEqual((told.rules, len(told.acks)), ({}, 2))
         self.assertGreater(told.acks[1], 2.4)
 
     def test_a_lost_zone_costs_little_once_its_clients_go_elsewhere(self):
         lost = [{"kind": "lose_zone", "at": 2.0, "target": "w", "span": 30.0}]
-        told = cell.play(small(8.0, faults=lost), 1)[0]
+        told = simulation.play(small(8.0, faults=lost), 1)[0]
         self.assertEqual(told.rules, {})
         self.assertGreater(told.spans[-1], 0.9)
 
@@ -375,7 +376,7 @@
             patch = mock.patch.object(target, name, value)
             patch.start()
             self.addCleanup(patch.stop)
-        return cell.play(day, 1)[0].rules
+        return simulation.play(day, 1)[0].rules
 
     def test_twice_and_refused(self):
         lost = [{"kind": "lost_answers", "at": 0.0, "target": "loans", "amount": 0.4, "span": 6.0}]
@@ -404,7 +405,7 @@
         faults = [{"kind": "retire", "at": 0.5, "target": "maps", "count": 2},
                   {"kind": "config_shift", "at": 1.0, "target": "borrow", "to": "maps"}]
         rules = self.broken(small(6.0, faults=faults), (Desk, "follow", _first_servers),
-                            (cell.DeskDaemon, "_on_table", _first_table))
+                            (simulation.DeskDaemon, "_on_table", _first_table))
         self.assertTrue(rules.get("DRAIN") and rules.get("CONFIG"), rules)
 
 
@@ -432,10 +433,10 @@
             changed(day, {"deployment.routes.lend.rate": 3.0})
 
     def test_what_was_asked_can_be_played_from_the_logs(self):
-        told, lines = cell.play(small(6.0), 1, lines=True)
+        told, lines = simulation.play(small(6.0), 1, lines=True)
         asked = replay.trace([lines], 1)
         self.assertEqual(len(asked), told.asks)
-        again = cell.play(changed(small(6.0), {"trace": [list(one) for one in asked],
+        again = simulation.play(changed(small(6.0), {"trace": [list(one) for one in asked],
                                                "length": asked[-1][0] + 0.1}), 2)[0]
         self.assertEqual((again.asks, again.share), (told.asks, 1.0))
         self.assertEqual({name: kind.asks for name, kind in again.kinds.items()},
@@ -465,7 +466,7 @@
             name = "as it is"
             [[variants]]
             name = "slow"
-            set = {"folio.circulation.clerk:HEDGE" = 9}
+            set = {"crowseam.gateway.load_balancer:HEDGE" = 9}
             [[variants.faults]]
             kind = "server_slow"
             at = 0.0
@@ -486,13 +487,13 @@
         self.assertIn("&lt;tries&gt;", page)
 
     def test_constants_are_set_where_they_are_used_and_put_back(self):
-        from folio.circulation import daemon
-        from folio.lending import admission
+        from crowseam.gateway import daemon
+        from crowseam.quotas import admission
         before = admission.PERIOD
-        with experiment.settings({"folio.lending.admission:PERIOD": "0.7"}):
+        with experiment.settings({"crowseam.quotas.admission:PERIOD": "0.7"}):
             self.assertEqual((admission.PERIOD, daemon.PERIOD), (0.7, 0.7))
         self.assertEqual((admission.PERIOD, daemon.PERIOD), (before, before))
-        for wrong in ("os:sep", "folio.circulation.clerk:NONE", "folio.circulation.clerk:Clerk"):
+        for wrong in ("os:sep", "crowseam.gateway.load_balancer:NONE", "crowseam.gateway.load_balancer:Clerk"):
             with self.assertRaises(BadInputError), experiment.settings({wrong: 1}):
                 pass
 
--- a/tests/folio/test_subset.py
+++ b/tests/crowseam/test_subset.py
@@ -8,10 +8,10 @@
 import unittest
 from collections import Counter
 
-from folio.accession.register import Record
-from folio.catalogue.routing import Route
-from folio.circulation.clerk import Clerk, Try
-from folio.circulation.subset import ENOUGH, MANY, Subsets
+from crowseam.configuration.routing import Route
+from crowseam.discovery.service_registry import Record
+from crowseam.gateway.load_balancer import Clerk, Try
+from crowseam.gateway.subsetting import ENOUGH, MANY, Subsets
 
 VERBS = {"join": {}, "gone": {"phase": "gone"}, "drain": {"phase": "draining"}, "move": {"az": "d"}}
 ROUTE = Route("r", b"desk.example", b"/", True, 5.0, 0.5, 0, (("s", 1.0),), 2, False, (1.0,))
--- a/tests/folio/test_transport.py
+++ b/tests/crowseam/test_transport.py
@@ -9,13 +9,13 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from folio import boot, calls
-from folio.accession.register import Record
-from folio.registry.counter import Counter
-from folio.transport import links
-from folio.transport import messages as m
-from folio.transport.http import IDLE, MOST_WAITING, Caller
-from folio.transport.links import Link, frame
+from crowseam import control_calls, settings
+from crowseam.controller.api import Counter
+from crowseam.discovery.service_registry import Record
+from crowseam.transport import links
+from crowseam.transport import messages as m
+from crowseam.transport.http import IDLE, MOST_WAITING, Caller
+from crowseam.transport.links import Link, frame
 
 MESSAGES = [m.Hello("10.0.0.1:80", "life"), m.Ping(1.5, 0.0, 7, ["10.0.0.2:80"]), m.Bye(), m.Rows([]),
             m.Rows([Record("i-1", "s", "10.0.0.3:80", "z", "v", 4)]), m.Heard([("i-1", 3)]),
@@ -265,9 +265,9 @@
 
 class Table(unittest.TestCase):
     def test_each_call_has_its_handler(self):
-        for method, path, name in calls.TABLE:
+        for method, path, name in control_calls.TABLE:
             ident = "i-1" if path.endswith("/") else ""
-            self.assertEqual(calls.find(method, path + ident), (name, ident))
+            self.assertEqual(control_calls.find(method, path + ident), (name, ident))
             self.assertTrue(callable(getattr(Counter, f"call_{name}")), name)
 
     def test_what_is_none(self):
@@ -275,7 +275,7 @@
                                      ("GET", "", 404), ("PUT", "/-/config/", 404), ("", "/", 404),
                                      ("POST", "/-/config", 405), ("GET", "/-/backends/i", 405),
                                      ("get", "/-/config", 405)):
-            self.assertEqual(calls.find(method, path), status, (method, path))
+            self.assertEqual(control_calls.find(method, path), status, (method, path))
 
 
 class Settings(unittest.TestCase):
@@ -287,13 +287,13 @@
                               ({"port_range": [5, 4]}, "port_range"), ({"hb": "1"}, "hb"), ({"ip": 4}, "ip"),
                               ({"bounds": {"drain": "2m"}}, "bounds.drain"),
                               ({"limits": {"nofile": "x"}}, "nofile")):
-            with self.assertRaises(boot.BootError) as raised:
-                boot.parse(json.dumps({**self.GOOD, **change}).encode())
+            with self.assertRaises(settings.BootError) as raised:
+                settings.parse(json.dumps({**self.GOOD, **change}).encode())
             self.assertIn(field, str(raised.exception))
 
     def test_what_is_null_or_not_known_is_left_out(self):
         more = {"role": None, "more": {"x": 1}, "bounds": {"drain": None}}
-        told = boot.parse(json.dumps({**self.GOOD, **more}).encode())
+        told = settings.parse(json.dumps({**self.GOOD, **more}).encode())
         self.assertEqual((told.role, told.bounds.drain, told.limits.nofile), ("", "2500ms", 900))
 
     def test_any_bytes_are_settings_or_an_error_of_ours(self):
@@ -309,8 +309,8 @@
             cases.append(bytes(data))
         for data in cases:
             try:
-                self.assertIsInstance(boot.parse(data), boot.Boot)
-            except boot.BootError as error:
+                self.assertIsInstance(settings.parse(data), settings.Boot)
+            except settings.BootError as error:
                 self.assertTrue(str(error))
 
 
--- a/tests/folio/test_vault.py
+++ b/tests/crowseam/test_vault.py
@@ -9,12 +9,12 @@
 from pathlib import Path
 from random import Random
 
-from folio.consensus.check import Disk
-from folio.consensus.messages import Ballot, Change, Nothing, Voter, Voters
-from folio.consensus.records import Identity, Learned, Promised, Record, Saved, Voted
-from folio.consensus.voters import settle
-from folio.vault.errors import StoreError
-from folio.vault.store import Member, Note, Store
+from crowseam.consensus.messages import Ballot, Change, Nothing, Voter, Voters
+from crowseam.consensus.records import Identity, Learned, Promised, Record, Saved, Voted
+from crowseam.consensus.voters import settle
+from crowseam.model_checks.agreement.check import Disk
+from crowseam.storage.errors import StoreError
+from crowseam.storage.store import Member, Note, Store
 
 FOUNDERS = [Voter(f"genesis/{addr}", addr) for addr in "abc"]
 
