--- a/crowseam/__main__.py
+++ b/crowseam/__main__.py
@@ -1,4 +1,4 @@
-"""The one program: the roles `desk` and `registry`, and the toolbox."""
+"""The one program: the roles `gateway` and `controller`, and the command line."""
 
 import sys
 from pathlib import Path
@@ -12,10 +12,10 @@
 
 def main(argv: list[str]) -> int:
     """Run the role or the command that the arguments name; return the exit code."""
-    # The roles load neither the toolbox nor its libraries, since starting takes its time on small machines.
-    if argv == ["desk"]:
+    # The roles load neither the command line nor its libraries, since starting takes its time on small machines.
+    if argv == ["gateway"]:
         from crowseam.gateway.daemon import main as role
-    elif argv == ["registry"]:
+    elif argv == ["controller"]:
         from crowseam.controller.daemon import main as role
     else:
         from crowseam.cli.dispatch import run
--- a/crowseam/capacity/hollow_peers.py
+++ b/crowseam/capacity/hollow_peers.py
@@ -1,7 +1,7 @@
-"""Hollow desks and servers, hundreds to a process: the real sessions and calls, with nothing behind them.
+"""Hollow gateways and servers, hundreds to a process: the real sessions and calls, with nothing behind them.
 
-A hollow desk opens its session, reports what it was asked for, draws, takes in what it is told and follows
-the log by slot, but reads no configuration and carries no request.  A hollow server beats and leaves.
+A hollow gateway opens its session, reports what it was asked for, draws, takes in what it is told and follows
+the log by slot, but reads no configuration and carries no request.  A hollow server heartbeats and leaves.
 `python -m crowseam.capacity.hollow_peers` is one such process: a job on the first line of its input, then orders,
 one JSON object a line, each answered with one line.  It ends with its input.  Times: seconds, steady.
 """
@@ -26,21 +26,21 @@
 from crowseam.quotas.admission import FADE, FEWEST_ASKS
 from crowseam.quotas.leases import Holdings
 from crowseam.quotas.shards import KEYS, duty_of
-from crowseam.settings import BootError, address
+from crowseam.settings import SettingsError, address
 from crowseam.transport import links
 from crowseam.transport import messages as m
 
 LOOK = 0.1          # s between looks at a session
 FORGET = 60.0       # s after which a tenant that asks no more is forgotten
-LATE_MOST = 0.3     # s by which a look may come late and still judge a registry
-PIPES = 16          # connections of the servers to each registry
+LATE_MOST = 0.3     # s by which a look may come late and still judge a controller
+PIPES = 16          # connections of the servers to each controller
 OUT_MOST = 40       # calls that wait on one of them
 ANSWER_IN = 3.0     # s after which a server gives up on an answer
 PORT = 8080
 
 
 class Job(msgspec.Struct):
-    """What one process is to do: `count` hollow desks from number `first`, or all servers (no desks)."""
+    """What one process is to do: `count` hollow gateways from number `first`, or all servers (no gateways)."""
 
     load: Load
     seeds: list[str]
@@ -113,7 +113,7 @@
 
 
 class Asked:
-    """Asks and buckets of the tenants that ask at one desk; a tenant costs nothing until it does."""
+    """Asks and buckets of the tenants that ask at one gateway; a tenant costs nothing until it does."""
 
     def __init__(self, rates: dict[str, float]) -> None:
         self._rates = rates
@@ -146,7 +146,7 @@
         return now < self._buckets[tenant][2]
 
     def report(self, now: float) -> dict[str, float]:
-        """Asks a second by tenant, as a desk tells them."""
+        """Asks a second by tenant, as a gateway tells them."""
         told = {tenant: round(rate, 3) for tenant, (asks, at) in self._asks.items()
                 if (rate := FADE * asks * exp(-FADE * (now - at))) >= FEWEST_ASKS}
         if len(told) < len(self._asks):
@@ -158,10 +158,10 @@
         return told
 
 
-class HollowDesk:
-    """One desk's session, as `crowseam.gateway.controller_session` keeps it."""
+class HollowGateway:
+    """One gateway's session, as `crowseam.gateway.controller_session` keeps it."""
 
-    def __init__(self, crowd: Desks, number: int) -> None:
+    def __init__(self, crowd: Gateways, number: int) -> None:
         self.crowd, self.number = crowd, number
         self.rng = Random(crowd.load.seed * 7919 + number)
         self.name = f"hollow-{number:04d}"
@@ -174,7 +174,7 @@
         """A fresh life: nothing is known."""
         self.life = clock.time_ns() // 1000
         self.hop = 0
-        self.slot, self.register, self.place = -1, "", 0
+        self.slot, self.registry, self.place = -1, "", 0
         self.told_slot = -1
         self.known = dict.fromkeys(self.crowd.seeds, 0.0)
         self.holdings = {key: Holdings(self.life) for key in KEYS}
@@ -202,7 +202,7 @@
     def look(self, now: float, late: float) -> None:
         """Keep the session standing, and report what is due; `late`: s by which this look comes late."""
         link = self.link
-        # What this process was too slow to read is no silence of the registry.
+        # What this process was too slow to read is no silence of the controller.
         if link is not None and late < LATE_MOST:
             if now - link.touched > controller_session.SILENT:
                 self._leave(now, 1.0, "left silent")
@@ -239,7 +239,7 @@
             link.touched = clock.monotonic()
             self.hop += 1
             link.send(m.Open(self.name, self.life, self.hop, f"zone-{self.number % self.crowd.load.zones}",
-                             self.slot, self.register, self.place, True))
+                             self.slot, self.registry, self.place, True))
             self._send_report(clock.monotonic())
         except (OSError, TimeoutError):
             self.crowd.events["dial failed"] += 1
@@ -273,7 +273,7 @@
             elif self.alone_since is None:
                 self.alone_since = now
         elif kind is m.Servers:
-            self.register, self.place, self.have_servers = message.register, message.place, True
+            self.registry, self.place, self.have_servers = message.registry, message.place, True
             self._whole(now)
         elif kind is m.State or kind is m.Step:
             if kind is m.Step and message.slot > self.slot + 1:
@@ -295,12 +295,12 @@
         elif kind is SnapshotPart:
             self._part(link, message, now)
         elif kind is m.Count:
-            link.send(m.Leaving(message.number, self.register, self.place, {}))
+            link.send(m.Leaving(message.number, self.registry, self.place, {}))
         elif kind is m.Welcome:
-            for addr in message.registries:
+            for addr in message.controllers:
                 try:
                     address(addr)
-                except BootError:
+                except SettingsError:
                     continue
                 self.known.setdefault(addr, 0.0)
 
@@ -314,7 +314,7 @@
         self.link.send(*self.fetch.requests())
 
     def _part(self, link: links.Link, message: SnapshotPart, now: float) -> None:
-        """A part of a configuration; it is fetched as a real desk does, and then not read."""
+        """A part of a configuration; it is fetched as a real gateway does, and then not read."""
         fetch = self.fetch
         if fetch is None:
             return
@@ -364,7 +364,7 @@
         """The requests since the last look."""
         crowd, rng = self.crowd, self.rng
         span, self.asked_at = min(1.0, now - self.asked_at), now
-        expected = crowd.load.requests_a_desk() * span
+        expected = crowd.load.requests_a_gateway() * span
         count = int(expected) + (rng.random() < expected % 1.0)
         may = crowd.load.draws_most * span
         may = int(may) + (rng.random() < may % 1.0)
@@ -381,8 +381,8 @@
                 crowd.refused += 1
 
 
-class Desks:
-    """All hollow desks of one process."""
+class Gateways:
+    """All hollow gateways of one process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, job: Job) -> None:
         self.loop, self.load, self.seeds, self.peer_port = loop, job.load, job.seeds, job.peer_port
@@ -390,7 +390,7 @@
         self.duties = {tenant: duty_of(tenant) for tenant in self.clients.rates}
         self.traffic = Traffic()
         self.events: Counter[str] = Counter()
-        self.slots: dict[int, list[float]] = {}     # when each desk was told of a slot
+        self.slots: dict[int, list[float]] = {}     # when each gateway was told of a slot
         self.caught_up: list[float] = []
         self.leased: list[float] = []
         self.named = self.reports = self.passed = self.wanted = self.refused = self.given = 0
@@ -400,7 +400,7 @@
         self.late_most = self.late_sum = 0.0    # s by which looks came late: this process has no more to give
         self.looks = 0
         self.begun = clock.monotonic()
-        self.desks = [HollowDesk(self, job.first + place) for place in range(job.count)]
+        self.gateways = [HollowGateway(self, job.first + place) for place in range(job.count)]
         self.at = clock.monotonic()
         self._look()
 
@@ -409,43 +409,43 @@
         late = max(0.0, now - self.at)
         self.late_most, self.late_sum = max(self.late_most, late), self.late_sum + late
         self.looks += 1
-        for desk in self.desks:
-            if now >= desk.starts:
-                desk.look(now, late)
+        for gateway in self.gateways:
+            if now >= gateway.starts:
+                gateway.look(now, late)
         self.at = now + LOOK
         self.loop.call_later(LOOK, self._look)
 
     def arrived(self, slot: int, now: float) -> None:
-        """A desk has been told of a slot."""
+        """A gateway has been told of a slot."""
         self.slots.setdefault(slot, []).append(now)
 
-    def draw(self, desk: HollowDesk, tenant: str, now: float) -> None:
+    def draw(self, gateway: HollowGateway, tenant: str, now: float) -> None:
         """Send one draw, and remember what for."""
         self.last_draw += 1
         self.draws[self.last_draw] = (tenant, now)
-        desk.link.send(m.Draw(desk.name, tenant, 1, self.last_draw))
+        gateway.link.send(m.Draw(gateway.name, tenant, 1, self.last_draw))
         if len(self.draws) > 100_000:
             self.draws.clear()      # a bound: answers that were lost are never asked for again
 
-    def drawn(self, desk: HollowDesk, message: m.Drawn, now: float) -> None:
+    def drawn(self, gateway: HollowGateway, message: m.Drawn, now: float) -> None:
         """The answer to a draw."""
         tenant, at = self.draws.pop(message.number, ("", now))
         if len(self.waits) < 200_000:
             self.waits.append(now - at)
         self.given += message.given
         if tenant and not message.given:
-            desk.asked.dry(tenant, now + message.wait)
+            gateway.asked.dry(tenant, now + message.wait)
 
     def order(self, told: dict[str, Any]) -> dict[str, Any]:
         """Do what is asked, and tell what has been counted."""
         if told["do"] == "restart":
-            for desk in self.desks[:told["count"]]:
-                desk.restart()
+            for gateway in self.gateways[:told["count"]]:
+                gateway.restart()
         if told["do"] == "reset":
             self.traffic, self.waits = Traffic(), []
-            for desk in self.desks:
-                if desk.link is not None:
-                    desk.link.traffic = self.traffic
+            for gateway in self.gateways:
+                if gateway.link is not None:
+                    gateway.link.traffic = self.traffic
             self.named = self.reports = self.passed = self.wanted = self.refused = self.given = 0
             self.late_most = self.late_sum = 0.0
             self.looks = 0
@@ -453,9 +453,9 @@
         if told["do"] in ("reset", "restart"):
             self.caught_up, self.leased, self.slots = [], [], {}
         return {
-            "desks": len(self.desks), "open": sum(desk.link is not None for desk in self.desks),
-            "whole": sum(desk.caught_up is not None for desk in self.desks),
-            "slot": min((desk.slot for desk in self.desks), default=-1),
+            "gateways": len(self.gateways), "open": sum(gateway.link is not None for gateway in self.gateways),
+            "whole": sum(gateway.caught_up is not None for gateway in self.gateways),
+            "slot": min((gateway.slot for gateway in self.gateways), default=-1),
             "traffic": self.traffic.told(), "events": dict(self.events), "slots": self.slots,
             "caught_up": self.caught_up, "leased": self.leased, "named": self.named, "reports": self.reports,
             "passed": self.passed, "wanted": self.wanted, "refused": self.refused, "given": self.given,
@@ -464,7 +464,7 @@
 
 
 class Pipe(asyncio.Protocol):
-    """A connection of the servers to a registry; answers come in the order of the calls."""
+    """A connection of the servers to a controller; answers come in the order of the calls."""
 
     def __init__(self, crowd: Servers, addr: str) -> None:
         self.crowd, self.addr = crowd, addr
@@ -508,7 +508,7 @@
     def __init__(self, number: int, born: int, load: Load) -> None:
         self.id = f"i-{number:05d}-{born:04d}"
         self.number, self.born, self.seq, self.phase = number, born, 0, "up"
-        self.home = ""      # the registry that it was told to call
+        self.home = ""      # the controller that it was told to call
         self.asked_at = 0.0     # when it first said that it leaves
         service, zone = number % load.services, number % load.zones
         # Each life has an address of its own: a used one is taken over only after a while.
@@ -538,10 +538,10 @@
         self.due: deque[tuple[float, HollowServer]] = deque()
         for number in range(job.load.servers):
             server = HollowServer(number, 0, job.load)
-            self.due.append((now + job.load.beat * number / job.load.servers, server))
+            self.due.append((now + job.load.heartbeat * number / job.load.servers, server))
         self.late_most = 0.0
         self._connect()
-        self._beat()
+        self._heartbeat()
 
     def _connect(self) -> None:
         now = clock.monotonic()
@@ -574,7 +574,7 @@
                 return self.rng.choice(free)
         return None
 
-    def _beat(self) -> None:
+    def _heartbeat(self) -> None:
         now = clock.monotonic()
         due = self.due
         while due and due[0][0] <= now:
@@ -584,8 +584,8 @@
                 continue
             if server.phase == "up":
                 self.call(server, "PUT", now)
-            due.append((max(at, now - self.load.beat) + self.load.beat, server))
-        self.loop.call_later(0.01, self._beat)
+            due.append((max(at, now - self.load.heartbeat) + self.load.heartbeat, server))
+        self.loop.call_later(0.01, self._heartbeat)
 
     def call(self, server: HollowServer, method: str, now: float) -> None:
         """Report, or say goodbye, where a connection stands."""
@@ -601,7 +601,7 @@
             self.loop.call_later(0.1, lambda: self.call(server, "PUT", clock.monotonic()))
 
     def answered(self, server: HollowServer, method: str, status: int, body: bytes, sent: float) -> None:
-        """A registry has answered."""
+        """A controller has answered."""
         self.statuses[f"{method} {status}"] += 1
         now = clock.monotonic()
         if server.phase == "draining" and method == "PUT":
@@ -641,7 +641,7 @@
     reader = asyncio.StreamReader(limit=1 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     job = msgspec.json.decode(await reader.readline(), type=Job)
-    crowd = Desks(loop, job) if job.count else Servers(loop, job)
+    crowd = Gateways(loop, job) if job.count else Servers(loop, job)
     loop.call_later(job.load.seconds_most, loop.stop)   # ends by itself, whoever has started it
     while line := await reader.readline():
         told = crowd.order(msgspec.json.decode(line))
--- a/crowseam/capacity/loads.py
+++ b/crowseam/capacity/loads.py
@@ -26,17 +26,17 @@
 class Load(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What is played.  Times in seconds, rates a second, memory in MB.
 
-    `requests` are those of the whole fleet at `full_desks`; a run of fewer desks has its part of them, while
-    servers, routes and tenants stay, so that what changes with size is the number of desks alone.
-    `draws_most`: draws from the reserve that one hollow desk sends a second; those beyond are only counted.
+    `requests` are those of the whole fleet at `full_gateways`; a run of fewer gateways has its part of them, while
+    servers, routes and tenants stay, so that what changes with size is the number of gateways alone.
+    `draws_most`: draws from the reserve that one hollow gateway sends a second; those beyond are only counted.
     """
 
     seed: int = 1
-    desks: tuple[Count, ...] = (50, 100, 200, 510)
-    full_desks: Count = 510
-    real_desks: Annotated[int, Meta(ge=0, le=8)] = 2
-    registries: Annotated[int, Meta(ge=1, le=9)] = 3
-    desks_a_process: Count = 170
+    gateways: tuple[Count, ...] = (50, 100, 200, 510)
+    full_gateways: Count = 510
+    real_gateways: Annotated[int, Meta(ge=0, le=8)] = 2
+    controllers: Annotated[int, Meta(ge=1, le=9)] = 3
+    gateways_a_process: Count = 170
     servers: Count = 4600
     services: Count = 230
     zones: Annotated[int, Meta(ge=1, le=100)] = 11
@@ -46,21 +46,21 @@
     skew: Annotated[float, Meta(ge=0.0, le=3.0)] = 0.8      # of the tenants: weight 1 / rank ** skew
     headroom: Annotated[float, Meta(ge=1.0, le=100.0)] = 3.0    # quota against what a tenant asks
     draws_most: Rate = 2.0
-    beat: Span = 3.0
-    ramp: Annotated[float, Meta(ge=0.0, le=600.0)] = 0.0    # over which the desks start; 0: all at once
+    heartbeat: Span = 3.0
+    ramp: Annotated[float, Meta(ge=0.0, le=600.0)] = 0.0    # over which the gateways start; 0: all at once
     settle: Span = 10.0
     calm: Span = 15.0
     changes: Annotated[int, Meta(ge=1, le=1000)] = 8
     change_pause: Span = 1.5
     leaves: Annotated[int, Meta(ge=0, le=1000)] = 10
     restarts: Annotated[int, Meta(ge=0, le=1000)] = 10
-    away: Span = 4.0        # that the killed registry is away
+    away: Span = 4.0        # that the killed controller is away
     seconds_most: Span = 240.0
     memory_most: Annotated[float, Meta(gt=0.0)] = 12_000.0
 
-    def requests_a_desk(self) -> float:
-        """Requests a second that one desk is asked."""
-        return self.requests / self.full_desks
+    def requests_a_gateway(self) -> float:
+        """Requests a second that one gateway is asked."""
+        return self.requests / self.full_gateways
 
 
 def parse(data: bytes) -> Load:
@@ -142,7 +142,7 @@
 
 
 class Clients:
-    """Whom a desk is asked by: every desk has its part of every tenant's requests."""
+    """Whom a gateway is asked by: every gateway has its part of every tenant's requests."""
 
     def __init__(self, load: Load) -> None:
         self._names = [tenant(number) for number in range(load.tenants)]
@@ -155,8 +155,8 @@
         return rng.choices(self._names, cum_weights=self._sums, k=count)
 
 
-def processes(load: Load, desks: int) -> list[int]:
-    """How many hollow desks each process of them has, as even as can be; real desks are among `desks`."""
-    hollow = max(0, desks - load.real_desks)
-    count = -(-hollow // load.desks_a_process)
+def processes(load: Load, gateways: int) -> list[int]:
+    """How many hollow gateways each process of them has, as even as can be; real gateways are among `gateways`."""
+    hollow = max(0, gateways - load.real_gateways)
+    count = -(-hollow // load.gateways_a_process)
     return [hollow // count + (place < hollow % count) for place in range(count)] if count else []
--- a/crowseam/capacity/page.py
+++ b/crowseam/capacity/page.py
@@ -18,7 +18,7 @@
 from crowseam.cli.errors import DONE, BadInputError
 
 LATE_MOST = 0.05        # s by which hollow looks may be late on average: beyond, the run measured itself
-SATURATED = 0.9         # cores of a registry, which has one thread, from which on its times say little
+SATURATED = 0.9         # cores of a controller, which has one thread, from which on its times say little
 BETTER = 4.0            # times that a curve's residue is smaller than a line's where it is no line
 LOOSE = 0.1             # of the mean, the residue from which on a line is said not to fit
 FEWEST = 3              # sizes from which on a line is carried to the size to come
@@ -144,9 +144,9 @@
     if calm["events"].get("left silent", 0):
         return f"sessions left as silent in calm ({calm['events']['left silent']})"
     if calm["hollow_late_s"]["mean"] > LATE_MOST:
-        return f"the hollow desks were late themselves ({calm['hollow_late_s']['mean']} s on average)"
+        return f"the hollow gateways were late themselves ({calm['hollow_late_s']['mean']} s on average)"
     if not record.get("mass_start", {}).get("done"):
-        return "not all desks came up"
+        return "not all gateways came up"
     return ""
 
 
@@ -159,15 +159,15 @@
 
 TIMES = (("change acknowledged, p50", "ms", "changes.ack_ms.p50"),
          ("change acknowledged, worst", "ms", "changes.ack_ms.worst"),
-         ("change at a desk after that, p50", "ms", "changes.to_desks_ms.p50"),
-         ("change at the last desk after that, worst", "ms", "changes.to_last_desk_ms.worst"),
+         ("change at a gateway after that, p50", "ms", "changes.to_gateways_ms.p50"),
+         ("change at the last gateway after that, worst", "ms", "changes.to_last_gateway_ms.worst"),
          ("leave acknowledged, p50", "ms", "leaves.ack_ms.p50"),
          ("leave acknowledged, worst", "ms", "leaves.ack_ms.worst"),
-         ("desk started anew: whole, worst", "s", "desk_restarts.catch_up_s.worst"),
+         ("gateway started anew: whole, worst", "s", "gateway_restarts.catch_up_s.worst"),
          ("draw answered, p50", "ms", "calm.draw_wait_ms.p50"),
          ("draw answered, p99", "ms", "calm.draw_wait_ms.p99"),
-         ("registry killed: desks elsewhere", "s", "registry_restart.desks_elsewhere_s"),
-         ("registry killed: up to date again", "s", "registry_restart.catch_up_s"))
+         ("controller killed: gateways elsewhere", "s", "controller_restart.gateways_elsewhere_s"),
+         ("controller killed: up to date again", "s", "controller_restart.catch_up_s"))
 USES = (("cores", "cores"), ("rss_MB", "MB"), ("files", "descriptors"), ("in_kB_s", "kB/s in"),
         ("out_kB_s", "kB/s out"), ("disk_kB_s", "kB/s to disk"))
 
@@ -177,7 +177,7 @@
     """All quantities of the records, by role."""
     found: dict[tuple[str, str, str, str, str], list[tuple[float, float]]] = {}
 
-    def add(role: str, quantity: str, unit: str, size: float, value: float | None, by: str = "desks",
+    def add(role: str, quantity: str, unit: str, size: float, value: float | None, by: str = "gateways",
             how: str = "measured") -> None:
         if value is not None:
             found.setdefault((role, quantity, unit, by, how), []).append((float(size), float(value)))
@@ -185,18 +185,18 @@
     for record in records:
         if trouble(record):
             continue
-        size, calm = record["desks"], record["calm"]
+        size, calm = record["gateways"], record["calm"]
         hollow = max(1, calm["open"])
-        for role in ("desk", "registry"):
+        for role in ("gateway", "controller"):
             used = [each for name, each in calm["processes"].items() if name.startswith(f"{role}-")]
             for key, unit in USES if used else ():
                 add(role, f"calm, {unit}", unit, size, sum(each[key] for each in used) / len(used))
-        add("registry", "disk held", "MB", size, max(record["disk_MB"].values(), default=None))
-        add("hollow desk", "calm, all messages", "kB/s", size, calm["desk_kB_s"])
-        add("hollow desk", "tenants named in a report", "tenants", size, calm["tenants_named"])
-        add("hollow desk", "draws wanted", "a second", size, calm["draws_wanted_s"] / hollow)
+        add("controller", "disk held", "MB", size, max(record["disk_MB"].values(), default=None))
+        add("hollow gateway", "calm, all messages", "kB/s", size, calm["gateway_kB_s"])
+        add("hollow gateway", "tenants named in a report", "tenants", size, calm["tenants_named"])
+        add("hollow gateway", "draws wanted", "a second", size, calm["draws_wanted_s"] / hollow)
         for what, told in calm["traffic"].items():
-            add("hollow desk", what, "kB/s", size, told["kB_s"] / hollow)
+            add("hollow gateway", what, "kB/s", size, told["kB_s"] / hollow)
         for quantity, unit, path in TIMES:
             add("times", quantity, unit, size, _deep(record, path))
         if not record["load"].get("ramp"):
@@ -233,7 +233,7 @@
             if not found.line:
                 slope = f"no line: {number(found.b)} and {number(found.c)} by the square"
             if each.role == "times":
-                at = "as measured, while no registry is full"   # beyond that no line leads anywhere
+                at = "as measured, while no controller is full"   # beyond that no line leads anywhere
             elif len(each.points) < FEWEST:
                 at = f"not carried on from {len(each.points)} sizes"
             elif max(values) - min(values) <= LOOSE * mean or found.line and found.b <= 0.0:
@@ -297,7 +297,7 @@
     """The records, curves, sweeps and goals of a directory. Raises BadInputError naming the file."""
     goals = _toml(folder / "goals.toml", Goals)
     records = sorted((_record(file) for file in folder.glob("scale-run-*.json")),
-                     key=lambda record: record["desks"])
+                     key=lambda record: record["gateways"])
     curves = folder / "curves.json"
     sweeps = [_toml(file, Sweep) for file in sorted(folder.glob("sweep-*.toml"))]
     return records, _record(curves) if curves.exists() else None, sweeps, goals
@@ -320,7 +320,7 @@
     """All tables of the page by name."""
     told = rows(series(records, curves, sweeps), goals)
     parts: dict[str, list[dict[str, Any]]] = {"runs": runs(records)}
-    for name, roles in (("desk", ("desk", "hollow desk")), ("registry", ("registry",)), ("times", ("times",)),
+    for name, roles in (("gateway", ("gateway", "hollow gateway")), ("controller", ("controller",)), ("times", ("times",)),
                         ("code", ("code",))):
         parts[name] = [each for each in told if each["role"] in roles]
     known = {each["role"] for part in parts.values() for each in part if "role" in each}
--- a/crowseam/cli/commands.py
+++ b/crowseam/cli/commands.py
@@ -1,4 +1,4 @@
-"""The commands of the toolbox: each takes the parsed arguments and returns an exit code."""
+"""The commands of the command line: each takes the parsed arguments and returns an exit code."""
 
 import os
 import random
@@ -11,9 +11,9 @@
 import msgspec
 
 from crowseam.cli import configuration_diff, control_client, file_checks
-from crowseam.cli.errors import BAD_INPUT, DONE, FAILED, BadInputError, ToolboxError, UnclearError
+from crowseam.cli.errors import BAD_INPUT, DONE, FAILED, BadInputError, CommandError, UnclearError
 from crowseam.cli.tables import cell, rows, table
-from crowseam.configuration.model import CatalogueError, Configuration, version
+from crowseam.configuration.model import Configuration, ConfigurationError, version
 
 Args = dict[str, Any]
 
@@ -144,7 +144,7 @@
 def _configuration(body: bytes, field: str) -> Configuration:
     try:
         return Configuration.from_put(body)
-    except CatalogueError as error:
+    except ConfigurationError as error:
         raise BadInputError(f"{field}: {error.field}" if error.field else field, error.text) from None
 
 
@@ -158,7 +158,7 @@
     if args["--as-patch"] is not None:
         try:
             ver = version(args["--as-patch"], "--as-patch")
-        except CatalogueError as error:
+        except ConfigurationError as error:
             raise BadInputError(error.field, error.text) from None
         if ver <= old.ver:
             raise BadInputError("--as-patch", f"{args['--as-patch']} is not above {old.ver:08x}")
@@ -202,7 +202,7 @@
 
 
 def faults(told: dict[str, Any]) -> list[str]:
-    """Return what one registry's status shows to be wrong; a field that is missing shows nothing."""
+    """Return what one controller's status shows to be wrong; a field that is missing shows nothing."""
     found = []
     if told.get("in_touch") is False:
         found.append("reaches no majority of the voters")
@@ -212,7 +212,7 @@
         found.append(f"its disk has not written for {late:.1f} s")
     if silent := told.get("silent"):
         found.append(f"servers that give no sign of life: {', '.join(map(str, silent))}")
-    found += [f"knows of no {what}" for what in ("desks", "servers") if told.get(what) == 0]
+    found += [f"knows of no {what}" for what in ("gateways", "servers") if told.get(what) == 0]
     return found
 
 
@@ -231,7 +231,7 @@
             continue
         try:
             told = _data(result.ok)
-        except ToolboxError as error:
+        except CommandError as error:
             wrong[f"{address}: {error}"] = None
             continue
         if not isinstance(told, dict):
@@ -327,7 +327,7 @@
         if data.get(name):
             _out(f"{name}: {cell(data[name])}\n")
     if not data.get("in_touch"):
-        _out("the registry asked has no majority\n")
+        _out("the controller asked has no majority\n")
     return DONE
 
 
--- a/crowseam/cli/control_client.py
+++ b/crowseam/cli/control_client.py
@@ -1,4 +1,4 @@
-"""Calls from the toolbox to the control interface, tried again where that is safe.
+"""Calls from the command line to the control interface, tried again where that is safe.
 
 Every call may be repeated: reads change nothing, a configuration that was already taken is acknowledged
 again when the very same body comes, and a retirement said twice is said once. So a call that got no clear
@@ -13,9 +13,9 @@
 from expression import Error, Ok, Result
 from msgspec import Struct
 
-from crowseam.cli.errors import RefusedError, ToolboxError, UnclearError
+from crowseam.cli.errors import CommandError, RefusedError, UnclearError
 
-# name: (method, path); the whole of what the toolbox asks of the system.
+# name: (method, path); the whole of what the command line asks of the system.
 CALLS = {
     "config": ("GET", "/-/config"),
     "put": ("PUT", "/-/config"),
@@ -90,7 +90,7 @@
         self._sleep = sleep
         self._rng = rng
 
-    def call(self, name: str, body: bytes = b"", ident: str = "") -> Result[Answer, ToolboxError]:
+    def call(self, name: str, body: bytes = b"", ident: str = "") -> Result[Answer, CommandError]:
         """Make the call of this name, about what `ident` names if given; Ok with a 2xx answer, else Error.
 
         The error is RefusedError after a clear refusal (400, 409, 412, 413 and 422 at once, any other 4xx
@@ -124,7 +124,7 @@
         told = "" if method == "GET" else "; it may have been done or not"
         return Error(UnclearError(f"no clear answer within {self._within:g} s{told} (last {last})"))
 
-    def each(self, name: str) -> list[tuple[str, Result[Answer, ToolboxError]]]:
+    def each(self, name: str) -> list[tuple[str, Result[Answer, CommandError]]]:
         """Ask every address once, and return what each of them said."""
         method, path = CALLS[name]
         heard = []
--- a/crowseam/cli/demo.py
+++ b/crowseam/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: the small cell played in real time, by real processes on loopback addresses, and judged.
+"""The demonstration: the small fleet played in real time, by real processes on loopback addresses, and judged.
 
 Stand-in servers and clients run in threads of this process; what they count is behind one short lock.
 """
@@ -25,7 +25,7 @@
 
 import crowseam
 from crowseam.cli import demo_files
-from crowseam.cli.errors import ToolboxError
+from crowseam.cli.errors import CommandError
 
 SHORTEST_S = 10.0       # a shorter day has no room for what happens on it
 READY_S = 20.0          # the cell is ready after so long, or isn't at all
@@ -35,7 +35,7 @@
 DEADLINE_S = 2.0        # what a client waits
 CLIENTS = 48            # requests of clients that may be open at once
 TRIES = 3
-WATCH_S = 0.2           # between two looks at which desks are ready
+WATCH_S = 0.2           # between two looks at which gateways are ready
 LEAST_SERVED = 0.95     # of what `kitchen` asks, which is within its quota
 
 
@@ -56,8 +56,8 @@
     runs: Counter[str] = msgspec.field(default_factory=Counter)     # of each order, by its id
     late_at_left: int = 0       # requests at the server that left, beyond the time allowed
     served_while_down: int = 0
-    versions: list[str] = []    # of the configuration, at each registry
-    new_route: list[int] = []   # status of the route that was added, at each desk
+    versions: list[str] = []    # of the configuration, at each controller
+    new_route: list[int] = []   # status of the route that was added, at each gateway
 
 
 def most_within(times: Iterable[float], span: float) -> int:
@@ -87,9 +87,9 @@
         (seen.served_while_down > 0,
          f"machine killed: {seen.served_while_down} requests served by the others until it was back"),
         (len(seen.versions) == len(demo_files.MACHINES) and set(seen.versions) == {demo_files.change()["ver"]},
-         f"configuration: {', '.join(seen.versions)} at the registries"),
+         f"configuration: {', '.join(seen.versions)} at the controllers"),
         (seen.new_route == [200] * len(demo_files.MACHINES),
-         f"added route: answered with {', '.join(map(str, seen.new_route))} by the desks"),
+         f"added route: answered with {', '.join(map(str, seen.new_route))} by the gateways"),
         (seen.late_at_left == 0,
          f"server taken out: {seen.late_at_left} requests reached it more than {demo_files.DRAIN_S:g} s after"),
     ]
@@ -154,7 +154,7 @@
                 self._seen.runs[told] += 1
         time.sleep(WORK_S)
 
-    def beat(self) -> bool:
+    def heartbeat(self) -> bool:
         """Report to the first control address that acknowledges; return whether one did."""
         self._seq += 1
         host, port = self.server_address[:2]
@@ -168,7 +168,7 @@
     def leave(self) -> None:
         """Say that it is leaving, until that is acknowledged."""
         self.phase = "draining"
-        while not self.beat():
+        while not self.heartbeat():
             time.sleep(0.1)
         self.left_at = time.monotonic() + demo_files.DRAIN_S
 
@@ -195,7 +195,7 @@
 
 
 class Clients:
-    """Clients of all tenants. Each try goes to another of the desks that say they are ready."""
+    """Clients of all tenants. Each try goes to another of the gateways that say they are ready."""
 
     def __init__(self, seen: Seen, lock: threading.Lock):
         self._seen, self._lock = seen, lock
@@ -268,7 +268,7 @@
                 self._seen.served_at.setdefault(tenant, []).append(time.monotonic())
 
 
-class Cell:
+class Fleet:
     """The processes of the cell. What they log goes into files beside their settings."""
 
     def __init__(self, processes: list[tuple[str, Path]]):
@@ -309,18 +309,18 @@
         return self._processes if place is None else self._processes[2 * place:2 * place + 2]
 
 
-def _until(what: str, done: Callable[[], bool], cell: Cell) -> None:
+def _until(what: str, done: Callable[[], bool], fleet: Fleet) -> None:
     end = time.monotonic() + READY_S
     while not done():
-        if ended := cell.ended():
-            raise ToolboxError(f"{ended[0]}: its process has ended; its log says why")
+        if ended := fleet.ended():
+            raise CommandError(f"{ended[0]}: its process has ended; its log says why")
         if time.monotonic() > end:
-            raise ToolboxError(f"{what} took more than {READY_S:g} s")
+            raise CommandError(f"{what} took more than {READY_S:g} s")
         time.sleep(0.1)
 
 
 def _free() -> None:
-    """Raise ToolboxError where an address of the cell is in use, as by another demonstration."""
+    """Raise CommandError where an address of the cell is in use, as by another demonstration."""
     for machine in demo_files.MACHINES:
         for port in demo_files.PORTS.values():
             with socket.socket() as probe:
@@ -328,7 +328,7 @@
                 try:
                     probe.bind((machine, port))
                 except OSError as error:
-                    raise ToolboxError(f"{machine}:{port} can't be used: {error.strerror}") from None
+                    raise CommandError(f"{machine}:{port} can't be used: {error.strerror}") from None
 
 
 def _changed(method: str, data: dict[str, Any]) -> bool:
@@ -337,23 +337,23 @@
 
 
 def play(processes: list[tuple[str, Path]], seconds: float, say: Callable[[str], None]) -> Seen:
-    """Play the day, `seconds` of it with clients, and return what was seen. Raises ToolboxError.
+    """Play the day, `seconds` of it with clients, and return what was seen. Raises CommandError.
 
     Ended processes are an error only until the clients begin; after that they show in what was seen.
     """
     _free()
     seen, lock = Seen(), threading.Lock()
     servers = [StandInServer(zone, seen, lock) for zone in ("zone-a", "zone-b", "zone-c")]
-    cell, clients, over = Cell(processes), Clients(seen, lock), threading.Event()
+    fleet, clients, over = Fleet(processes), Clients(seen, lock), threading.Event()
 
-    def beats() -> None:
+    def heartbeats() -> None:
         while not over.wait(demo_files.BEAT_S):
             for server in servers:
                 if server.phase == "up":
-                    server.beat()
+                    server.heartbeat()
 
     threads = [threading.Thread(target=server.serve_forever, daemon=True) for server in servers]
-    threads.append(threading.Thread(target=beats, daemon=True))
+    threads.append(threading.Thread(target=heartbeats, daemon=True))
     begun = time.monotonic()
 
     def at(part: float, what: str) -> None:
@@ -363,25 +363,25 @@
     try:
         for thread in threads:
             thread.start()
-        cell.start()
-        _until("taking the configuration", lambda: _changed("PUT", demo_files.configuration()), cell)
+        fleet.start()
+        _until("taking the configuration", lambda: _changed("PUT", demo_files.configuration()), fleet)
         _until("getting ready", lambda: all(
-            call(each, "readyz", "GET", "/-/readyz")[0] == 200 for each in demo_files.MACHINES), cell)
+            call(each, "readyz", "GET", "/-/readyz")[0] == 200 for each in demo_files.MACHINES), fleet)
         say(f"{len(processes)} processes on {len(demo_files.MACHINES)} machines are ready after "
             f"{time.monotonic() - begun:.1f} s")
         begun = time.monotonic()
         at(0.0, "clients begin; pantry asks for three times its quota")
         clients.start()
         at(0.25, "both processes of machine 3 are killed")
-        cell.kill(2)
+        fleet.kill(2)
         with lock:
             before = sum(count.served for count in seen.tenants.values())
         at(0.4, "a configuration with one more route is sent while a voter is away")
-        _until("taking the change", lambda: _changed("PATCH", demo_files.change()), Cell([]))
+        _until("taking the change", lambda: _changed("PATCH", demo_files.change()), Fleet([]))
         at(0.55, "machine 3 is started again")
         with lock:
             seen.served_while_down = sum(count.served for count in seen.tenants.values()) - before
-        cell.start(2)
+        fleet.start(2)
         at(0.7, f"server {servers[0].identity} says that it leaves, and is left")
         servers[0].leave()
         at(1.0, "clients end")
@@ -396,7 +396,7 @@
     finally:
         over.set()
         with contextlib.suppress(KeyboardInterrupt):
-            cell.stop()
+            fleet.stop()
         for server in servers:
             server.shutdown()
             server.server_close()
--- a/crowseam/cli/demo_files.py
+++ b/crowseam/cli/demo_files.py
@@ -1,4 +1,4 @@
-"""The files of a small cell on one computer: settings of three machines, and a configuration."""
+"""The files of a small fleet on one computer: settings of three machines, and a configuration."""
 
 from pathlib import Path
 from typing import Any
@@ -21,8 +21,8 @@
 def settings(place: int, role: str, folder: Path) -> dict[str, Any]:
     """Return the settings of one process of the cell; `place` is the machine's, from 0."""
     ip = MACHINES[place]
-    serves = ["edge"] if role == "desk" else ["ctl"]
-    names = ("http", "readyz") if role == "desk" else ("ctl",)
+    serves = ["edge"] if role == "gateway" else ["ctl"]
+    names = ("http", "readyz") if role == "gateway" else ("ctl",)
     zones = {f"zone-{letter}": "home" for letter in "abc"}
     told = {
         "hostname": f"demo-{place + 1}", "role": role, "mclass": "edge", "serves": serves, "ip": ip,
@@ -79,7 +79,7 @@
             (folder / f"{name}.json").write_bytes(msgspec.json.format(msgspec.json.encode(data)))
         processes = []
         for place in range(len(MACHINES)):
-            for role in ("registry", "desk"):
+            for role in ("controller", "gateway"):
                 told = settings(place, role, folder)
                 Path(told["datadir"]).mkdir(exist_ok=True)
                 file = folder / f"{told['hostname']}-{role}.json"
--- a/crowseam/cli/dispatch.py
+++ b/crowseam/cli/dispatch.py
@@ -5,18 +5,18 @@
 from docopt import DocoptExit, docopt
 
 from crowseam.cli import commands
-from crowseam.cli.errors import BAD_INPUT, FAILED, ToolboxError
+from crowseam.cli.errors import BAD_INPUT, FAILED, CommandError
 from crowseam.cli.usage import USAGE
 
 
-def _custody():
+def _store_commands():
     # The store and consensus are loaded only for the commands that work on them.
     from crowseam.cli import store_commands
     return store_commands
 
 
-def _emulation():
-    # So is the emulator, which is most of the toolbox.
+def _simulation():
+    # So is the simulator, which is most of the command line.
     from crowseam.cli import simulation_commands
     simulation_commands.steady()
     return simulation_commands
@@ -47,9 +47,9 @@
     return model_check(args)
 
 
-def _figures(args):
-    from crowseam.cli.metrics_table import figures
-    return figures(args)
+def _metrics(args):
+    from crowseam.cli.metrics_table import metrics
+    return metrics(args)
 
 
 COMMANDS = {
@@ -58,23 +58,23 @@
     "members": commands.members,
     "duties": commands.duties,
     "status": commands.status,
-    "figures": _figures,
+    "metrics": _metrics,
     "retire": commands.retire,
     "retiring": commands.retiring,
     "trace": commands.trace,
     "schema": commands.schema,
     "demo": commands.demo,
-    "snapshot": lambda args: _custody().snapshot(args),
-    "restore": lambda args: _custody().restore(args),
+    "snapshot": lambda args: _store_commands().snapshot(args),
+    "restore": lambda args: _store_commands().restore(args),
     "model-check": _model_check,
     "scale": _scale,
     "scale-run": _scale_run,
     "capacity": _capacity,
     "detection": _detection,
-    "emulate": lambda args: _emulation().emulate(args),
-    "experiment": lambda args: _emulation().experiment(args),
-    "plan": lambda args: _emulation().plan(args),
-    "replay": lambda args: _emulation().again(args),
+    "simulate": lambda args: _simulation().simulate(args),
+    "experiment": lambda args: _simulation().experiment(args),
+    "plan": lambda args: _simulation().plan(args),
+    "replay": lambda args: _simulation().again(args),
 }
 CONFIG_COMMANDS = {
     "get": commands.config_get,
@@ -85,7 +85,7 @@
 
 
 def run(argv: list[str]) -> int:
-    """Run one command of the toolbox, given the words after the program's name; return its exit code.
+    """Run one command of the command line, given the words after the program's name; return its exit code.
 
     Bad input and failures are told in one line on standard error.
     """
@@ -101,7 +101,7 @@
         command = next(CONFIG_COMMANDS[name] for name in CONFIG_COMMANDS if args[name])
     try:
         return command(args)
-    except ToolboxError as error:
+    except CommandError as error:
         sys.stderr.write(f"{error}\n")
         return error.code
     except BrokenPipeError:
--- a/crowseam/cli/errors.py
+++ b/crowseam/cli/errors.py
@@ -1,15 +1,15 @@
-"""The errors of the toolbox, each with its exit code."""
+"""The errors of the command line, each with its exit code."""
 
 DONE, FAILED, BAD_INPUT, REFUSED = 0, 1, 2, 3
 
 
-class ToolboxError(Exception):
+class CommandError(Exception):
     """A command that did not succeed. `code` is the exit code; the text is one plain line."""
 
     code = FAILED
 
 
-class BadInputError(ToolboxError):
+class BadInputError(CommandError):
     """An argument or a file that cannot be used; `field` names the place."""
 
     code = BAD_INPUT
@@ -19,7 +19,7 @@
         self.field = field
 
 
-class RefusedError(ToolboxError):
+class RefusedError(CommandError):
     """The system gave a clear refusal, with this HTTP status."""
 
     code = REFUSED
@@ -29,5 +29,5 @@
         self.status = status
 
 
-class UnclearError(ToolboxError):
+class UnclearError(CommandError):
     """No clear answer came in the time given; what was asked may have been done or not."""
--- a/crowseam/cli/file_checks.py
+++ b/crowseam/cli/file_checks.py
@@ -10,7 +10,7 @@
 import msgspec
 from msgspec import Struct
 
-from crowseam.configuration.model import CatalogueError, faults, parse_change, seconds
+from crowseam.configuration.model import ConfigurationError, faults, parse_change, seconds
 
 Fault = tuple[str, str]
 
@@ -149,7 +149,7 @@
         if isinstance(value, str):
             try:
                 seconds(value, f"{field}{name}")
-            except CatalogueError as error:
+            except ConfigurationError as error:
                 found.append((error.field, error.text))
 
 
@@ -257,7 +257,7 @@
     if is_patch(body):
         try:
             parse_change("PATCH", body)
-        except CatalogueError as error:
+        except ConfigurationError as error:
             return [(error.field, error.text)]
         return []
     return [(fault.field, fault.text) for fault in faults(body)]
--- a/crowseam/cli/metrics_table.py
+++ b/crowseam/cli/metrics_table.py
@@ -11,7 +11,7 @@
 from crowseam.cli.tables import table
 from crowseam.metrics.latency import FAILED, LATE, LEAST, LONGEST, OUTCOMES, REFUSED, SERVED, library
 
-PLAIN = ("ready", "under_way", "desks", "in_session", "shares_missing", "in_touch", "servers", "voters",
+PLAIN = ("ready", "under_way", "gateways", "in_session", "shares_missing", "in_touch", "servers", "voters",
          "duties_held", "waiting_calls", "disk_late_seconds", "slot")    # of each address, where it tells it
 
 
@@ -78,7 +78,7 @@
         before, low = total, high
 
 
-def figures(args: Args) -> int:
+def metrics(args: Args) -> int:
     """Print what the daemons at the addresses have counted since they began. FAILED if none was reached."""
     merged, at, missed = Merged(library()), {}, {}
     for address, result in sorted(caller(args).each("metrics"), key=lambda each: each[0]):
--- a/crowseam/cli/planner.py
+++ b/crowseam/cli/planner.py
@@ -54,24 +54,24 @@
 def summed(jobs: list[Job], found: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """One row for each case: what was owed and carried a second, the parts of it, the slowness by route."""
     by_case: dict[str, list[tuple[Job, dict[str, Any]]]] = {}
-    for job, figures in zip(jobs, found, strict=True):
-        by_case.setdefault(job.variant, []).append((job, figures))
+    for job, metrics in zip(jobs, found, strict=True):
+        by_case.setdefault(job.variant, []).append((job, metrics))
     rows = []
     for name, runs in by_case.items():
         count = len(runs)
 
         def mean(field: str, runs: list = runs, count: int = count) -> float:
-            return sum(figures[field] for _, figures in runs) / count
+            return sum(metrics[field] for _, metrics in runs) / count
 
         length = runs[0][0].day["length"]
         row = {"case": name, "owed_per_s": mean("asks") / length, "carried_per_s": mean("served") / length,
                "share": mean("share"), "worth": mean("worth"), "worst": mean("worst"), "p50_s": mean("p50"),
                "p99_s": mean("p99")}
-        routes = {route: [figures["kinds"].get(route) for _, figures in runs]
+        routes = {route: [metrics["kinds"].get(route) for _, metrics in runs]
                   for route in runs[0][1]["kinds"]}
         lost = {route: sum(1.0 - kind["served"] / kind["asks"] for kind in kinds if kind) / count
                 for route, kinds in routes.items()}
         row["lost_by_route"] = {route: round(part, 4) for route, part in lost.items() if part > 0.0005}
-        row["broken"] = sum(sum(figures["rules"].values()) for _, figures in runs)
+        row["broken"] = sum(sum(metrics["rules"].values()) for _, metrics in runs)
         rows.append(row)
     return rows
--- a/crowseam/cli/retirement_wait.py
+++ b/crowseam/cli/retirement_wait.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from crowseam.cli.errors import RefusedError, ToolboxError, UnclearError
+from crowseam.cli.errors import CommandError, RefusedError, UnclearError
 
 EVERY_S = 0.5
-SURE = 3    # looks in a row that must find a server back in use, or unknown: a registry may be behind
+SURE = 3    # looks in a row that must find a server back in use, or unknown: a controller may be behind
 
 Row = dict[str, Any]
 
@@ -18,19 +18,19 @@
         return ""
     busy: dict[str, int] = {}
     for row in waiting:
-        for desk, count in row.get("under_way", {}).items():
-            busy[desk] = busy.get(desk, 0) + count
+        for gateway, count in row.get("under_way", {}).items():
+            busy[gateway] = busy.get(gateway, 0) + count
     told = [f"{len(waiting)} not yet safe ({', '.join(row['id'] for row in waiting[:3])}"
             + (", ..." if len(waiting) > 3 else "") + ")"]
     if busy:
         told.append(f"{sum(busy.values())} requests under way at {', '.join(sorted(busy)[:5])}"
                     + (f" and {len(busy) - 5} more" if len(busy) > 5 else ""))
-    if late := sorted({desk for row in waiting for desk in row.get("unconfirmed", [])}):
+    if late := sorted({gateway for row in waiting for gateway in row.get("unconfirmed", [])}):
         told.append(f"not confirmed by {', '.join(late[:5])}" + (", ..." if len(late) > 5 else ""))
     if away := view.get("away"):
-        told.append("away: " + ", ".join(f"{desk} for {span:.0f} s" for desk, span in sorted(away.items())))
+        told.append("away: " + ", ".join(f"{gateway} for {span:.0f} s" for gateway, span in sorted(away.items())))
     if not view.get("in_touch"):
-        told.append("the registry asked has no majority")
+        told.append("the controller asked has no majority")
     return "; ".join(told)
 
 
@@ -50,7 +50,7 @@
     def until_safe(self, idents: list[str], most: float) -> list[Row]:
         """Return a row for each server (no ids: all that leave now) once all are safe or gone.
 
-        Raises ToolboxError when one is back in use, RefusedError when one is not known (any more), and
+        Raises CommandError when one is back in use, RefusedError when one is not known (any more), and
         UnclearError after `most` seconds.
         """
         end = self._clock() + most
@@ -82,7 +82,7 @@
             if row["state"] in ("in_use", "unknown"):
                 self._strikes[ident] = self._strikes.get(ident, 0) + 1
                 if self._strikes[ident] >= SURE and row["state"] == "in_use":
-                    raise ToolboxError(f"{ident} is in use: its retirement was taken back, or never was")
+                    raise CommandError(f"{ident} is in use: its retirement was taken back, or never was")
                 if self._strikes[ident] >= SURE:
                     raise RefusedError(404, f"{ident} is not known")
             else:
--- a/crowseam/cli/simulation_commands.py
+++ b/crowseam/cli/simulation_commands.py
@@ -1,4 +1,4 @@
-"""The commands that run the emulator; loaded only for them."""
+"""The commands that run the simulator; loaded only for them."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from crowseam.simulator.scenario import replay
 from crowseam.simulator.scenario.day import Day, DayError, changed, parse
 
-NAMES = ("emulate", "experiment", "plan", "replay")
+NAMES = ("simulate", "experiment", "plan", "replay")
 
 
 def steady() -> None:
@@ -54,35 +54,35 @@
     return number(args, "--jobs", int) if args["--jobs"] else os.cpu_count() or 1
 
 
-def _told(figures: simulation.Figures) -> str:
+def _told(metrics: simulation.Metrics) -> str:
     """The figures of one run for people."""
-    head = {name: getattr(figures, name) for name in (
+    head = {name: getattr(metrics, name) for name in (
         "asks", "served", "share", "worth", "worst", "refused", "failed", "p50", "p99", "again", "budget",
         "quota", "connections", "between_kb", "processor", "syncs", "took")}
     lines = [table([{"figure": name, "value": value} for name, value in head.items()])]
-    kinds = [{"name": name} | msgspec.to_builtins(kind) for name, kind in figures.kinds.items()]
+    kinds = [{"name": name} | msgspec.to_builtins(kind) for name, kind in metrics.kinds.items()]
     lines.append(table(kinds))
-    lines += [f"BROKEN {line}\n" for line in figures.told]
-    lines += [f"FAILURE {line.strip().splitlines()[-1]}\n" for line in figures.failures]
+    lines += [f"BROKEN {line}\n" for line in metrics.told]
+    lines += [f"FAILURE {line.strip().splitlines()[-1]}\n" for line in metrics.failures]
     return "\n".join(lines[:2]) + "".join(lines[2:])
 
 
 def _played(args: Args, day: Day) -> int:
     try:
         with experiments.settings(_constants(args)):
-            figures, lines = simulation.play(day, number(args, "--seed", int), bool(args["--log"]))
+            metrics, lines = simulation.play(day, number(args, "--seed", int), bool(args["--log"]))
     except ValueError as error:
         raise BadInputError("--set", str(error)) from None
     if args["--log"]:
         _write(args["--log"], "".join(f"{line}\n" for line in lines).encode(), "--log")
     if args["--json"]:
-        _json(msgspec.to_builtins(figures))
+        _json(msgspec.to_builtins(metrics))
     else:
-        _out(_told(figures))
-    return FAILED if figures.rules or figures.failures else DONE
+        _out(_told(metrics))
+    return FAILED if metrics.rules or metrics.failures else DONE
 
 
-def emulate(args: Args) -> int:
+def simulate(args: Args) -> int:
     """Play one day. FAILED when a rule was broken."""
     return _played(args, _day(args["DAY"], "DAY"))
 
@@ -113,13 +113,13 @@
     if args["--keep"]:
         kept = experiments.keep(args["--keep"], told.name, jobs, values)
         earlier = experiments.since(values, kept, told.measures)
-    broken = [f"{job.variant}, seed {job.seed}: {line}" for job, figures in zip(jobs, found, strict=True)
-              for line in [*figures["told"], *figures["failures"]]]
+    broken = [f"{job.variant}, seed {job.seed}: {line}" for job, metrics in zip(jobs, found, strict=True)
+              for line in [*metrics["told"], *metrics["failures"]]]
     if args["--report"]:
         from crowseam.cli import report
         spans: dict[str, list[list[float]]] = {}
-        for job, figures in zip(jobs, found, strict=True):
-            spans.setdefault(job.variant, []).append(figures["spans"])
+        for job, metrics in zip(jobs, found, strict=True):
+            spans.setdefault(job.variant, []).append(metrics["spans"])
         drawings = [] if args["--no-plots"] else report.plots(values, spans, told.measures)
         report.write(args["--report"], told.name, rows, earlier, broken[:60], drawings)
     if args["--json"]:
--- a/crowseam/cli/store_commands.py
+++ b/crowseam/cli/store_commands.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from crowseam.cli.errors import DONE, BadInputError, ToolboxError
+from crowseam.cli.errors import DONE, BadInputError, CommandError
 from crowseam.cli.file_checks import address_fault
 from crowseam.configuration.model import version_text
 from crowseam.consensus.messages import Change, Voter, Voters
@@ -19,7 +19,7 @@
 
 
 def _free(path: Path) -> None:
-    """Raise ToolboxError where a process has the store open. Nothing in the store changes."""
+    """Raise CommandError where a process has the store open. Nothing in the store changes."""
     try:
         connection = sqlite3.connect(f"file:{path}?mode=rw", uri=True, timeout=0.0, isolation_level=None)
         try:
@@ -30,10 +30,10 @@
             connection.close()
     except sqlite3.OperationalError as error:
         if "locked" in str(error):
-            raise ToolboxError(f"{path} is in use; stop the process first") from None
-        raise ToolboxError(f"{path}: {error}") from None
+            raise CommandError(f"{path} is in use; stop the process first") from None
+        raise CommandError(f"{path}: {error}") from None
     except sqlite3.DatabaseError as error:
-        raise ToolboxError(f"{path} is damaged: {error}") from None
+        raise CommandError(f"{path} is damaged: {error}") from None
 
 
 def _last(durable: Durable) -> int:
@@ -67,13 +67,13 @@
             store.open()
             try:
                 if store.set_aside:
-                    raise ToolboxError(f"{path} is damaged")
+                    raise CommandError(f"{path} is damaged")
                 durable = store.load()
                 digest = store.snapshot(args["FILE"][0])
             finally:
                 store.close()
     except (StoreError, OSError) as error:
-        raise ToolboxError(f"snapshot: {error}") from None
+        raise CommandError(f"snapshot: {error}") from None
     sys.stdout.write(f"slot {_last(durable)}{_newest(durable)}, digest {digest}\n")
     return DONE
 
@@ -113,16 +113,16 @@
             last = _last(durable)
             if args["--voters"] is not None:
                 if last < durable.floor:
-                    raise ToolboxError(f"the snapshot lacks entries after slot {last}; use another one")
+                    raise CommandError(f"the snapshot lacks entries after slot {last}; use another one")
                 me, voters = _voters(args, digest)
                 # Every machine restored from this snapshot writes the same entry, so that it is as chosen.
                 entry = Voters(f"restored/{digest[:24]}", voters)
                 store.write([Identity(me.id), Learned(last + 1, entry)])
         finally:
             store.close()
-    except (StoreError, ToolboxError) as error:
+    except (StoreError, CommandError) as error:
         for suffix in ("", "-wal", "-shm"):
             path.with_name(path.name + suffix).unlink(missing_ok=True)
-        raise ToolboxError(f"restore: {error}") from None
+        raise CommandError(f"restore: {error}") from None
     sys.stdout.write(f"slot {last}{_newest(durable)}, digest {digest}\n")
     return DONE
--- a/crowseam/cli/usage.py
+++ b/crowseam/cli/usage.py
@@ -1,10 +1,10 @@
 """What the command line looks like."""
 
-USAGE = """crowseam: the gateway and its toolbox.
+USAGE = """crowseam: the gateway and its command line.
 
 Usage:
-  crowseam desk
-  crowseam registry
+  crowseam gateway
+  crowseam controller
   crowseam check (settings | deploy | config) FILE [--json]
   crowseam config get [--at=LIST] [--within=S] [--out=FILE]
   crowseam config put FILE [--at=LIST] [--within=S] [--no-check] [--json]
@@ -13,7 +13,7 @@
   crowseam config history [--at=LIST] [--within=S] [--json]
   crowseam (servers | members | duties) [--at=LIST] [--within=S] [--json]
   crowseam status [--at=LIST] [--within=S] [--json]
-  crowseam figures [--at=LIST] [--json]
+  crowseam metrics [--at=LIST] [--json]
   crowseam retire (--server=ID | --version=VER | --zone=AZ) [--svc=SVC] [--undo | --force]
                [--wait] [--most=S] [--at=LIST] [--within=S] [--json]
   crowseam retiring [ID] [--wait] [--most=S] [--at=LIST] [--within=S] [--json]
@@ -24,19 +24,19 @@
   crowseam model-check [--part=P] [--seeds=N] [--from=SEED] [--steps=N] [--jobs=N] [--mutants | --guards]
   crowseam demo [DIR] [--seconds=S] [--json]
   crowseam demo DIR --files
-  crowseam scale --curve [--plot=DIR] [--beat=S] [--json]
-  crowseam scale-run FILE [--desks=LIST] [--out=DIR] [--json]
+  crowseam scale --curve [--plot=DIR] [--heartbeat=S] [--json]
+  crowseam scale-run FILE [--gateways=LIST] [--out=DIR] [--json]
   crowseam capacity [--records=DIR] [--page=FILE] [--json]
-  crowseam scale [--desks=N] [--servers=N] [--tenants=N] [--registries=N] [--beat=S] [--json]
+  crowseam scale [--gateways=N] [--servers=N] [--tenants=N] [--controllers=N] [--heartbeat=S] [--json]
   crowseam detection [--runs=N] [--json]
-  crowseam emulate DAY [--seed=N] [--set=LIST] [--log=FILE] [--json]
+  crowseam simulate DAY [--seed=N] [--set=LIST] [--log=FILE] [--json]
   crowseam experiment FILE [--jobs=N] [--report=OUT] [--no-plots] [--keep=STORE] [--json]
   crowseam plan DAY [--lose-zone=LIST] [--retire=LIST] [--double=LIST] [--load=LIST]
              [--runs=N] [--jobs=N] [--json]
   crowseam replay LOG... --day=DAY [--seed=N] [--set=LIST] [--log=FILE] [--json]
   crowseam --help
 
-The roles `desk` and `registry` read the settings file that the variable CROWSEAM_BOOT names.
+The roles `gateway` and `controller` read the settings file that the variable CROWSEAM_BOOT names.
 
 Options:
   --at=LIST       Control addresses to call, as 10.1.0.5:8407,10.2.0.3:8407. Left out, the seeds of the
@@ -57,7 +57,7 @@
   --most=S        Seconds to wait at most [default: 600].
   --voters=LIST   The control addresses that vote from now on, the former voters being gone for good.
   --me=ADDR       Which of them this store is for.
-  --part=P        What to drive: agreement, lending, callers, handover, catchup, membership, orders, cutoff,
+  --part=P        What to drive: agreement, quotas, callers, handover, catchup, membership, orders, cutoff,
                   both (the first two) or all [default: agreement].
   --seeds=N       How many random schedules to try [default: 200].
   --from=SEED     The first seed [default: 0].
@@ -68,14 +68,14 @@
   --files         Only write the files of the demonstration, and print the commands that start it.
   --seed=N        What the run's chances are drawn from [default: 1].
   --set=LIST      Constants of the code in this run, as crowseam.gateway.load_balancer:HEDGE=5,...
-  --desks=N       Ingresses that carry traffic; 96 unless said.  Of a scale run: its sizes, as 50,100,200.
+  --gateways=N       Ingresses that carry traffic; 96 unless said.  Of a scale run: its sizes, as 50,100,200.
   --servers=N     Servers of all services [default: 264].
   --tenants=N     Tenants with a quota [default: 88].
-  --registries=N  Registries [default: 6].
-  --beat=S        Seconds between two reports of a server [default: 1.3].
+  --controllers=N  Controllers [default: 6].
+  --heartbeat=S        Seconds between two reports of a server [default: 1.3].
   --curve         Go through sizes from 14 to 1,000 ingresses, and measure the code against size.
   --plot=DIR      Draw each curve into this directory, as SVG.
-  --log=FILE      Write what the emulated processes log to this file.
+  --log=FILE      Write what the simulated processes log to this file.
   --runs=N        Runs of each case [default: 3].
   --jobs=N        Runs at once; left out, one a core.
   --report=OUT    Write a report (HTML) to this file, with plots.
--- a/crowseam/clock.py
+++ b/crowseam/clock.py
@@ -1,4 +1,4 @@
-"""The clocks that daemons read. The emulator puts virtual ones in their place; nobody else changes them."""
+"""The clocks that daemons read. The simulator puts virtual ones in their place; nobody else changes them."""
 
 import time as _time
 
--- a/crowseam/control_calls.py
+++ b/crowseam/control_calls.py
@@ -4,7 +4,7 @@
 
 # A path that ends with a slash is followed by one name, which is handed to the handler.
 TABLE: tuple[tuple[str, str, str], ...] = (
-    ("PUT", "/-/backends/", "beat"),
+    ("PUT", "/-/backends/", "heartbeat"),
     ("DELETE", "/-/backends/", "leave"),
     ("GET", "/-/config", "config_get"),
     ("PUT", "/-/config", "config_change"),
--- a/crowseam/controller/agreement.py
+++ b/crowseam/controller/agreement.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 from crowseam import clock, logs
-from crowseam.configuration.model import CatalogueError, Change, version_text
+from crowseam.configuration.model import Change, ConfigurationError, version_text
 from crowseam.consensus import messages as consensus
 from crowseam.consensus.node import Node
 from crowseam.consensus.records import Answer, Apply, Fresh, Persist, Send, Taken
 from crowseam.controller.disk import Archive
-from crowseam.controller.pending_calls import Slips, refusal
+from crowseam.controller.pending_calls import PendingCalls, refusal
 from crowseam.controller.state_machine import Again, Forgotten, Machine
 from crowseam.transport.http import Call
 
@@ -27,17 +27,17 @@
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, node: Node, machine: Machine, archive: Archive,
-                 slips: Slips, post: Callable[[str, consensus.Message], None],
+                 pending_calls: PendingCalls, post: Callable[[str, consensus.Message], None],
                  applied: Callable[[Apply], None]) -> None:
         self.loop, self.node, self.machine = loop, node, machine
-        self.archive, self.slips, self.post, self.applied = archive, slips, post, applied
+        self.archive, self.pending_calls, self.post, self.applied = archive, pending_calls, post, applied
 
     def take(self, addr: str, message: consensus.Message, now: float) -> None:
-        """What another registry says of agreement, or this one to itself."""
+        """What another controller says of agreement, or this one to itself."""
         self._carry(self.node.handle(addr, message, now))
 
     def hint(self, addr: str, last: int, now: float) -> None:
-        """Another registry knows the log up to slot `last`."""
+        """Another controller knows the log up to slot `last`."""
         self._carry(self.node.hint(addr, last, now))
 
     def tick(self, now: float) -> None:
@@ -48,17 +48,17 @@
             self._soon()
 
     def leave(self, now: float) -> None:
-        """This registry ends: it asks the others to strike it off."""
+        """This controller ends: it asks the others to strike it off."""
         self._carry(self.node.leave(now))
 
     def read(self, call: Call, now: float) -> None:
         """Answer with a configuration as new as any that was acknowledged before."""
-        self._carry(self.node.read(self.slips.keep(call), now, READ))
+        self._carry(self.node.read(self.pending_calls.keep(call), now, READ))
 
     def change(self, call: Call, change: Change, tag: str, now: float) -> None:
         """Propose a change under a `tag` that no other has; the call is answered with what became of it."""
         logs.say("change_asked", ver=version_text(change.ver), parent=version_text(change.parent))
-        self._carry(self.node.submit(self.slips.keep(call), lambda machine: machine.verdict(change, tag), now,
+        self._carry(self.node.submit(self.pending_calls.keep(call), lambda machine: machine.verdict(change, tag), now,
                                      ANSWER))
 
     def _carry(self, effects: list) -> None:
@@ -92,7 +92,7 @@
         self.archive.write(persist.records, done)
 
     def _answer(self, answer: Answer) -> None:
-        call = self.slips.take(answer.ticket)
+        call = self.pending_calls.take(answer.ticket)
         if call is None:
             return
         outcome = answer.outcome
@@ -100,7 +100,7 @@
             call.reply(200, b"{}")
         elif isinstance(outcome, Fresh):
             call.reply(200, self.machine.config.dump())
-        elif isinstance(outcome, CatalogueError):
+        elif isinstance(outcome, ConfigurationError):
             logs.say("change_refused", status=outcome.status, reason=outcome)
             call.reply(outcome.status, refusal(str(outcome)))
         elif isinstance(outcome, Forgotten):
--- a/crowseam/controller/api.py
+++ b/crowseam/controller/api.py
@@ -1,4 +1,4 @@
-"""The counter: the calls that servers and operators make of a registry, by the table in `crowseam.control_calls`."""
+"""The control API: the calls that servers and operators make of a controller, by the table in `crowseam.control_calls`."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 import msgspec
 
 from crowseam import clock, control_calls, logs
-from crowseam.configuration.model import CatalogueError, parse_change, version_text
+from crowseam.configuration.model import ConfigurationError, parse_change, version_text
 from crowseam.controller.agreement import Agreement
 from crowseam.controller.disk import Archive
-from crowseam.controller.gateway_sessions import Desks
+from crowseam.controller.gateway_sessions import GatewaySessions
 from crowseam.controller.peers import Peers
 from crowseam.controller.pending_calls import refusal
 from crowseam.controller.retirements import Retirements
 from crowseam.controller.server_reports import Reports
-from crowseam.discovery.service_registry import AccessionError, Register, check_id, parse_beat
+from crowseam.discovery.service_registry import DiscoveryError, ServiceRegistry, check_id, parse_heartbeat
 from crowseam.membership.duties import Duties
-from crowseam.membership.sessions import Roll
+from crowseam.membership.sessions import SessionTable
 from crowseam.quotas.shards import KEYS
 from crowseam.transport.http import Call
 from crowseam.transport.links import Link
 
 
-class Counter:
+class ControlApi:
     """Hands each call to the part that serves it, and shows operators what the parts know."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, rng: Random, peers: Peers, agreement: Agreement,
-                 register: Register, reports: Reports, retirements: Retirements, roll: Roll, desks: Desks,
+                 registry: ServiceRegistry, reports: Reports, retirements: Retirements, session_table: SessionTable, gateways: GatewaySessions,
                  duties: Duties, archive: Archive) -> None:
         self.loop = loop
-        self.rng, self.peers, self.agreement, self.register = rng, peers, agreement, register
-        self.reports, self.retirements, self.roll = reports, retirements, roll
-        self.desks, self.duties, self.archive = desks, duties, archive
+        self.rng, self.peers, self.agreement, self.registry = rng, peers, agreement, registry
+        self.reports, self.retirements, self.session_table = reports, retirements, session_table
+        self.gateways, self.duties, self.archive = gateways, duties, archive
         self.node, self.machine = agreement.node, agreement.machine
         self.closing = False    # whether the process is about to end, so that no more calls should come
         self._handlers = {name: getattr(self, f"call_{name}") for _, _, name in control_calls.TABLE}
@@ -48,7 +48,7 @@
         self.counts[name] = self.counts.get(name, 0) + 1
         try:
             self._handlers[name](call, ident, clock.monotonic())
-        except (AccessionError, CatalogueError) as error:
+        except (DiscoveryError, ConfigurationError) as error:
             call.reply(getattr(error, "status", 400), refusal(str(error)))
         except Exception:
             logs.failure("call_failed")
@@ -56,9 +56,9 @@
 
     # Servers
 
-    def call_beat(self, call: Call, ident: str, now: float) -> None:
+    def call_heartbeat(self, call: Call, ident: str, now: float) -> None:
         """A server's report."""
-        self.reports.beat(call, ident, parse_beat(ident, call.body), now)
+        self.reports.heartbeat(call, ident, parse_heartbeat(ident, call.body), now)
 
     def call_leave(self, call: Call, ident: str, now: float) -> None:
         """A server's last word."""
@@ -94,13 +94,13 @@
         self._tell(call, self.machine.history(), now)
 
     def call_servers(self, call: Call, _: str, now: float) -> None:
-        """All servers in the register."""
-        self._tell(call, [msgspec.structs.asdict(r) for r in self.register.records(now)], now)
+        """All servers in the registry."""
+        self._tell(call, [msgspec.structs.asdict(r) for r in self.registry.records(now)], now)
 
     def call_members(self, call: Call, _: str, now: float) -> None:
-        """Desks by the registry they have a session with, registries by their state, and who votes."""
+        """Gateways by the controller they have a session with, controllers by their state, and who votes."""
         states = {addr: self.peers.detector.state(addr, now) for addr in self.peers.dialers}
-        told = {"desks": self.roll.members(now), "registries": states | {self.peers.me: "self"},
+        told = {"gateways": self.session_table.members(now), "controllers": states | {self.peers.me: "self"},
                 "voters": self.peers.voters()}
         self._tell(call, told, now)
 
@@ -109,24 +109,24 @@
         self._tell(call, {key: self.duties.holder_of(key, now) for key in KEYS}, now)
 
     def call_status(self, call: Call, _: str, now: float) -> None:
-        """How this registry fares."""
+        """How this controller fares."""
         self._tell(call, {
             "addr": self.peers.me, "ver": version_text(self.machine.config.ver), "slot": self.node.last,
             "in_touch": self.peers.in_touch(now), "age_s": round(self.peers.age(now), 3),
             "voters": self.peers.voters(),
             "voting": self.node.voting,
-            "voter": self.node.me in self.node.voters, "desks": self.roll.count(now),
-            "servers": len(self.register.snapshot(now)), "silent": self.desks.quiet,
+            "voter": self.node.me in self.node.voters, "gateways": self.session_table.count(now),
+            "servers": len(self.registry.snapshot(now)), "silent": self.gateways.quiet,
             "disk_late_s": self.archive.stuck(), "unreadable": Link.unreadable}, now)
 
     def call_metrics(self, call: Call, _: str, now: float) -> None:
         """The figures, for Prometheus."""
         from crowseam.metrics import exposition, families
-        exposition.answer(call, self.loop, families.of_registry(self, now))
+        exposition.answer(call, self.loop, families.of_controller(self, now))
 
     def call_readyz(self, call: Call, _: str, now: float) -> None:
         """Whether calls should come here.
 
-        Also while it is out of touch: if all are, nobody would take beats or tell operators why.
+        Also while it is out of touch: if all are, nobody would take heartbeats or tell operators why.
         """
         call.reply(503 if self.closing else 200)
--- a/crowseam/controller/daemon.py
+++ b/crowseam/controller/daemon.py
@@ -1,15 +1,15 @@
-"""One registry: the process that wires the parts together, gives them the clock and hands them what comes.
+"""One controller: the process that wires the parts together, gives them the clock and hands them what comes.
 
-Nothing is decided here or in the parts beside: agreement is in `consensus`, reports in `accession`, who is
+Nothing is decided here or in the parts beside: agreement is in `consensus`, reports in `discovery`, who is
 there in `membership`, slices in `lending`.  The parts carry their messages and keep what they ask to have
 kept:
 
-- `peers`: links to the other registries.  `desks`: sessions of desks, and what all desks are told.
+- `peers`: links to the other controllers.  `gateways`: sessions of gateways, and what all gateways are told.
 - `reports`: what servers say, and what others hear of it.  `retirements`: servers taken out by an operator.
-- `agreement`: changes of the configuration.  `loans`: duties, and the slices lent under them.
-- `counter`: the calls of servers and operators.  `slips`: calls that wait.  `disk`: what is kept.
+- `agreement`: changes of the configuration.  `lease_service`: duties, and the slices lent under them.
+- `api`: the calls of servers and operators.  `pending_calls`: calls that wait.  `disk`: what is kept.
 
-Which message goes to which part is said in two tables of `Registry`, one for registries, one for desks.
+Which message goes to which part is said in two tables of `Controller`, one for controllers, one for gateways.
 """
 
 from __future__ import annotations
@@ -24,113 +24,113 @@
 import uvloop
 
 from crowseam import clock, logs
-from crowseam import settings as boots
+from crowseam import settings as settings_file
 from crowseam.configuration.model import version_text
 from crowseam.consensus import messages as consensus
 from crowseam.consensus.node import Node, Timing
 from crowseam.consensus.records import Apply
 from crowseam.controller.agreement import TICK, Agreement
-from crowseam.controller.api import Counter
+from crowseam.controller.api import ControlApi
 from crowseam.controller.disk import COUNTED, Archive, Disk
-from crowseam.controller.gateway_sessions import Desks, Session
-from crowseam.controller.lease_service import Loans
+from crowseam.controller.gateway_sessions import GatewaySessions, Session
+from crowseam.controller.lease_service import LeaseService
 from crowseam.controller.peers import PING, SESSIONS, Peers
-from crowseam.controller.pending_calls import Slips
+from crowseam.controller.pending_calls import PendingCalls
 from crowseam.controller.retirements import Retirements
 from crowseam.controller.server_reports import Reports
 from crowseam.controller.state_machine import Machine
 from crowseam.discovery import quorum
 from crowseam.discovery.digest import DigestOffer, RangeRecords, Repair
 from crowseam.discovery.handover import Handover, Learn, Learned
-from crowseam.discovery.service_registry import Register
+from crowseam.discovery.service_registry import ServiceRegistry
 from crowseam.membership import duties
-from crowseam.membership.sessions import Roll, SessionsTold
+from crowseam.membership.sessions import SessionsTold, SessionTable
 from crowseam.quotas.shards import KEYS
 from crowseam.storage.store import Note, Store
 from crowseam.transport import messages as m
 from crowseam.transport.http import Caller
 from crowseam.transport.links import Link
 
-TELL, REPAIR, SAVE = 0.5, 1.0, 1.0  # s between news to registries, comparisons of registers, writes of ours
+TELL, REPAIR, SAVE = 0.5, 1.0, 1.0  # s between news to controllers, comparisons of registries, writes of ours
 TICKET_BITS = 10    # of a ticket, below the microseconds at which the process began
-QUIET = 2.6     # beats without a sign of life after which desks are told that a server is silent
+QUIET = 2.6     # heartbeats without a sign of life after which gateways are told that a server is silent
 
 
-class Registry:
+class Controller:
     """The process: owner of the parts, of the listeners and of the timers.
 
-    `boot` are the settings, read from the file at `path` (None: where the environment says).  Raises
+    `settings` are the settings, read from the file at `path` (None: where the environment says).  Raises
     crowseam.storage.errors.StoreError where the disk can't be read.
     """
 
-    store_type, disk_type = Store, Disk     # the emulator has its own
+    store_type, disk_type = Store, Disk     # the simulator has its own
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, boot: boots.Boot, path: str | None = None,
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: settings_file.Settings, path: str | None = None,
                  rng: Random | None = None) -> None:
-        self.loop, self.boot, self.path = loop, boot, path
+        self.loop, self.settings, self.path = loop, settings, path
         self.rng = rng = rng or Random()
-        me, now = boot.bind.ctl, self.now()
+        me, now = settings.bind.ctl, self.now()
         begun = clock.time_ns() // 1000
         life = f"{begun:x}.{rng.getrandbits(32):08x}"
         # What decides, and the disk.
-        self.archive = Archive(loop, boot, rng, self.store_type, self.disk_type)
+        self.archive = Archive(loop, settings, rng, self.store_type, self.disk_type)
         self.disk = self.archive.disk
         self.machine = Machine()
         self.node = Node(consensus.Voter(self.archive.durable.id, me), self.archive.durable, self.machine,
-                         rng, Timing(poll_all=False), voting=self.disk is not None and boot.voting,
-                         survive=boot.survive.nodes, contacts=[seed for seed in boot.seeds if seed != me])
-        self.register = Register(life, now)
-        self.roll = Roll(me, life)
+                         rng, Timing(poll_all=False), voting=self.disk is not None and settings.voting,
+                         survive=settings.survive.nodes, contacts=[seed for seed in settings.seeds if seed != me])
+        self.registry = ServiceRegistry(life, now)
+        self.session_table = SessionTable(me, life)
         self.duties = duties.Duties(me, rng, now, KEYS, remembered=self.archive.granted())
-        repair, self.pending = Repair(self.register), quorum.Pending(me)
+        repair, self.pending = Repair(self.registry), quorum.Pending(me)
         self.handover = Handover(self.archive.durable.id or "", self.archive.counted)
         self._learned: list[Note] = []  # what has come of the answers that are waited for
         self._noted = False     # whether it is on disk that this voter counts, or about to be
         self._seated: tuple[int, bool, list] | None = None    # up to where the parts know the voters
         # What carries it out.
-        self.slips = Slips(begun << TICKET_BITS)
-        self.peers = Peers(loop, me, life, boot.port_range[0], self.node, self.roll, repair.offer,
+        self.pending_calls = PendingCalls(begun << TICKET_BITS)
+        self.peers = Peers(loop, me, life, settings.port_range[0], self.node, self.session_table, repair.offer,
                            self._heard, self._take)
-        self.desks = Desks(self.register, self.roll, self.machine, self.peers, self.archive.members(),
+        self.gateways = GatewaySessions(self.registry, self.session_table, self.machine, self.peers, self.archive.members(),
                            self.archive.whole and self.archive.granted() is not None, now)
-        self.agreement = Agreement(loop, self.node, self.machine, self.archive, self.slips, self.peers.post,
+        self.agreement = Agreement(loop, self.node, self.machine, self.archive, self.pending_calls, self.peers.post,
                                    self._applied)
-        self.loans = Loans(self.duties, self.machine, self.roll, self.desks, self.peers, self.archive)
-        self.retirements = Retirements(loop, self.register, self.pending, self.roll, self.peers, self.desks,
-                                       self.archive, self.slips)
-        self.reports = Reports(self.register, repair, self.pending, self.peers, self.desks, self.retirements,
-                               self.slips, now)
-        self.counter = Counter(loop, rng, self.peers, self.agreement, self.register, self.reports,
-                               self.retirements, self.roll, self.desks, self.duties, self.archive)
-        # Messages of registries, handled with (addr, message, now); what is not here is passed over.
-        self._of_registries = {
+        self.lease_service = LeaseService(self.duties, self.machine, self.session_table, self.gateways, self.peers, self.archive)
+        self.retirements = Retirements(loop, self.registry, self.pending, self.session_table, self.peers, self.gateways,
+                                       self.archive, self.pending_calls)
+        self.reports = Reports(self.registry, repair, self.pending, self.peers, self.gateways, self.retirements,
+                               self.pending_calls, now)
+        self.api = ControlApi(loop, rng, self.peers, self.agreement, self.registry, self.reports,
+                               self.retirements, self.session_table, self.gateways, self.duties, self.archive)
+        # Messages of controllers, handled with (addr, message, now); what is not here is passed over.
+        self._of_controllers = {
             m.Ping: self._pinged,
             **dict.fromkeys(consensus.Message.__args__, self.agreement.take),
-            **dict.fromkeys(duties.Message.__args__, self.loans.take),
+            **dict.fromkeys(duties.Message.__args__, self.lease_service.take),
             SessionsTold: self.peers.sessions_told,
             m.Rows: self.reports.rows, m.Heard: self.reports.heard,
             DigestOffer: self.reports.mend, RangeRecords: self.reports.mend,
             quorum.Hold: self.retirements.hold, quorum.Held: self.reports.held,
             m.Watch: self.retirements.watch, m.Watched: self.retirements.watched,
-            m.Ask: self._asked, m.Lent: self.loans.lent,
-            m.Draw: self.loans.draw_asked, m.Drawn: self.loans.drawn,
-            m.Ill: self.desks.complaint_told, Learn: self._learn, Learned: self._taught,
+            m.Ask: self._asked, m.Lent: self.lease_service.lent,
+            m.Draw: self.lease_service.draw_asked, m.Drawn: self.lease_service.drawn,
+            m.OutlierReport: self.gateways.complaint_told, Learn: self._learn, Learned: self._taught,
         }
-        # Messages of desks, handled with (session, message, now).
-        self._of_desks = {
-            m.Report: self._reported, m.Draw: self.loans.draw, m.Ill: self.desks.complaint,
-            m.Leaving: self.retirements.counted, m.Bye: self.desks.bye,
-            consensus.PartRequest: self.desks.part_asked, m.Following: self.desks.following,
+        # Messages of gateways, handled with (session, message, now).
+        self._of_gateways = {
+            m.Report: self._reported, m.Draw: self.lease_service.draw, m.OutlierReport: self.gateways.complaint,
+            m.Leaving: self.retirements.counted, m.Bye: self.gateways.bye,
+            consensus.PartRequest: self.gateways.part_asked, m.Following: self.gateways.following,
         }
         self._due_at = {"ping": 0.0, "tell": 0.0, "repair": 0.0, "save": now + SAVE}
-        self._quiet = QUIET * boots.seconds(boot.hb, "hb")  # s
+        self._quiet = QUIET * settings_file.seconds(settings.hb, "hb")  # s
         self._servers: list[asyncio.Server] = []
         self.stopping = False
         self.stopped: asyncio.Future = loop.create_future()
         try:
             self.reports.restore(self.archive.notes(), now)
         except msgspec.DecodeError as error:
-            logs.say("register_unreadable", error=error)
+            logs.say("registry_unreadable", error=error)
 
     def now(self) -> float:
         """Seconds of the steady clock."""
@@ -140,13 +140,13 @@
 
     async def start(self) -> None:
         """Listen, dial the seeds and begin. Raises OSError where an address can't be had."""
-        host, port = boots.address(self.boot.peer)
+        host, port = settings_file.address(self.settings.peer)
         self._servers.append(await self.loop.create_server(
             lambda: Link(self._heard, self._ended), host, port, reuse_address=True))
-        host, port = boots.address(self.boot.bind.ctl)
+        host, port = settings_file.address(self.settings.bind.ctl)
         self._servers.append(await self.loop.create_server(
-            lambda: Caller(self.counter.serve), host, port, reuse_address=True, backlog=512))
-        for seed in self.boot.seeds:
+            lambda: Caller(self.api.serve), host, port, reuse_address=True, backlog=512))
+        for seed in self.settings.seeds:
             self.peers.know(seed)
         self._tick()
         logs.say("started", addr=self.peers.me, voting=self.node.voting,
@@ -156,8 +156,8 @@
     def reload(self) -> None:
         """The settings may name other seeds."""
         try:
-            fresh = boots.read(self.path)
-        except boots.BootError as error:
+            fresh = settings_file.read(self.path)
+        except settings_file.SettingsError as error:
             return logs.say("settings_unread", error=error)
         for seed in fresh.seeds:
             self.peers.know(seed)
@@ -167,14 +167,14 @@
         """Hand duties over, leave the voters, serve what is under way, end: `stopped` is then done."""
         if self.stopping:
             return
-        self.stopping = self.counter.closing = True
-        logs.say("stopping", waiting=len(self.slips))
+        self.stopping = self.api.closing = True
+        logs.say("stopping", waiting=len(self.pending_calls))
         self.peers.post_all(self.duties.release(self.now()))
         self.agreement.leave(self.now())
         self.loop.call_later(0.3, self._end, 0)
 
     def _end(self, tries: int) -> None:
-        if (len(self.slips) or self.node.leaving) and tries < 12:
+        if (len(self.pending_calls) or self.node.leaving) and tries < 12:
             self.loop.call_later(0.1, self._end, tries + 1)
         elif not self.stopped.done():
             self.stopped.set_result(None)
@@ -192,8 +192,8 @@
         try:
             if not link.peer:
                 self._greeted(link, message)
-            elif (session := self.desks.sessions.get(link.peer)) is not None and session.link is link:
-                if (handler := self._of_desks.get(type(message))) is not None:
+            elif (session := self.gateways.sessions.get(link.peer)) is not None and session.link is link:
+                if (handler := self._of_gateways.get(type(message))) is not None:
                     handler(session, message, self.now())
             else:
                 self._take(link.peer, message)
@@ -205,13 +205,13 @@
         if isinstance(message, m.Hello):
             self.peers.greeted(link, message)
         elif isinstance(message, m.Open):
-            self.desks.open(link, message, self.now())
+            self.gateways.open(link, message, self.now())
         else:
             link.close()
 
     def _take(self, addr: str, message: m.Message) -> None:
-        """A message of another registry, or our own to ourselves."""
-        if (handler := self._of_registries.get(type(message))) is not None:
+        """A message of another controller, or our own to ourselves."""
+        if (handler := self._of_controllers.get(type(message))) is not None:
             now = self.now()
             self._seat(now)
             handler(addr, message, now)
@@ -219,7 +219,7 @@
     def _ended(self, link: Link) -> None:
         """A link that was dialled from elsewhere has ended."""
         now = self.now()
-        if not self.desks.ended(link, now) and link.peer in self.peers.dialers and not self.stopping:
+        if not self.gateways.ended(link, now) and link.peer in self.peers.dialers and not self.stopping:
             self.reports.lost(link.peer, now)
 
     # Messages, and changes, that concern more than one part
@@ -243,7 +243,7 @@
 
     def _learn(self, addr: str, learn: Learn, now: float) -> None:
         """A newcomer among the voters asks for what we have confirmed to others."""
-        learned = self.handover.answer(learn, self.register, self.duties.fences(), self.node.last,
+        learned = self.handover.answer(learn, self.registry, self.duties.fences(), self.node.last,
                                        self.node.voters_since, now)
         if learned is not None:
             self.peers.post(addr, learned)
@@ -252,7 +252,7 @@
         """A voter's answer: with that of a majority on our disk we may count."""
         if self.handover.ready:
             return
-        self._learned += self.retirements.learn(learned.records, now) + self.loans.learn(learned.fences)
+        self._learned += self.retirements.learn(learned.records, now) + self.lease_service.learn(learned.fences)
         if not self.handover.take(learned):
             return
         notes, self._learned = self._learned, []
@@ -276,15 +276,15 @@
         if ask.key == SESSIONS:
             self.peers.sessions_asked(addr, now)
         else:
-            self.loans.asked(addr, ask, now)
+            self.lease_service.asked(addr, ask, now)
 
     def _reported(self, session: Session, report: m.Report, now: float) -> None:
-        self.roll.renewed(session.desk, now)
-        self.loans.report(session, report, now)
+        self.session_table.renewed(session.gateway, now)
+        self.lease_service.report(session, report, now)
 
     def _applied(self, applied: Apply) -> None:
-        self.loans.sort_tenants()
-        self.desks.follow(applied)
+        self.lease_service.sort_tenants()
+        self.gateways.follow(applied)
 
     # What is due
 
@@ -307,44 +307,44 @@
             self.peers.post_all(self.handover.tick(now, self.node.last, self.node.voters_since))
             if self.handover.counts and not self._noted:
                 self._note_counted()
-        self.desks.borrowers.look(now, self.peers.in_touch(now))
-        self.loans.tick(now, live, voters)
+        self.gateways.borrowers.look(now, self.peers.in_touch(now))
+        self.lease_service.tick(now, live, voters)
         self.reports.tick(now)
         if now >= due["ping"]:
             due["ping"] = now + PING
             self.peers.ping(now)
-            self.desks.pulse(now)
+            self.gateways.pulse(now)
         if now >= due["tell"]:
             due["tell"] = now + TELL
             self.reports.tell(now)
             self.peers.tell_sessions(now)
-            self.desks.lapse(now)
-            self.desks.mind_servers(now, self._quiet)
-            if self.desks.shunned:
-                self.desks.mind_ills(now)
-            self.peers.forget(now, voters.union(self.boot.seeds))
+            self.gateways.lapse(now)
+            self.gateways.mind_servers(now, self._quiet)
+            if self.gateways.shunned:
+                self.gateways.mind_outliers(now)
+            self.peers.forget(now, voters.union(self.settings.seeds))
         if now >= due["repair"]:
             due["repair"] = now + REPAIR * self.rng.uniform(0.8, 1.2)
             if near := sorted(live):
                 self.reports.offer(self.rng.choice(near), now)
         if now >= due["save"]:
             due["save"] = now + SAVE
-            if records := [*self.desks.unsaved(now), *self.reports.unsaved(now)]:
+            if records := [*self.gateways.unsaved(now), *self.reports.unsaved(now)]:
                 self.archive.write(records, self.reports.saved)
 
 
-async def serve(boot: boots.Boot) -> None:
-    """Run one registry until it is told to stop."""
+async def serve(settings: settings_file.Settings) -> None:
+    """Run one controller until it is told to stop."""
     loop = asyncio.get_running_loop()
-    registry = Registry(loop, boot)
-    loop.add_signal_handler(signal.SIGHUP, registry.reload)
+    controller = Controller(loop, settings)
+    loop.add_signal_handler(signal.SIGHUP, controller.reload)
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, registry.stop)
-    await registry.start()
+        loop.add_signal_handler(number, controller.stop)
+    await controller.start()
     gc.collect()
     gc.freeze()
-    await registry.stopped
-    registry.close()
+    await controller.stopped
+    controller.close()
 
 
 def main() -> int:
@@ -352,15 +352,15 @@
     from crowseam.storage.errors import StoreError
     signal.signal(signal.SIGHUP, signal.SIG_IGN)    # the file is about to be read anyway
     try:
-        boot = boots.read()
-        if not boot.bind.ctl:
-            raise boots.BootError("bind.ctl is missing")
-    except boots.BootError as error:
+        settings = settings_file.read()
+        if not settings.bind.ctl:
+            raise settings_file.SettingsError("bind.ctl is missing")
+    except settings_file.SettingsError as error:
         print(f"crowseam: {error}", file=sys.stderr)
         return 2
-    logs.begin("registry", boot.hostname)
+    logs.begin("controller", settings.hostname)
     try:
-        uvloop.run(serve(boot))
+        uvloop.run(serve(settings))
     except (OSError, StoreError) as error:
         logs.say("ended", error=error)
         return 1
--- a/crowseam/controller/disk.py
+++ b/crowseam/controller/disk.py
@@ -1,4 +1,4 @@
-"""What a registry keeps on its disk, and the one thread that waits on it, so that the loop never does."""
+"""What a controller keeps on its disk, and the one thread that waits on it, so that the loop never does."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from crowseam import logs
 from crowseam.consensus.records import Durable
 from crowseam.consensus.voters import settle
-from crowseam.settings import Boot
+from crowseam.settings import Settings
 from crowseam.storage.errors import StoreError
 from crowseam.storage.store import Store
 
 SLOW = 0.5      # s after which a write that is still out is told of
-WHOLE = "known/whole"   # the note that the desks on disk are all that may hold leases
+WHOLE = "known/whole"   # the note that the gateways on disk are all that may hold leases
 COUNTED = "counted"     # the note that this voter has learned all that the voters before it knew
 DUTY = "duty/"  # what comes before a key in the name of the note that says whom it was granted
 
@@ -84,31 +84,31 @@
 
 
 class Archive:
-    """What this registry keeps over restarts, on its disk if it has one.
+    """What this controller keeps over restarts, on its disk if it has one.
 
     `durable` is the voter's part as read back; `disk` is None without a directory for data.  Raises
     crowseam.storage.errors.StoreError where the store can't be opened.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, boot: Boot, rng: Random,
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, rng: Random,
                  store_type: Callable[[str], Store] = Store, disk_type: type[Disk] = Disk) -> None:
         self.disk: Disk | None = None
         self.counted = False    # whether this voter had learned what those before it knew
         self._blank = True  # whether it may have forgotten what it granted
-        self.whole = boot.bootstrap     # whether `members` are all that may hold a lease
-        if not boot.datadir:
+        self.whole = settings.bootstrap     # whether `members` are all that may hold a lease
+        if not settings.datadir:
             # A seed without a disk is a founder all the same, until machines with disks have taken its place.
             self.durable = Durable()
-            settle(self.durable, boot.bind.ctl, boot.seeds, boot.bootstrap, rng)
+            settle(self.durable, settings.bind.ctl, settings.seeds, settings.bootstrap, rng)
             return
-        store = store_type(os.path.join(boot.datadir, "crowseam.db"))
+        store = store_type(os.path.join(settings.datadir, "crowseam.db"))
         store.open()
         self.durable = durable = store.load()
-        self.whole = boot.bootstrap or WHOLE in store.notes()
-        self._blank = (durable.id is None or store.set_aside) and not boot.bootstrap
+        self.whole = settings.bootstrap or WHOLE in store.notes()
+        self._blank = (durable.id is None or store.set_aside) and not settings.bootstrap
         counted = store.notes().get(COUNTED, b"").decode()
-        records = settle(durable, boot.bind.ctl, boot.seeds, boot.bootstrap, rng)
-        self.counted = durable.id == counted or durable.id == f"genesis/{boot.bind.ctl}"
+        records = settle(durable, settings.bind.ctl, settings.seeds, settings.bootstrap, rng)
+        self.counted = durable.id == counted or durable.id == f"genesis/{settings.bind.ctl}"
         if records:
             store.write(records)
         logs.say("store_open", id=durable.id, floor=durable.floor, set_aside=store.set_aside)
@@ -119,7 +119,7 @@
         return {} if self.disk is None else self.disk.store.notes()
 
     def members(self) -> set[str]:
-        """The desks that may hold a lease, as of before the start."""
+        """The gateways that may hold a lease, as of before the start."""
         return set() if self.disk is None else set(self.disk.store.members())
 
     def granted(self) -> dict[str, str] | None:
@@ -131,7 +131,7 @@
     def write(self, records: list, done: Callable[[bool], None]) -> None:
         """`done(ok)` is called on the loop once the records are synced, or could not be written.
 
-        Without a disk it is called at once: such a registry does not vote, so nothing that others rely on
+        Without a disk it is called at once: such a controller does not vote, so nothing that others rely on
         hangs on what it keeps.
         """
         if self.disk is None:
--- a/crowseam/controller/gateway_sessions.py
+++ b/crowseam/controller/gateway_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of desks: opened, brought up to date, told the news, ended."""
+"""The sessions of gateways: opened, brought up to date, told the news, ended."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 from crowseam.controller.disk import WHOLE
 from crowseam.controller.peers import Peers
 from crowseam.controller.state_machine import Machine
-from crowseam.discovery.service_registry import Register
-from crowseam.membership.outliers import Ills
-from crowseam.membership.sessions import Roll
+from crowseam.discovery.service_registry import ServiceRegistry
+from crowseam.membership.outliers import OutlierDetector
+from crowseam.membership.sessions import SessionTable
 from crowseam.quotas.leases import Known
 from crowseam.storage.store import Member, Note
 from crowseam.transport import messages as m
 from crowseam.transport.links import Link, frame
 
-SEEN = 120.0    # s for which it is known when a desk was last a member
-LEASED = 9.0    # s after it was last a member that a desk may still hold a lease
+SEEN = 120.0    # s for which it is known when a gateway was last a member
+LEASED = 9.0    # s after it was last a member that a gateway may still hold a lease
 PART = 32 << 10     # bytes of a configuration, packed, from which on it goes in parts; and of steps at a time
 LITTLE = 4 << 10    # bytes of steps that are sent rather than any configuration
 HOLD = 10.0     # s after it was last asked for that a large configuration is kept as it was sent
 
 
 class Session:
-    """A desk's session here.
+    """A gateway's session here.
 
-    `slot` is the place in the log, `place` the place in the register up to which the desk was told.
-    `parts`: the desk knows how to fetch a configuration; `fetches`: it does, and is told no steps until it
+    `slot` is the place in the log, `place` the place in the registry up to which the gateway was told.
+    `parts`: the gateway knows how to fetch a configuration; `fetches`: it does, and is told no steps until it
     has it; `late`: it is told those that it lacks a few at a time.
     """
 
-    __slots__ = ("link", "desk", "life", "hop", "place", "slot", "parts", "fetches", "late")
+    __slots__ = ("link", "gateway", "life", "hop", "place", "slot", "parts", "fetches", "late")
 
-    def __init__(self, link: Link, desk: str, life: int, hop: int, parts: bool = False) -> None:
-        self.link, self.desk, self.life, self.hop, self.parts = link, desk, life, hop, parts
+    def __init__(self, link: Link, gateway: str, life: int, hop: int, parts: bool = False) -> None:
+        self.link, self.gateway, self.life, self.hop, self.parts = link, gateway, life, hop, parts
         self.place, self.slot = -1, -1
         self.fetches = self.late = False
 
 
-class Desks:
-    """The desks that follow this registry, and what all of them are told. Times are seconds (steady).
+class GatewaySessions:
+    """The gateways that follow this controller, and what all of them are told. Times are seconds (steady).
 
     `kept` are those that may hold a lease, as of before the start; `whole`: these are all.
     """
 
-    def __init__(self, register: Register, roll: Roll, machine: Machine, peers: Peers, kept: set[str],
+    def __init__(self, registry: ServiceRegistry, session_table: SessionTable, machine: Machine, peers: Peers, kept: set[str],
                  whole: bool, now: float) -> None:
-        self.register, self.roll, self.machine, self.peers = register, roll, machine, peers
+        self.registry, self.session_table, self.machine, self.peers = registry, session_table, machine, peers
         self.node = peers.node
         self.sessions: dict[str, Session] = {}
         self.source = Source(HOLD)
@@ -62,33 +62,33 @@
         self._kept = kept       # those of them that are on disk
         self._noted: bool | None = None     # whether the disk says that these are all
         self.quiet: list[str] = []      # servers of which nothing has been heard for a while
-        self._met = False       # whether this registry has been in touch
+        self._met = False       # whether this controller has been in touch
         self._touched = -inf    # since when it is again, after it was not; inf while it is not
         self.shunned: list[str] = []
-        self.ills = Ills()
+        self.outliers = OutlierDetector()
 
     # Sessions
 
     def open(self, link: Link, message: m.Open, now: float) -> None:
-        """Begin a session, in place of any that the desk had here, and bring the desk up to date."""
-        link.peer = message.desk
-        old = self.sessions.get(message.desk)
-        session = self.sessions[message.desk] = Session(
-            link, message.desk, message.life, message.hop, message.parts)
+        """Begin a session, in place of any that the gateway had here, and bring the gateway up to date."""
+        link.peer = message.gateway
+        old = self.sessions.get(message.gateway)
+        session = self.sessions[message.gateway] = Session(
+            link, message.gateway, message.life, message.hop, message.parts)
         if old is not None:
             old.link.close()
-        self.roll.opened(message.desk, str(message.life), now, message.hop, message.az)
+        self.session_table.opened(message.gateway, str(message.life), now, message.hop, message.az)
         link.send(m.Welcome(self.peers.me, [self.peers.me, *self.peers.names(now)]))
-        records = self.register.since(message.register, message.place, now)
+        records = self.registry.since(message.registry, message.place, now)
         whole = records is None
-        life, session.place = self.register.place
-        rows = self.register.snapshot(now) if whole else records
+        life, session.place = self.registry.place
+        rows = self.registry.snapshot(now) if whole else records
         link.send(m.Servers(life, session.place, whole, rows), m.Quiet(self.quiet), m.Shun(self.shunned))
         # Servers first: a large configuration takes a while to come, and some of them may have left.
         session.slot = message.slot
         self._catch_up(session)
-        link.send(m.Pulse(self.roll.count(now), self.node.last, self.peers.current(now)))
-        logs.say("session_opened", desk=message.desk, slot=message.slot, whole=whole)
+        link.send(m.Pulse(self.session_table.count(now), self.node.last, self.peers.current(now)))
+        logs.say("session_opened", gateway=message.gateway, slot=message.slot, whole=whole)
 
     def ended(self, link: Link, now: float) -> bool:
         """A link has ended; whether it was that of a session."""
@@ -96,30 +96,30 @@
         if session is None or session.link is not link:
             return False
         del self.sessions[link.peer]
-        self.roll.closed(session.desk, str(session.life), now)
-        logs.say("session_closed", desk=session.desk)
+        self.session_table.closed(session.gateway, str(session.life), now)
+        logs.say("session_closed", gateway=session.gateway)
         return True
 
     def bye(self, session: Session, _: m.Bye, now: float) -> None:
-        """The desk stops; it counts as a member no longer."""
-        self.roll.closed(session.desk, str(session.life), now, leaving=True)
+        """The gateway stops; it counts as a member no longer."""
+        self.session_table.closed(session.gateway, str(session.life), now, leaving=True)
 
     def lapse(self, now: float) -> None:
-        """End the sessions of desks that have reported nothing for too long."""
-        for desk in self.roll.tick(now):
-            if (session := self.sessions.pop(desk, None)) is not None:
-                logs.say("session_lapsed", desk=desk)
+        """End the sessions of gateways that have reported nothing for too long."""
+        for gateway in self.session_table.tick(now):
+            if (session := self.sessions.pop(gateway, None)) is not None:
+                logs.say("session_lapsed", gateway=gateway)
                 session.link.close()
 
     def unsaved(self, now: float) -> list[Member | Note]:
-        """What is to be kept of desks that may hold a lease, or no longer do; it then counts as kept."""
-        members = self.roll.members(now)
+        """What is to be kept of gateways that may hold a lease, or no longer do; it then counts as kept."""
+        members = self.session_table.members(now)
         self.borrowers.saw(members, now)
-        self.seen = {desk: at for desk, at in self.seen.items() if now - at < SEEN}
+        self.seen = {gateway: at for gateway, at in self.seen.items() if now - at < SEEN}
         self.seen.update(dict.fromkeys(members, now))
         lately = self.borrowers.lately(now)
-        records: list[Member | Note] = [Member(desk, b"") for desk in lately - self._kept]
-        records += [Member(desk, None) for desk in self._kept - lately]
+        records: list[Member | Note] = [Member(gateway, b"") for gateway in lately - self._kept]
+        records += [Member(gateway, None) for gateway in self._kept - lately]
         self._kept = lately
         if (whole := self.borrowers.known(now) is not None) != self._noted:
             self._noted = whole
@@ -129,7 +129,7 @@
     # The configuration
 
     def follow(self, applied: Apply) -> None:
-        """Tell the desks what was agreed on."""
+        """Tell the gateways what was agreed on."""
         entry = applied.entry
         if isinstance(entry, consensus.Change):
             logs.say("applied", slot=applied.slot, ver=version_text(entry.ver))
@@ -147,9 +147,9 @@
                 self._catch_up(session)
 
     def _catch_up(self, session: Session) -> None:
-        """Bring a desk from its place to ours: by the log where that is kept and little, else by a state.
+        """Bring a gateway from its place to ours: by the log where that is kept and little, else by a state.
 
-        What is more than PART comes a little at a time, for the desk waits for pulses and slices behind it.
+        What is more than PART comes a little at a time, for the gateway waits for pulses and slices behind it.
         """
         session.late = False
         if session.fetches or session.slot >= self.node.last:
@@ -189,7 +189,7 @@
         return sealed(self.node.last, m.pack(self.machine.config.dump()), now)
 
     def part_asked(self, session: Session, asked: consensus.PartRequest, now: float) -> None:
-        """A desk fetches a large configuration."""
+        """A gateway fetches a large configuration."""
         kept = self.source.sealed_for(asked, self.node.first, self.node.last, lambda: self._seal(now), now)
         if kept is None:
             return session.link.send(consensus.SnapshotPart(asked.slot, asked.digest, 0, asked.offset, b""))
@@ -197,36 +197,36 @@
         session.link.send(consensus.SnapshotPart(kept.slot, kept.digest, len(kept.data), asked.offset, data))
 
     def following(self, session: Session, told: m.Following, now: float) -> None:
-        """A desk has fetched a configuration, or given it up."""
+        """A gateway has fetched a configuration, or given it up."""
         session.fetches, session.slot = False, told.slot
         self._catch_up(session)
 
     # Servers
 
     def tell_news(self, now: float) -> None:
-        """Tell each desk what changed in the register since it was last told."""
-        life, place = self.register.place
+        """Tell each gateway what changed in the registry since it was last told."""
+        life, place = self.registry.place
         frames: dict[int, bytes] = {}
         for session in self.sessions.values():
             if session.place >= place:
                 continue
             if session.place not in frames:
-                records = self.register.since(life, session.place, now)
+                records = self.registry.since(life, session.place, now)
                 whole = records is None
                 frames[session.place] = frame(m.Servers(
-                    life, place, whole, self.register.snapshot(now) if whole else records))
+                    life, place, whole, self.registry.snapshot(now) if whole else records))
             session.link.write(frames[session.place])
             session.place = place
 
     def mind_servers(self, now: float, after: float) -> None:
-        """Tell the desks which servers are gone or have been silent for `after` s, when that changes.
+        """Tell the gateways which servers are gone or have been silent for `after` s, when that changes.
 
-        Servers that were not silent before are so only once this registry has been in touch for as long:
-        until then it is the registry that has not heard them, while they told others.
+        Servers that were not silent before are so only once this controller has been in touch for as long:
+        until then it is the controller that has not heard them, while they told others.
         """
-        if self.register.expire(now):
+        if self.registry.expire(now):
             self.tell_news(now)
-        quiet = self.register.silent(now, after)
+        quiet = self.registry.silent(now, after)
         if self.peers.in_touch(now):
             self._met = True
             self._touched = now if self._touched == inf else self._touched
@@ -238,20 +238,20 @@
             self.quiet = quiet
             self.tell(m.Quiet(quiet))
 
-    def complaint(self, session: Session, ill: m.Ill, now: float) -> None:
-        """A desk here complains of servers, or no longer does; all registries hear of it."""
-        self.ills.tell(session.desk, ill.news, now)
-        self.peers.broadcast(m.Ill(session.desk, ill.news))
-        self.mind_ills(now)
+    def complaint(self, session: Session, ill: m.OutlierReport, now: float) -> None:
+        """A gateway here complains of servers, or no longer does; all controllers hear of it."""
+        self.outliers.tell(session.gateway, ill.news, now)
+        self.peers.broadcast(m.OutlierReport(session.gateway, ill.news))
+        self.mind_outliers(now)
 
-    def complaint_told(self, _: str, ill: m.Ill, now: float) -> None:
-        """Another registry passes on what a desk complains of."""
-        self.ills.tell(ill.desk, ill.news, now)
-        self.mind_ills(now)
+    def complaint_told(self, _: str, ill: m.OutlierReport, now: float) -> None:
+        """Another controller passes on what a gateway complains of."""
+        self.outliers.tell(ill.gateway, ill.news, now)
+        self.mind_outliers(now)
 
-    def mind_ills(self, now: float) -> None:
-        """Tell the desks which servers the fleet shuns, when that changes."""
-        shunned = self.ills.shunned(self.register.service_of, self.register.size_of, now)
+    def mind_outliers(self, now: float) -> None:
+        """Tell the gateways which servers the fleet shuns, when that changes."""
+        shunned = self.outliers.shunned(self.registry.service_of, self.registry.size_of, now)
         if shunned != self.shunned:
             logs.say("shunned", servers=",".join(shunned))
             self.shunned = shunned
@@ -262,20 +262,20 @@
     def pulse(self, now: float) -> None:
         """A sign of life to each."""
         # One for all sessions: to count the members goes through all of them.
-        self.tell(m.Pulse(self.roll.count(now), self.node.last, self.peers.current(now)))
+        self.tell(m.Pulse(self.session_table.count(now), self.node.last, self.peers.current(now)))
         for session in self.sessions.values():
             if session.late:
                 self._catch_up(session)
 
     def tell(self, message: m.Message) -> None:
-        """Send to each desk that has a session here."""
+        """Send to each gateway that has a session here."""
         data = frame(message)
         for session in self.sessions.values():
             session.link.write(data)
 
-    def pass_on(self, desk: str, message: m.Message) -> None:
-        """Send to one desk; it is lost where that has no session here."""
-        if (session := self.sessions.get(desk)) is not None:
+    def pass_on(self, gateway: str, message: m.Message) -> None:
+        """Send to one gateway; it is lost where that has no session here."""
+        if (session := self.sessions.get(gateway)) is not None:
             session.link.send(message)
 
 
--- a/crowseam/controller/lease_service.py
+++ b/crowseam/controller/lease_service.py
@@ -6,36 +6,36 @@
 
 from crowseam import logs
 from crowseam.controller.disk import DUTY, Archive
-from crowseam.controller.gateway_sessions import Desks, Session
+from crowseam.controller.gateway_sessions import GatewaySessions, Session
 from crowseam.controller.peers import Peers
 from crowseam.controller.state_machine import Machine
 from crowseam.membership import duties
-from crowseam.membership.sessions import Roll
-from crowseam.quotas.leases import Held, Lease, Lender, LendingTerms, Reserve
+from crowseam.membership.sessions import SessionTable
+from crowseam.quotas.leases import Held, Lease, LeaseTerms, Lender, Reserve
 from crowseam.quotas.shards import KEYS, duty_of
 from crowseam.storage.store import Note
 from crowseam.transport import messages as m
 
-STRIKE = 1.0    # s between two looks for desks that borrow no more
-NOT_HERE = 0.12  # s after which a desk may draw again that came to a registry without the reserve
-TERMS = LendingTerms(reserve=0.35, least=0.05)
+STRIKE = 1.0    # s between two looks for gateways that borrow no more
+NOT_HERE = 0.12  # s after which a gateway may draw again that came to a controller without the reserve
+TERMS = LeaseTerms(reserve=0.35, least=0.05)
 
 
-class Loans:
-    """A lender and a reserve for each duty held here; a desk's report goes to whoever holds the duty.
+class LeaseService:
+    """A lender and a reserve for each duty held here; a gateway's report goes to whoever holds the duty.
 
-    A report of a desk that no majority of the voters has as a borrower waits until one has.  Times are
+    A report of a gateway that no majority of the voters has as a borrower waits until one has.  Times are
     seconds of the steady clock, rates requests a second.
     """
 
-    def __init__(self, held: duties.Duties, machine: Machine, roll: Roll, desks: Desks, peers: Peers,
+    def __init__(self, held: duties.Duties, machine: Machine, session_table: SessionTable, gateways: GatewaySessions, peers: Peers,
                  archive: Archive) -> None:
-        self.duties, self.machine, self.roll = held, machine, roll
-        self.desks, self.peers, self.archive = desks, peers, archive
+        self.duties, self.machine, self.session_table = held, machine, session_table
+        self.gateways, self.peers, self.archive = gateways, peers, archive
         self.lenders: dict[str, Lender] = {}
         self.reserves: dict[str, Reserve] = {}
         self._writing = 0   # writes of grants that are out
-        # By duty and desk: reports that wait until a majority has the desk among the borrowers.
+        # By duty and gateway: reports that wait until a majority has the gateway among the borrowers.
         self._unnamed: dict[str, dict[str, tuple[dict[str, float], Held, Callable[[Lease], None]]]] = {}
         self._struck_at = 0.0   # when those that borrow no more were last looked for
         self._limited: dict[str, list[str]] = {}    # tenants with a quota, by duty
@@ -53,7 +53,7 @@
     def tick(self, now: float, live: set[str], voters: set[str]) -> None:
         """Take, renew and give up duties; to be called some times a second."""
         self._carry(self.duties.tick(now, live, voters))
-        expect = self.roll.count(now) if self.lenders else 0
+        expect = self.session_table.count(now) if self.lenders else 0
         strike = now - self._struck_at >= STRIKE
         if strike:
             self._struck_at = now
@@ -74,7 +74,7 @@
         return [Note(DUTY + key, note.encode()) for key, note in self.duties.take_unsaved().items()]
 
     def take(self, addr: str, message: duties.Message, now: float) -> None:
-        """What another registry says of duties."""
+        """What another controller says of duties."""
         self._carry(self.duties.handle(addr, message, now))
         if self._unnamed:
             self._answer_named(now)
@@ -102,30 +102,30 @@
     # Leases
 
     def report(self, session: Session, report: m.Report, now: float) -> None:
-        """A desk says what it was asked for and holds; its leases come from here, or from the holders."""
+        """A gateway says what it was asked for and holds; its leases come from here, or from the holders."""
         for key, held in report.held.items():
             if key not in KEYS:
                 continue
             asks = {tenant: rate for tenant, rate in report.asks.items() if duty_of(tenant) == key}
             holder = self.duties.holder_of(key, now)
             if holder == self.peers.me:
-                self._lease(session.desk, key, asks, held, now,
+                self._lease(session.gateway, key, asks, held, now,
                             lambda lease, key=key: session.link.send(m.Slice(key, lease)))
             elif holder is not None:
-                self.peers.post(holder, m.Ask(session.desk, key, asks, held))
+                self.peers.post(holder, m.Ask(session.gateway, key, asks, held))
 
     def asked(self, addr: str, ask: m.Ask, now: float) -> None:
-        """A desk's report that another registry passes on."""
-        self._lease(ask.desk, ask.key, ask.asks, ask.held, now,
-                    lambda lease: self.peers.post(addr, m.Lent(ask.desk, ask.key, lease)))
+        """A gateway's report that another controller passes on."""
+        self._lease(ask.gateway, ask.key, ask.asks, ask.held, now,
+                    lambda lease: self.peers.post(addr, m.Lent(ask.gateway, ask.key, lease)))
 
     def lent(self, _: str, lent: m.Lent, now: float) -> None:
-        """The holder's answer, for a desk here."""
-        self.desks.pass_on(lent.desk, m.Slice(lent.key, lent.lease))
+        """The holder's answer, for a gateway here."""
+        self.gateways.pass_on(lent.gateway, m.Slice(lent.key, lent.lease))
 
-    def _lease(self, desk: str, key: str, asks: dict[str, float], held: Held, now: float,
+    def _lease(self, gateway: str, key: str, asks: dict[str, float], held: Held, now: float,
                answer: Callable[[Lease], None]) -> None:
-        """Have a desk's report answered, once a majority knows that it borrows."""
+        """Have a gateway's report answered, once a majority knows that it borrows."""
         fence = self.duties.holds(key, now)
         if fence is None:
             return
@@ -133,10 +133,10 @@
             self._carry(self.duties.saw(key, held.fence, now))
             return
         self._lender(key, fence, now)
-        self.desks.borrowers.saw([desk], now)
-        self._unnamed.setdefault(key, {})[desk] = asks, held, answer
-        if not self.duties.named(key, desk):
-            self._carry(self.duties.name(key, [desk], now))
+        self.gateways.borrowers.saw([gateway], now)
+        self._unnamed.setdefault(key, {})[gateway] = asks, held, answer
+        if not self.duties.named(key, gateway):
+            self._carry(self.duties.name(key, [gateway], now))
         self._answer_named(now)
 
     def _lender(self, key: str, fence: int, now: float) -> None:
@@ -146,26 +146,26 @@
             return
         named = self.duties.borrowers(key)
         known = named
-        if named is None:   # as far as this registry has seen itself
-            self.desks.borrowers.saw(self.roll.members(now), now)
-            known = self.desks.borrowers.known(now)
+        if named is None:   # as far as this controller has seen itself
+            self.gateways.borrowers.saw(self.session_table.members(now), now)
+            known = self.gateways.borrowers.known(now)
         self.duties.begin_list(key, named or (), now, partial=named is None)
         self._unnamed.pop(key, None)
-        self.lenders[key] = Lender(fence, known, self.roll.count(now), now, TERMS, self._rate,
+        self.lenders[key] = Lender(fence, known, self.session_table.count(now), now, TERMS, self._rate,
                                    lambda: self._limited.get(key, ()))
         self.reserves[key] = Reserve(now)
         logs.say("duty_taken", key=key, fence=fence, known=-1 if known is None else len(known),
                  named=named is not None)
 
     def _answer_named(self, now: float) -> None:
-        """Answer the reports of desks that a majority has as borrowers by now."""
+        """Answer the reports of gateways that a majority has as borrowers by now."""
         for key, waiting in list(self._unnamed.items()):
             lender = self.lenders[key]
             if self.duties.holds(key, now) != lender.fence:
                 continue    # the next look at the duties ends it
-            for desk in [desk for desk in waiting if self.duties.named(key, desk)]:
-                asks, held, answer = waiting.pop(desk)
-                if (lease := lender.report(desk, asks, held, now)) is not None:
+            for gateway in [gateway for gateway in waiting if self.duties.named(key, gateway)]:
+                asks, held, answer = waiting.pop(gateway)
+                if (lease := lender.report(gateway, asks, held, now)) is not None:
                     answer(lease)
             if not waiting:
                 del self._unnamed[key]
@@ -177,7 +177,7 @@
     # The reserve
 
     def draw(self, session: Session, draw: m.Draw, now: float) -> None:
-        """A desk here draws from the reserve."""
+        """A gateway here draws from the reserve."""
         holder = self.duties.holder_of(duty_of(draw.tenant), now)
         if holder is None or holder == self.peers.me:
             session.link.send(self._drawn(draw, now))
@@ -185,21 +185,21 @@
             self.peers.post(holder, draw)
 
     def draw_asked(self, addr: str, draw: m.Draw, now: float) -> None:
-        """A desk of another registry draws."""
+        """A gateway of another controller draws."""
         self.peers.post(addr, self._drawn(draw, now))
 
     def drawn(self, _: str, drawn: m.Drawn, now: float) -> None:
-        """The holder's answer, for a desk here."""
-        self.desks.pass_on(drawn.desk, drawn)
+        """The holder's answer, for a gateway here."""
+        self.gateways.pass_on(drawn.gateway, drawn)
 
     def _drawn(self, draw: m.Draw, now: float) -> m.Drawn:
-        """Hand out of the reserve, if it is ours and this registry knows the tenant."""
+        """Hand out of the reserve, if it is ours and this controller knows the tenant."""
         key = duty_of(draw.tenant)
         item = self.machine.config.items.get(("tenants", draw.tenant))
         lender = self.lenders.get(key)
         if item is None or lender is None or self.duties.holds(key, now) != lender.fence:
-            return m.Drawn(draw.desk, draw.number, 0, NOT_HERE)
+            return m.Drawn(draw.gateway, draw.number, 0, NOT_HERE)
         part = lender.reserve(draw.tenant)
         given, wait = self.reserves[key].draw(draw.tenant, part * (item.spec.rate_per_s or 0.0),
                                               part * (item.spec.burst or 0.0), draw.count, now)
-        return m.Drawn(draw.desk, draw.number, given, wait)
+        return m.Drawn(draw.gateway, draw.number, given, wait)
--- a/crowseam/controller/peers.py
+++ b/crowseam/controller/peers.py
@@ -1,4 +1,4 @@
-"""Links to the other registries: who they are, who is near, and what goes to one or to all of them."""
+"""Links to the other controllers: who they are, who is near, and what goes to one or to all of them."""
 
 from __future__ import annotations
 
@@ -6,37 +6,37 @@
 from collections.abc import Callable, Iterable
 
 from crowseam import clock, logs
-from crowseam import settings as boots
+from crowseam import settings as settings_file
 from crowseam.consensus.node import Node
 from crowseam.membership.failure_detector import Detector
-from crowseam.membership.sessions import Roll, SessionsTold
+from crowseam.membership.sessions import SessionsTold, SessionTable
 from crowseam.transport import messages as m
 from crowseam.transport.links import Dialer, Link, frame
 
 PING = 0.25     # s between signs of life
-LATELY = 2.0    # s since it was last heard for which a registry is named to others
-FORGET = 30.0   # s of silence after which a registry that neither votes nor is a seed is forgotten
-SESSIONS = "sessions"   # the key of an Ask for all sessions of a registry
+LATELY = 2.0    # s since it was last heard for which a controller is named to others
+FORGET = 30.0   # s of silence after which a controller that neither votes nor is a seed is forgotten
+SESSIONS = "sessions"   # the key of an Ask for all sessions of a controller
 _NO_HELD = m.Held(0, 0.0, 0, 0, 0.0, {})
 
 
 class Peers:
-    """The other registries, by address, with a link that is kept up to each.
+    """The other controllers, by address, with a link that is kept up to each.
 
-    `heard(link, message)` gets what comes on these links, `take(addr, message)` what this registry sends to
-    itself; `offer(now)` makes the digests of the register that a registry is sent once a link to it is up.
+    `heard(link, message)` gets what comes on these links, `take(addr, message)` what this controller sends to
+    itself; `offer(now)` makes the digests of the registry that a controller is sent once a link to it is up.
     Times are seconds of the steady clock.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, me: str, life: str, port: int, node: Node, roll: Roll,
+    def __init__(self, loop: asyncio.AbstractEventLoop, me: str, life: str, port: int, node: Node, session_table: SessionTable,
                  offer: Callable[[float], m.Message], heard: Callable[[Link, m.Message], None],
                  take: Callable[[str, m.Message], None]) -> None:
         self.loop, self.me, self.life, self.port = loop, me, life, port
-        self.node, self.roll, self.offer = node, roll, offer
+        self.node, self.session_table, self.offer = node, session_table, offer
         self.heard, self.take = heard, take
         self.detector = Detector(PING)
         self.dialers: dict[str, Dialer] = {}
-        self._heard_at: dict[str, float] = {}   # registries, by when they were last heard
+        self._heard_at: dict[str, float] = {}   # controllers, by when they were last heard
         self._lives: dict[str, str] = {}
         self._echoes: dict[str, float] = {}     # what was sent with the newest ping of each
         self._told: dict[str, int] = {}     # counter of our sessions up to which each was told
@@ -46,12 +46,12 @@
     # Who there is
 
     def know(self, addr: str) -> None:
-        """Keep a link to this registry from now on; what is no address is passed over."""
+        """Keep a link to this controller from now on; what is no address is passed over."""
         if addr == self.me or addr in self.dialers:
             return
         try:
-            host, _ = boots.address(addr)
-        except boots.BootError:
+            host, _ = settings_file.address(addr)
+        except settings_file.SettingsError:
             return
         hello = m.Hello(self.me, self.life)
 
@@ -70,12 +70,12 @@
         self.detector.watch(addr, now)
 
     def greeted(self, link: Link, hello: m.Hello) -> None:
-        """The first message of a link that another registry has dialled."""
+        """The first message of a link that another controller has dialled."""
         link.peer = hello.addr
         if self._lives.get(hello.addr) != hello.life:
             self._lives[hello.addr] = hello.life
             self._echoes.pop(hello.addr, None)      # it was no message of this life
-            logs.say("registry_met", addr=hello.addr)
+            logs.say("controller_met", addr=hello.addr)
         self.know(hello.addr)
         self._alive(hello.addr, clock.monotonic())
 
@@ -85,17 +85,17 @@
         # What an earlier process of ours sent is no proof of a contact with this one.
         self.detector.heard(addr, now, now - ping.echo if self._began <= ping.echo <= now else None)
         self._alive(addr, now)
-        for other in ping.registries:
+        for other in ping.controllers:
             self.know(other)
         if ping.prompt:
             self._ping(addr, now, [])
 
     def names(self, now: float) -> list[str]:
-        """Registries that were heard lately."""
+        """Controllers that were heard lately."""
         return [addr for addr, at in self._heard_at.items() if now - at < LATELY and addr in self._lives]
 
     def voters(self) -> list[str]:
-        """The addresses of those that vote, this registry's among them if it does."""
+        """The addresses of those that vote, this controller's among them if it does."""
         return [voter.addr for voter in self.node.voters]
 
     def voter_ids(self) -> dict[str, str]:
@@ -125,7 +125,7 @@
         return now - max(self._began, self.detector.proven(now, self.voters(), self.me))
 
     def reached(self, addrs: Iterable[str]) -> bool:
-        """Whether these and this registry are a majority of the voters."""
+        """Whether these and this controller are a majority of the voters."""
         voters = set(self.voters())
         return 2 * len(voters.intersection((*addrs, self.me))) > len(voters)
 
@@ -151,7 +151,7 @@
     def _alive(self, addr: str, now: float) -> None:
         self._heard_at[addr] = now
         self.node.heard(addr, now)
-        self.roll.heard(addr, self._lives.get(addr, ""), now)
+        self.session_table.heard(addr, self._lives.get(addr, ""), now)
 
     # What goes to them
 
@@ -192,21 +192,21 @@
         if (dialer := self.dialers.get(addr)) is not None:
             dialer.send(m.Ping(now, self._echoes.pop(addr, 0.0), self.node.last, names, prompt))
 
-    # Which desks have a session with whom
+    # Which gateways have a session with whom
 
     def tell_sessions(self, now: float) -> None:
         """Tell each what changed in our sessions since it was last told."""
         for addr, dialer in self.dialers.items():
             if dialer.link is not None:
                 # What they have of us they don't say; the last second's changes, or all once they ask.
-                dialer.send(self.roll.own(now, self._told.get(addr, 0)))
-                self._told[addr] = self.roll.counter
+                dialer.send(self.session_table.own(now, self._told.get(addr, 0)))
+                self._told[addr] = self.session_table.counter
 
     def sessions_told(self, addr: str, told: SessionsTold, now: float) -> None:
-        """Take a registry's sessions; where some of it is missing, ask for all."""
-        if not self.roll.take(told, now):
+        """Take a controller's sessions; where some of it is missing, ask for all."""
+        if not self.session_table.take(told, now):
             self.post(addr, m.Ask("", SESSIONS, {}, _NO_HELD))
 
     def sessions_asked(self, addr: str, now: float) -> None:
-        """Tell a registry all our sessions."""
-        self.post(addr, self.roll.own(now))
+        """Tell a controller all our sessions."""
+        self.post(addr, self.session_table.own(now))
--- a/crowseam/controller/pending_calls.py
+++ b/crowseam/controller/pending_calls.py
@@ -6,14 +6,14 @@
 
 from crowseam.transport.http import Call
 
-# Whole seconds, as RFC 9110 has it (10.2.3). Another registry may serve the call at once.
+# Whole seconds, as RFC 9110 has it (10.2.3). Another controller may serve the call at once.
 RETRY = (("Retry-After", "1"),)
 
 
-class Slips:
+class PendingCalls:
     """The calls that wait, by ticket.
 
-    Tickets are numbers above `first` that are given out once.  Some travel to other registries and back, and
+    Tickets are numbers above `first` that are given out once.  Some travel to other controllers and back, and
     what answers an earlier life may come to a later one: so `first` is above all given out before.
     """
 
@@ -46,7 +46,7 @@
 
 
 def unavailable(call: Call, text: str) -> None:
-    """Answer 503: this registry can't serve the call now, though another one may at once."""
+    """Answer 503: this controller can't serve the call now, though another one may at once."""
     call.reply(503, refusal(text), fields=RETRY)
 
 
--- a/crowseam/controller/retirements.py
+++ b/crowseam/controller/retirements.py
@@ -1,4 +1,4 @@
-"""Retirements at a registry: an operator's call until a majority has it on disk, and who is still busy."""
+"""Retirements at a controller: an operator's call until a majority has it on disk, and who is still busy."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 from crowseam import clock, logs
 from crowseam.controller.disk import Archive
-from crowseam.controller.gateway_sessions import Desks, Session
+from crowseam.controller.gateway_sessions import GatewaySessions, Session
 from crowseam.controller.peers import Peers
-from crowseam.controller.pending_calls import Slips, refusal, unavailable
+from crowseam.controller.pending_calls import PendingCalls, refusal, unavailable
 from crowseam.discovery import quorum
 from crowseam.discovery.retirement import Asked, Look, RacedError, shares, tight
-from crowseam.discovery.service_registry import PHASES, Record, Register, check_id
-from crowseam.membership.sessions import Roll
+from crowseam.discovery.service_registry import PHASES, Record, ServiceRegistry, check_id
+from crowseam.membership.sessions import SessionTable
 from crowseam.storage.store import Note
 from crowseam.transport import messages as m
 from crowseam.transport.http import Call
 
-NOTE = "retired/"   # what a record is kept under until the whole register is next written
+NOTE = "retired/"   # what a record is kept under until the whole registry is next written
 DOUBT = 0.02        # s between two looks whether an order may be refused
-LOOK, LOOK_NEAR = 0.6, 0.35     # s that all desks have to say what they have under way; those of one registry
+LOOK, LOOK_NEAR = 0.6, 0.35     # s that all gateways have to say what they have under way; those of one controller
 
 
 class Order(msgspec.Struct):
@@ -37,48 +37,48 @@
 
 
 class Retirements:
-    """The part of a registry that carries servers out of use.
+    """The part of a controller that carries servers out of use.
 
     Records wait in `pending` under the ticket (number of the call, id of the server).  Times are seconds of
     the steady clock.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, register: Register, pending: quorum.Pending,
-                 roll: Roll, peers: Peers, desks: Desks, archive: Archive, slips: Slips) -> None:
-        self.loop, self.register, self.pending, self.roll = loop, register, pending, roll
-        self.peers, self.desks, self.archive, self.slips = peers, desks, archive, slips
+    def __init__(self, loop: asyncio.AbstractEventLoop, registry: ServiceRegistry, pending: quorum.Pending,
+                 session_table: SessionTable, peers: Peers, gateways: GatewaySessions, archive: Archive, pending_calls: PendingCalls) -> None:
+        self.loop, self.registry, self.pending, self.session_table = loop, registry, pending, session_table
+        self.peers, self.gateways, self.archive, self.pending_calls = peers, gateways, archive, pending_calls
         self.asked: dict[int, tuple[Asked, dict[str, float], float]] = {}   # calls: shares left, begun at
-        self.looks: dict[int, tuple[Look, int, Callable[[Look], None]]] = {}    # the place desks must have
+        self.looks: dict[int, tuple[Look, int, Callable[[Look], None]]] = {}    # the place gateways must have
         self.noted: set[str] = set()    # notes on disk
         self.kept: dict[str, tuple[int, int]] = {}  # id -> phase and epoch that are on disk
 
     # On disk
 
     def restore(self, notes: dict[str, bytes]) -> list[Record]:
-        """What was noted since the register was last written. Raises msgspec.DecodeError."""
+        """What was noted since the registry was last written. Raises msgspec.DecodeError."""
         self.noted = {key for key in notes if key.startswith(NOTE)}
         return [msgspec.msgpack.decode(notes[key], type=Record) for key in sorted(self.noted)]
 
     def hold(self, addr: str, hold: quorum.Hold, now: float) -> None:
         """Merge a record, and confirm it; what nobody may unlearn, once it is on our disk."""
         node = self.peers.node
-        held = quorum.answer(hold, self.register, now, node.me.id, node.voters_since)
-        record = self.register.get(hold.record.id, now)
+        held = quorum.answer(hold, self.registry, now, node.me.id, node.voters_since)
+        record = self.registry.get(hold.record.id, now)
         if held is not None:
             if record is None or not quorum.leaving(record) or self._keeps(record):
                 self.peers.post(addr, held)
             else:
                 self._keep(record, lambda: self.peers.post(addr, held))
-        self.desks.tell_news(now)
+        self.gateways.tell_news(now)
 
     def learn(self, records: list[Record], now: float) -> list[Note]:
         """Take over what another voter holds of servers that leave: what is to be on disk of it."""
         for record in records:
-            self.register.join(record, now)
-        self.desks.tell_news(now)
+            self.registry.join(record, now)
+        self.gateways.tell_news(now)
         notes = []
         for told in records:
-            record = self.register.get(told.id, now)
+            record = self.registry.get(told.id, now)
             if record is not None and quorum.leaving(record) and not self._keeps(record):
                 self.noted.add(NOTE + record.id)
                 notes.append(Note(NOTE + record.id, msgspec.msgpack.encode(record)))
@@ -102,8 +102,8 @@
         self.archive.write([Note(key, msgspec.msgpack.encode(record))], done)
 
     def dropped(self) -> list[Note]:
-        """The notes that the register, written whole, stands for from now on."""
-        self.kept = {ident: kept for ident, kept in self.kept.items() if ident in self.register}
+        """The notes that the registry, written whole, stands for from now on."""
+        self.kept = {ident: kept for ident, kept in self.kept.items() if ident in self.registry}
         notes = [Note(key, None) for key in self.noted]
         self.noted.clear()
         return notes
@@ -125,8 +125,8 @@
 
     def _judge(self, call: Call, order: Order, fields: dict[str, str], begun: float, now: float) -> None:
         """Carry an order out, or refuse it; that only with a majority in touch since the call came."""
-        found = self.register.matching(**fields)
-        room = self.register.room(found, not order.undo, self.desks.quiet)
+        found = self.registry.matching(**fields)
+        room = self.registry.room(found, not order.undo, self.gateways.quiet)
         short = [] if order.undo or order.force else tight(room)
         if (not found or short) and not self.peers.in_touch_since(begun, now):
             if now == begun:
@@ -144,7 +144,7 @@
             return call.reply(409, msgspec.json.encode(
                 {"error": f"{text}; with force it is done all the same", "room": shares(room)}))
         asked = Asked(found, not order.undo)
-        number = self.slips.keep(call)
+        number = self.pending_calls.keep(call)
         self.asked[number] = asked, shares(room), now
         self._write(asked, found, now)
         logs.say("retire", undo=order.undo, found=len(found), changed=len(asked.changed))
@@ -152,17 +152,17 @@
             self._hold(number, ident, now)
 
     def _write(self, asked: Asked, idents: list[str], now: float) -> None:
-        if changed := self.register.retire(idents, asked.out, now):
+        if changed := self.registry.retire(idents, asked.out, now):
             asked.changed.update(record.id for record in changed)
             self.peers.broadcast(m.Rows(changed))
-            self.desks.tell_news(now)
+            self.gateways.tell_news(now)
 
     def _hold(self, number: int, ident: str, now: float) -> None:
         if number not in self.asked:
             return
         voters = self.peers.voter_ids()
         near = self.peers.near(now, voters.keys() - {self.peers.me})
-        record = self.register.get(ident, now) or Record(ident, phase="gone")
+        record = self.registry.get(ident, now) or Record(ident, phase="gone")
         try:
             self.peers.post_all(self.pending.begin((number, ident), record, voters, now, near))
         except quorum.QuorumError as error:
@@ -170,10 +170,10 @@
 
     def held(self, held: quorum.Held, now: float) -> None:
         """A voter may know of a later word of the operator's than we do."""
-        record = self.register.get(held.id, now)
+        record = self.registry.get(held.id, now)
         if record is not None and held.retired > record.retired:
-            self.register.join(msgspec.structs.replace(record, retired=held.retired), now)
-            self.desks.tell_news(now)
+            self.registry.join(msgspec.structs.replace(record, retired=held.retired), now)
+            self.gateways.tell_news(now)
 
     def confirmed(self, ticket: tuple[int, str], now: float) -> None:
         """A majority of the voters has the record of this server on disk."""
@@ -182,7 +182,7 @@
             return
         asked, room, begun = self.asked[number]
         try:
-            again = asked.held(ident, self.register.get(ident, now))
+            again = asked.held(ident, self.registry.get(ident, now))
         except RacedError as error:
             return self._end(number, 409, refusal(str(error)))
         if again:
@@ -203,16 +203,16 @@
             return
         for ident in asked.left:
             self.pending.drop((number, ident))
-        self.slips.reply(number, status, body)
+        self.pending_calls.reply(number, status, body)
 
     # Who is still busy
 
     def call_look(self, call: Call, ident: str, now: float) -> None:
-        """Show servers that leave, or what has become of one. Raises AccessionError: that is no id."""
-        self.desks.tell_news(now)   # before they are asked up to where they follow
-        leaving = self.register.leaving(now)
+        """Show servers that leave, or what has become of one. Raises DiscoveryError: that is no id."""
+        self.gateways.tell_news(now)   # before they are asked up to where they follow
+        leaving = self.registry.leaving(now)
         if ident:
-            record = self.register.get(check_id(ident), now)
+            record = self.registry.get(check_id(ident), now)
             if record is None:
                 return call.reply(404, refusal("this server is not known"))
             if record.phase == "gone" or record.usable:
@@ -223,16 +223,16 @@
         if not leaving:
             return self._show(call, Look(()), [])
         near = self.peers.near(now)
-        members = self.roll.members(now)
-        number = self.slips.keep(call)
+        members = self.session_table.members(now)
+        number = self.pending_calls.keep(call)
 
         def done(look: Look) -> None:
-            self.slips.take(number)
-            look.registry(self.peers.me, {}, self._away(), {})
+            self.pending_calls.take(number)
+            look.controller(self.peers.me, {}, self._away(), {})
             # Those that answered are in touch: what the detector says may be of before the call.
             self._show(call, look, look.told(leaving, self.peers.reached(near - look.silent), clock.time()))
 
-        self._look(number, Look(self.desks.sessions, near, members), LOOK, done)
+        self._look(number, Look(self.gateways.sessions, near, members), LOOK, done)
         watch = m.Watch(number, [record for record, _ in leaving])
         for addr in near:
             self.peers.post(addr, watch)
@@ -242,36 +242,36 @@
         silent = self.peers.dialers.keys() - self.peers.near(now)
         call.reply(200, msgspec.json.encode({
             "in_touch": self.peers.in_touch(now), "silent": sorted(silent | look.silent),
-            "away": {desk: round(span, 1) for desk, span in look.missing().items()}, "servers": rows}),
+            "away": {gateway: round(span, 1) for gateway, span in look.missing().items()}, "servers": rows}),
             fields=self.peers.dated(now))
 
     def watch(self, addr: str, watch: m.Watch, now: float) -> None:
-        """Another registry asks for our desks; they hear of what it knows first."""
+        """Another controller asks for our gateways; they hear of what it knows first."""
         for record in watch.records:
-            self.register.join(record, now)
-        self.desks.tell_news(now)
+            self.registry.join(record, now)
+        self.gateways.tell_news(now)
         asked = {record.id for record in watch.records}
-        ages = {record.id: age for record, age in self.register.leaving(now) if record.id in asked}
-        number = self.slips.number()
-        self._look(number, Look(self.desks.sessions), LOOK_NEAR, lambda look: self.peers.post(
+        ages = {record.id: age for record, age in self.registry.leaving(now) if record.id in asked}
+        number = self.pending_calls.number()
+        self._look(number, Look(self.gateways.sessions), LOOK_NEAR, lambda look: self.peers.post(
             addr, m.Watched(watch.number, look.out, self._away(), ages)))
 
     def watched(self, addr: str, watched: m.Watched, now: float) -> None:
-        """Another registry's answer to Watch."""
+        """Another controller's answer to Watch."""
         if (found := self.looks.get(watched.number)) is not None:
-            found[0].registry(addr, watched.desks, watched.away, watched.ages)
+            found[0].controller(addr, watched.gateways, watched.away, watched.ages)
             self._check(watched.number)
 
     def counted(self, session: Session, told: m.Leaving, now: float) -> None:
-        """A desk says what it has under way, and up to where it has followed the register."""
+        """A gateway says what it has under way, and up to where it has followed the registry."""
         found = self.looks.get(told.number)
-        if found is not None and told.register == self.register.life and told.place >= found[1]:
-            found[0].desk(session.desk, told.under_way)
+        if found is not None and told.registry == self.registry.life and told.place >= found[1]:
+            found[0].gateway(session.gateway, told.under_way)
             self._check(told.number)
 
     def _look(self, number: int, look: Look, span: float, done: Callable[[Look], None]) -> None:
-        self.looks[number] = look, self.register.place[1], done
-        self.desks.tell(m.Count(number))
+        self.looks[number] = look, self.registry.place[1], done
+        self.gateways.tell(m.Count(number))
         self.loop.call_later(span, self._over, number)
         self._check(number)
 
@@ -285,7 +285,7 @@
             done(look)
 
     def _away(self) -> dict[str, float]:
-        """Desks that were members and are not, by the seconds since they last were."""
+        """Gateways that were members and are not, by the seconds since they last were."""
         now = clock.monotonic()
-        members = self.roll.members(now)
-        return {desk: now - seen for desk, seen in self.desks.seen.items() if desk not in members}
+        members = self.session_table.members(now)
+        return {gateway: now - seen for gateway, seen in self.gateways.seen.items() if gateway not in members}
--- a/crowseam/controller/server_reports.py
+++ b/crowseam/controller/server_reports.py
@@ -1,45 +1,45 @@
-"""What servers say of themselves: beats and leaves taken in, told on, acknowledged and mended."""
+"""What servers say of themselves: heartbeats and leaves taken in, told on, acknowledged and mended."""
 
 from __future__ import annotations
 
 import msgspec
 
-from crowseam.controller.gateway_sessions import Desks
+from crowseam.controller.gateway_sessions import GatewaySessions
 from crowseam.controller.peers import Peers
-from crowseam.controller.pending_calls import Slips, refusal, unavailable
+from crowseam.controller.pending_calls import PendingCalls, refusal, unavailable
 from crowseam.controller.retirements import Retirements
 from crowseam.discovery import quorum
 from crowseam.discovery.digest import DigestOffer, RangeRecords, Repair
-from crowseam.discovery.service_registry import Beat, Record, Register
+from crowseam.discovery.service_registry import Heartbeat, Record, ServiceRegistry
 from crowseam.storage.store import Note
 from crowseam.transport import messages as m
 from crowseam.transport.http import Call
 
-NOTE = "register"   # what the whole register is kept under
+NOTE = "registry"   # what the whole registry is kept under
 
 
 class Reports:
-    """This registry's copy of the register, and the acknowledgements that wait for a majority of the voters.
+    """This controller's copy of the registry, and the acknowledgements that wait for a majority of the voters.
 
     Times are seconds of the steady clock.
     """
 
-    def __init__(self, register: Register, repair: Repair, pending: quorum.Pending, peers: Peers,
-                 desks: Desks, retirements: Retirements, slips: Slips, now: float) -> None:
-        self.register, self.repair, self.pending = register, repair, pending
-        self.peers, self.desks, self.retirements, self.slips = peers, desks, retirements, slips
+    def __init__(self, registry: ServiceRegistry, repair: Repair, pending: quorum.Pending, peers: Peers,
+                 gateways: GatewaySessions, retirements: Retirements, pending_calls: PendingCalls, now: float) -> None:
+        self.registry, self.repair, self.pending = registry, repair, pending
+        self.peers, self.gateways, self.retirements, self.pending_calls = peers, gateways, retirements, pending_calls
         self._told_at = now     # up to when others were told of whom reports have come
         self._saved_version = -1
 
     # The calls of servers
 
-    def beat(self, call: Call, ident: str, beat: Beat, now: float) -> None:
+    def heartbeat(self, call: Call, ident: str, heartbeat: Heartbeat, now: float) -> None:
         """Take a report. One of a server that leaves is acknowledged once a majority has it.
 
-        Out of touch, none is acknowledged, though it is taken in: the server is to tell a registry that
+        Out of touch, none is acknowledged, though it is taken in: the server is to tell a controller that
         others hear, before they take it for silent.
         """
-        record, changed = self.register.beat(ident, beat, now)
+        record, changed = self.registry.heartbeat(ident, heartbeat, now)
         if changed:
             self._news(record, now)
         if record.phase != "up":
@@ -51,23 +51,23 @@
 
     def leave(self, call: Call, ident: str, now: float) -> None:
         """A server has gone."""
-        record = self.register.leave(ident, now)
+        record = self.registry.leave(ident, now)
         self._news(record, now)
         self._leaving(call, record, now)
 
     def _news(self, record: Record, now: float) -> None:
         self.peers.broadcast(m.Rows([record]))
-        self.desks.tell_news(now)
+        self.gateways.tell_news(now)
 
     def _leaving(self, call: Call, record: Record, now: float) -> None:
         """Acknowledge once a majority of the voters has it on disk: whatever is lost then, it reaches all."""
         voters = self.peers.voter_ids()
         near = self.peers.near(now, voters.keys() - {self.peers.me})
-        ticket = self.slips.keep(call)
+        ticket = self.pending_calls.keep(call)
         try:
             self.peers.post_all(self.pending.begin(ticket, record, voters, now, near))
         except quorum.QuorumError as error:
-            self.slips.reply(ticket, 503, refusal(str(error)))
+            self.pending_calls.reply(ticket, 503, refusal(str(error)))
 
     # What waits for a majority. A ticket is a number, or that of a retirement.
 
@@ -78,7 +78,7 @@
             if isinstance(ticket, tuple):
                 self.retirements.confirmed(ticket, now)
             else:
-                self.slips.reply(ticket, 200, b"{}")
+                self.pending_calls.reply(ticket, 200, b"{}")
 
     def tick(self, now: float) -> None:
         """Ask again, and give up what has waited too long; to be called some times a second."""
@@ -87,45 +87,45 @@
             if isinstance(ticket, tuple):
                 self.retirements.late(ticket)
             else:
-                self.slips.reply(ticket, 503, refusal("no majority has answered in time"))
+                self.pending_calls.reply(ticket, 503, refusal("no majority has answered in time"))
 
-    # Other registries' copies
+    # Other controllers' copies
 
     def rows(self, _: str, rows: m.Rows, now: float) -> None:
-        """Another registry's news."""
+        """Another controller's news."""
         for record in rows.records:
-            self.register.join(record, now)
-        self.desks.tell_news(now)
+            self.registry.join(record, now)
+        self.gateways.tell_news(now)
 
     def tell(self, now: float) -> None:
         """Tell the others of whom reports have come since the last time."""
-        heard = self.register.heard_since(self._told_at)
+        heard = self.registry.heard_since(self._told_at)
         self._told_at = now
         if heard:
             self.peers.broadcast(m.Heard(heard))
 
     def heard(self, addr: str, heard: m.Heard, now: float) -> None:
-        """Reports have come to another registry; where one is not known here, compare."""
-        if self.register.take_heard(heard.told, now):
+        """Reports have come to another controller; where one is not known here, compare."""
+        if self.registry.take_heard(heard.told, now):
             self.peers.post(addr, self.repair.offer(now))
 
     def offer(self, addr: str, now: float) -> None:
-        """Begin to compare with another registry."""
+        """Begin to compare with another controller."""
         self.peers.post(addr, self.repair.offer(now))
 
     def lost(self, lost: str, now: float) -> None:
-        """A registry's link has ended: what it said last may have come to some of us only."""
+        """A controller's link has ended: what it said last may have come to some of us only."""
         offer = self.repair.offer(now)
         for addr in self.peers.near(now) - {lost}:
             self.peers.post(addr, offer)
 
     def mend(self, addr: str, message: DigestOffer | RangeRecords, now: float) -> None:
-        """Another registry's digests, or records of ranges that differ."""
+        """Another controller's digests, or records of ranges that differ."""
         back, changed = self.repair.take(message, now)
         for each in back:
             self.peers.post(addr, each)
         if changed:
-            self.desks.tell_news(now)
+            self.gateways.tell_news(now)
 
     # On disk
 
@@ -133,16 +133,16 @@
         """Take up the servers known before the start. Raises msgspec.DecodeError."""
         if (held := notes.get(NOTE)) is not None:
             for record in msgspec.msgpack.decode(held, type=list[Record]):
-                self.register.join(record, now)
+                self.registry.join(record, now)
         for record in self.retirements.restore(notes):
-            self.register.join(record, now)
+            self.registry.join(record, now)
 
     def unsaved(self, now: float) -> list[Note]:
-        """The register, if it has changed since it was last kept."""
-        if self.register.version == self._saved_version:
+        """The registry, if it has changed since it was last kept."""
+        if self.registry.version == self._saved_version:
             return []
-        self._saved_version = self.register.version
-        note = Note(NOTE, msgspec.msgpack.encode(self.register.records(now)))
+        self._saved_version = self.registry.version
+        note = Note(NOTE, msgspec.msgpack.encode(self.registry.records(now)))
         return [note, *self.retirements.dropped()]
 
     def saved(self, ok: bool) -> None:
--- a/crowseam/controller/state_machine.py
+++ b/crowseam/controller/state_machine.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from crowseam.configuration.model import EMPTY, CatalogueError, Change, Configuration, judge, version_text
+from crowseam.configuration.model import EMPTY, Change, Configuration, ConfigurationError, judge, version_text
 from crowseam.consensus.messages import Change as Entry
 
 RECENT = 256        # taken changes of which all is known, for operators
@@ -65,7 +65,7 @@
             return
         try:
             self.config = Configuration.from_change(self.config, entry.whole, entry.body)
-        except CatalogueError:
+        except ConfigurationError:
             return  # every machine judges alike, so it is left out everywhere
         self.taken[entry.digest] = Taken(entry.ver, entry.parent, entry.digest, slot)
         self._trim()
@@ -88,7 +88,7 @@
     def give(self, state: bytes) -> None:
         """Begin from what `take` made, also in a process of the version before.
 
-        Raises msgspec.DecodeError, CatalogueError.
+        Raises msgspec.DecodeError, ConfigurationError.
         """
         self.config, self.taken, self.earlier, self.forgotten = EMPTY, {}, {}, 0
         if not state:
@@ -103,7 +103,7 @@
         before = held.taken[0].parent if held.taken else self.config.ver
         self.forgotten = before if held.forgotten < 0 else held.forgotten
 
-    def verdict(self, change: Change, tag: str) -> Entry | Again | Forgotten | CatalogueError:
+    def verdict(self, change: Change, tag: str) -> Entry | Again | Forgotten | ConfigurationError:
         """What becomes of a change on top of this state: an entry to propose, or the answer to its call."""
         if change.digest in self.taken or _mark(change.digest) in self.earlier:
             return Again()
@@ -112,7 +112,7 @@
             return Forgotten()
         try:
             judge(self.config, change)
-        except CatalogueError as error:
+        except ConfigurationError as error:
             return error
         return Entry(tag, change.ver, change.parent, change.whole, change.body, change.digest)
 
--- a/crowseam/discovery/__init__.py
+++ b/crowseam/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""What servers report of themselves: a mergeable register, its repair and its acknowledgement."""
+"""What servers report of themselves: a mergeable registry, its repair and its acknowledgement."""
--- a/crowseam/discovery/digest.py
+++ b/crowseam/discovery/digest.py
@@ -1,4 +1,4 @@
-"""Repair between two copies of the register: digests over ranges of ids, then the records that differ.
+"""Repair between two copies of the registry: digests over ranges of ids, then the records that differ.
 
 A round costs one short digest while the copies agree.  The one that sees a difference answers with digests
 over ranges, the other with its records of the ranges that differ, and gets back only those it lacks or has
@@ -10,14 +10,14 @@
 
 import msgspec
 
-from crowseam.discovery.service_registry import Record, Register, material
+from crowseam.discovery.service_registry import Record, ServiceRegistry, material
 
 RANGES = 16
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class DigestOffer(msgspec.Struct, frozen=True, array_like=True, tag="digests"):
-    """Digests over equal parts of the ids, in order; a single one stands for the whole register."""
+    """Digests over equal parts of the ids, in order; a single one stands for the whole registry."""
 
     ranges: list[bytes]
 
@@ -50,10 +50,10 @@
 
 
 class Repair:
-    """Keeps one register alike with those of others; an offer goes to each of them about once a second."""
+    """Keeps one registry alike with those of others; an offer goes to each of them about once a second."""
 
-    def __init__(self, register: Register):
-        self._register = register
+    def __init__(self, registry: ServiceRegistry):
+        self._registry = registry
         self._cache: dict[int, tuple[int, list[bytes]]] = {}
 
     def offer(self, now: float) -> DigestOffer:
@@ -66,7 +66,7 @@
         """Handle a peer's message: (what to send back to it, how many records changed here)."""
         if isinstance(message, DigestOffer):
             return self._compared(message, now), 0
-        changed = sum([self._register.join(record, now) for record in message.records])
+        changed = sum([self._registry.join(record, now) for record in message.records])
         if not message.reply:
             return [], changed
         theirs = {record.id: material(record) for record in message.records}
@@ -91,13 +91,13 @@
 
     def _of(self, ranges: list[int], count: int, now: float) -> list[Record]:
         wanted = set(ranges)
-        return [r for r in self._register.records(now) if range_of(r.id, count) in wanted]
+        return [r for r in self._registry.records(now) if range_of(r.id, count) in wanted]
 
     def _digests(self, count: int, now: float) -> list[bytes]:
         cached = self._cache.get(count)
-        if cached is None or cached[0] != self._register.version:
+        if cached is None or cached[0] != self._registry.version:
             if len(self._cache) > 4:
                 self._cache.clear()
-            cached = (self._register.version, digests(self._register.records(now), count))
+            cached = (self._registry.version, digests(self._registry.records(now), count))
             self._cache[count] = cached
         return cached[1]
--- a/crowseam/discovery/handover.py
+++ b/crowseam/discovery/handover.py
@@ -20,11 +20,11 @@
 import msgspec
 
 from crowseam.discovery.quorum import leaving, majority
-from crowseam.discovery.service_registry import Record, Register
+from crowseam.discovery.service_registry import Record, ServiceRegistry
 
 AGAIN = 0.2     # s after which those that have not answered are asked once more
 # s after which a newcomer that no majority has answered counts all the same, as voters may be lost for good:
-# from then on it is no longer counted as lost (`sync_time`), and has compared registers with all in touch.
+# from then on it is no longer counted as lost (`sync_time`), and has compared registries with all in touch.
 MOST = 4.0
 
 
@@ -50,7 +50,7 @@
 
 
 class Handover:
-    """What the registry with the voter's id `me` still has to learn.
+    """What the controller with the voter's id `me` still has to learn.
 
     `known`: it has counted under this id before its start, or is a founder.  `ready`: it has nothing to
     learn, and may ask to be let in; `counts`: it votes, and has learned what those before it knew.
@@ -102,7 +102,7 @@
         left = sorted((addr, ident) for ident, addr in self._pool.items() if ident not in self._got)
         return [(addr, Learn(self._number, slot, since)) for addr, _ in left]
 
-    def answer(self, learn: Learn, register: Register, fences: dict[str, int], slot: int, since: int,
+    def answer(self, learn: Learn, registry: ServiceRegistry, fences: dict[str, int], slot: int, since: int,
                now: float) -> Learned | None:
         """A voter's part, also of one that has just left.
 
@@ -111,7 +111,7 @@
         """
         if not self.counts or learn.slot < since or slot < learn.since:
             return None
-        records = [record for record in register.records(now) if leaving(record)]
+        records = [record for record in registry.records(now) if leaving(record)]
         return Learned(learn.number, self.me, records, fences)
 
     def take(self, learned: Learned) -> bool:
--- a/crowseam/discovery/quorum.py
+++ b/crowseam/discovery/quorum.py
@@ -1,6 +1,6 @@
 """An acknowledgement that a server is leaving goes out only when a majority of the voters knows of it.
 
-Whichever machine then reads the register through a majority finds the server draining, gone or retired,
+Whichever machine then reads the registry through a majority finds the server draining, gone or retired,
 although any minority of those that knew may be lost in the same moment, or all of them lose power: a voter
 has it on its disk before it confirms it, and our own copy counts no sooner.
 
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from crowseam.discovery.service_registry import PHASES, Phase, Record, Register
+from crowseam.discovery.service_registry import PHASES, Phase, Record, ServiceRegistry
 
 WAIT = 0.7  # seconds until a call is told to come back; a server gives up after one second
 AGAIN = 0.2  # seconds after which an unanswered message is sent once more
@@ -53,16 +53,16 @@
     return record.phase != "up" or record.retired > 0
 
 
-def answer(hold: Hold, register: Register, now: float, by: str = "", since: int = -1) -> Held | None:
-    """Carry out a voter's part: merge the record into ``register`` and name what is held.
+def answer(hold: Hold, registry: ServiceRegistry, now: float, by: str = "", since: int = -1) -> Held | None:
+    """Carry out a voter's part: merge the record into ``registry`` and name what is held.
 
     `by` is our id, `since` a slot after which the voters have not changed.  None: the record is merged, but
     the asker may not know the voters, so it is not to be confirmed.
     """
-    register.join(hold.record, now)
+    registry.join(hold.record, now)
     if 0 <= hold.slot < since:
         return None
-    record = register.get(hold.record.id, now)
+    record = registry.get(hold.record.id, now)
     # A tombstone too old to be taken in is as good as held: nobody remembers the server as alive.
     held = hold.record if record is None else record
     return Held(held.id, held.phase, held.retired, by)
@@ -128,7 +128,7 @@
         now: float,
         reachable: Iterable[str] | None = None,
     ) -> list[tuple[str, Hold]]:
-        """Start waiting for a majority to hold ``record``, which our own register holds already.
+        """Start waiting for a majority to hold ``record``, which our own registry holds already.
 
         Returns the messages to send as (address, Hold).  They go to ourselves too, as it has to be on our
         disk.  Raises QuorumError when no voters are known, or when those ``reachable`` (None: not known) and
