--- a/crowseam/discovery/retirement.py
+++ b/crowseam/discovery/retirement.py
@@ -1,6 +1,6 @@
-"""Servers that leave: what a follower must not unlearn, and who still has requests under way there.
+"""Servers that leave: what a controller session must not unlearn, and who still has requests under way there.
 
-A desk may pass from a registry that knows of a retirement to one that does not yet.  So it keeps what it was
+A gateway may pass from a controller that knows of a retirement to one that does not yet.  So it keeps what it was
 told of servers that leave, and takes nothing older in its place.  Everything here takes ``now`` (seconds,
 steady) and does no input or output.
 """
@@ -19,18 +19,18 @@
 
 
 def tight(room: Mapping[str, tuple[int, int, int]]) -> list[str]:
-    """The services, of Register.room, that would lose slots and keep too few."""
+    """The services, of ServiceRegistry.room, that would lose slots and keep too few."""
     return [svc for svc, (after, before, whole) in room.items()
             if after < before and after < LEAST_ROOM * whole]
 
 
 def shares(room: Mapping[str, tuple[int, int, int]]) -> dict[str, float]:
-    """The share of its slots that each service, of Register.room, would have in use."""
+    """The share of its slots that each service, of ServiceRegistry.room, would have in use."""
     return {svc: round(after / whole, 3) if whole else 0.0 for svc, (after, _, whole) in room.items()}
 
 
 class Memory:
-    """What a desk was told of servers that leave; it outlives the desk's sessions."""
+    """What a gateway was told of servers that leave; it outlives the gateway's sessions."""
 
     def __init__(self) -> None:
         self._left: dict[str, tuple[Record, float]] = {}  # what was told, and when
@@ -40,14 +40,14 @@
         return len(self._left)
 
     def take(self, records: Iterable[Record], whole: bool, now: float) -> list[Record]:
-        """Records of a registry, all there are (``whole``) or those changed, with nothing in them undone."""
+        """Records of a controller, all there are (``whole``) or those changed, with nothing in them undone."""
         told = [self._one(record, now) for record in records]
         if not whole and now - self._swept < SWEEP:
             return told
         self._swept = now
         named = {record.id for record in told} if whole else ()
         for ident, (record, at) in list(self._left.items()):
-            # A registry that names none of it may be behind; it may also be right.
+            # A controller that names none of it may be behind; it may also be right.
             kept = TOMBSTONE if record.phase == "gone" else RETIRED_KEPT
             if now - at > kept and (record.phase == "gone" or (whole and ident not in named)):
                 del self._left[ident]
@@ -57,7 +57,7 @@
         known, at = self._left.get(record.id, (None, 0.0))
         if known is not None:
             phase = known.phase
-            # One that ended by its own word never comes back. A registry that stood still may yet read a beat
+            # One that ended by its own word never comes back. A controller that stood still may yet read a heartbeat
             # of before, and take it for news: only one that was forgotten for its silence can have been well.
             if phase == "gone" and record.phase != "gone" and known.quiet >= FORGET_AFTER * 1000:
                 ended = at - known.quiet / 1000
@@ -76,40 +76,40 @@
 
 
 class Look:
-    """One look at what desks still have under way at servers that leave, from all who can tell.
+    """One look at what gateways still have under way at servers that leave, from all who can tell.
 
-    ``own`` are the desks asked by ourselves, ``registries`` those asked for theirs, ``others`` the desks that
-    are known to be with these.  ``out`` has what each desk told, by server; None while it has told nothing.
+    ``own`` are the gateways asked by ourselves, ``controllers`` those asked for theirs, ``others`` the gateways that
+    are known to be with these.  ``out`` has what each gateway told, by server; None while it has told nothing.
     """
 
     def __init__(
-        self, own: Iterable[str], registries: Iterable[str] = (), others: Iterable[str] = ()
+        self, own: Iterable[str], controllers: Iterable[str] = (), others: Iterable[str] = ()
     ) -> None:
         self.waiting = set(own)
         self.out: dict[str, dict[str, int] | None] = dict.fromkeys((*self.waiting, *others))
-        self.silent = set(registries)
+        self.silent = set(controllers)
         self.away: dict[str, float] = {}
         self.ages: dict[str, float] = {}
 
-    def desk(self, name: str, out: dict[str, int]) -> None:
-        """A desk has taken in the news, and tells its requests under way by server; others have none."""
+    def gateway(self, name: str, out: dict[str, int]) -> None:
+        """A gateway has taken in the news, and tells its requests under way by server; others have none."""
         self.out[name] = out
         self.waiting.discard(name)
 
-    def registry(
+    def controller(
         self,
         addr: str,
         out: Mapping[str, dict[str, int] | None],
         away: Mapping[str, float],
         ages: Mapping[str, float],
     ) -> None:
-        """What a registry gathered, the desks it misses, and the seconds that servers have been leaving."""
+        """What a controller gathered, the gateways it misses, and the seconds that servers have been leaving."""
         self.silent.discard(addr)
-        for desk, told in out.items():
-            if told is not None or desk not in self.out:
-                self.out[desk] = told
-        for desk, span in away.items():
-            self.away[desk] = min(span, self.away.get(desk, span))
+        for gateway, told in out.items():
+            if told is not None or gateway not in self.out:
+                self.out[gateway] = told
+        for gateway, span in away.items():
+            self.away[gateway] = min(span, self.away.get(gateway, span))
         for ident, span in ages.items():
             self.ages[ident] = max(span, self.ages.get(ident, span))
 
@@ -119,9 +119,9 @@
         return not (self.waiting or self.silent)
 
     def missing(self) -> dict[str, float]:
-        """Desks lost from sight, by seconds; those that have answered since are none."""
-        return {desk: span for desk, span in sorted(self.away.items())
-                if desk not in self.out and span < AWAY_KEPT}
+        """Gateways lost from sight, by seconds; those that have answered since are none."""
+        return {gateway: span for gateway, span in sorted(self.away.items())
+                if gateway not in self.out and span < AWAY_KEPT}
 
     def told(self, leaving: Iterable[tuple[Record, float]], in_touch: bool, wall: float) -> list[dict]:
         """What an operator gets to see of each server; ``wall`` is the time of day, in seconds.
@@ -129,12 +129,12 @@
         A server is safe to switch off when every ingress that may know of it has confirmed the news and none
         has a request under way there.
         """
-        late = sorted(desk for desk, out in self.out.items() if out is None)
+        late = sorted(gateway for gateway, out in self.out.items() if out is None)
         clear = in_touch and not late and not self.missing()
         rows = []
         for record, age in leaving:
             age = max(age, self.ages.get(record.id, 0.0))
-            busy = {desk: out[record.id] for desk, out in sorted(self.out.items())
+            busy = {gateway: out[record.id] for gateway, out in sorted(self.out.items())
                     if out is not None and out.get(record.id)}
             rows.append({
                 "id": record.id, "svc": record.svc, "addr": record.addr, "az": record.az, "ver": record.ver,
@@ -151,7 +151,7 @@
 class Asked:
     """An operator's call: servers to retire (``out``) or take back, until a majority of the voters has each.
 
-    Our own copy may be behind what another registry acknowledged, so what a majority holds may turn out to
+    Our own copy may be behind what another controller acknowledged, so what a majority holds may turn out to
     be later than what we wrote, and the opposite of it.  Then it is written once more on top of that.
     """
 
--- a/crowseam/discovery/service_registry.py
+++ b/crowseam/discovery/service_registry.py
@@ -1,4 +1,4 @@
-"""The register of servers: state that any two copies can merge in any order.
+"""The registry of servers: state that any two copies can merge in any order.
 
 A server's record consists of groups that each merge by themselves: the phase only ever moves towards
 ``gone``, the description follows the higher ``seq``, the operator's retirement the higher epoch.  Times
@@ -17,7 +17,7 @@
 PHASES = {"up": 0, "draining": 1, "gone": 2}
 FORGET_AFTER = 30.0  # seconds of silence after which a server that never said farewell is dropped
 TOMBSTONE = 60.0  # seconds for which a server that is gone is remembered as such
-RETIRED_KEPT = 600.0  # seconds of silence for which an operator's retirement outlives the server's beats
+RETIRED_KEPT = 600.0  # seconds of silence for which an operator's retirement outlives the server's heartbeats
 DEAF_AFTER = 5.0  # a longer gap with no report from anybody is taken for trouble of our own
 HEIR_QUIET = 1000  # ms an older server must have been silent before a newer one takes its address over
 RIVAL_QUIET = 10_000  # ms of silence after which any other server that reports takes the address over
@@ -27,7 +27,7 @@
 _FIELD = re.compile(r"`(\$[^`]*)`$")
 
 
-class AccessionError(Exception):
+class DiscoveryError(Exception):
     """A server's report cannot be taken. ``field`` names the part, ``reason`` says why."""
 
     def __init__(self, field: str, reason: str):
@@ -36,7 +36,7 @@
         self.reason = reason
 
 
-class Beat(msgspec.Struct, frozen=True, array_like=True):
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
     """A report as read and checked; ``warm`` is how much longer the server stays slow, in ms."""
 
     svc: str
@@ -151,52 +151,52 @@
 
 
 def parse_time(text: str, field: str = "time") -> int:
-    """Read a time as written in bodies (``1500ms``, ``2.5s``) into whole ms. Raises AccessionError."""
+    """Read a time as written in bodies (``1500ms``, ``2.5s``) into whole ms. Raises DiscoveryError."""
     match = _TIME.fullmatch(text)
     if match is None:
-        raise AccessionError(field, "must be a number followed by ms or s")
+        raise DiscoveryError(field, "must be a number followed by ms or s")
     return round(float(match[1]) * (1000 if match[2] == "s" else 1))
 
 
 def check_id(ident: str) -> str:
-    """Give back a server's id if it can be one. Raises AccessionError."""
+    """Give back a server's id if it can be one. Raises DiscoveryError."""
     if _NAME.fullmatch(ident) is None:
-        raise AccessionError("id", "must be 1 to 200 printable characters without a slash")
+        raise DiscoveryError("id", "must be 1 to 200 printable characters without a slash")
     return ident
 
 
-def parse_beat(ident: str, body: bytes) -> Beat:
-    """Read and check the body of a server's report. Raises AccessionError naming the part at fault."""
+def parse_heartbeat(ident: str, body: bytes) -> Heartbeat:
+    """Read and check the body of a server's report. Raises DiscoveryError naming the part at fault."""
     check_id(ident)
     try:
         report = _reports.decode(body)
     except msgspec.ValidationError as error:
         where = _FIELD.search(str(error))
         field = where[1].removeprefix("$").removeprefix(".") if where else ""
-        raise AccessionError(field or "body", str(error)) from None
+        raise DiscoveryError(field or "body", str(error)) from None
     except (msgspec.DecodeError, UnicodeDecodeError):
-        raise AccessionError("body", "is not JSON") from None
+        raise DiscoveryError("body", "is not JSON") from None
     summary, stat = report.summary, report.stat
     host, _, port = report.addr.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
     except ValueError:
-        raise AccessionError("addr", "must be an IPv4 address and a port") from None
+        raise DiscoveryError("addr", "must be an IPv4 address and a port") from None
     if not (port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536):
-        raise AccessionError("addr", "must end in a port from 1 to 65535")
+        raise DiscoveryError("addr", "must end in a port from 1 to 65535")
     if _NAME.fullmatch(summary.svc) is None:
-        raise AccessionError("summary.svc", "must be a name")
+        raise DiscoveryError("summary.svc", "must be a name")
     if not 0 < summary.slots <= 1_000_000:
-        raise AccessionError("summary.slots", "must be from 1 to 1000000")
+        raise DiscoveryError("summary.slots", "must be from 1 to 1000000")
     if len(summary.ver) > 200 or len(summary.az) > 200:
-        raise AccessionError("summary", "ver and az must be at most 200 characters")
+        raise DiscoveryError("summary", "ver and az must be at most 200 characters")
     if stat.phase not in ("up", "draining"):
-        raise AccessionError("stat.phase", "must be up or draining")
+        raise DiscoveryError("stat.phase", "must be up or draining")
     if not 0 <= stat.seq < 2**62:
-        raise AccessionError("stat.seq", "must be a whole number from 0")
+        raise DiscoveryError("stat.seq", "must be a whole number from 0")
     warm = parse_time(stat.warmup_time, "stat.warmup_time")
     addr = f"{host}:{int(port)}"
-    return Beat(summary.svc, addr, summary.az, summary.ver, summary.slots, stat.phase, stat.seq, warm)
+    return Heartbeat(summary.svc, addr, summary.az, summary.ver, summary.slots, stat.phase, stat.seq, warm)
 
 
 class _Held:
@@ -219,8 +219,8 @@
         return self.record.quiet / 1000 + (now - self.at)
 
 
-class Register:
-    """One copy of the register of servers, with a log of its changes.
+class ServiceRegistry:
+    """One copy of the registry of servers, with a log of its changes.
 
     ``life`` names this copy: places in the log are numbers that mean something only within one life.
     """
@@ -231,7 +231,7 @@
         self._held: dict[str, _Held] = {}
         self._at_addr: dict[str, set[str]] = {}
         self._order: dict[str, int] = {}  # id -> place of its latest change, in the order of places
-        self._lost: dict[str, tuple[Record, float]] = {}  # forgotten ids, still told to followers as gone
+        self._lost: dict[str, tuple[Record, float]] = {}  # forgotten ids, still told to controller sessions as gone
         self._place = 0
         self._floor = 0
         self._listening = now  # since when reports have been coming in without a long gap
@@ -250,7 +250,7 @@
 
     # -- what servers and the operator say
 
-    def beat(self, ident: str, beat: Beat, now: float) -> tuple[Record, bool]:
+    def heartbeat(self, ident: str, heartbeat: Heartbeat, now: float) -> tuple[Record, bool]:
         """Take a server's report.
 
         Returns the record as it now stands and whether anything changed that others have to hear of.  A
@@ -259,17 +259,17 @@
         self._hear(now)
         held = self._held.get(ident)
         fresh = Record(
-            ident, beat.svc, beat.addr, beat.az, beat.ver, beat.slots, beat.phase, beat.seq, beat.warm
+            ident, heartbeat.svc, heartbeat.addr, heartbeat.az, heartbeat.ver, heartbeat.slots, heartbeat.phase, heartbeat.seq, heartbeat.warm
         )
         changed = False
         if held is None:
             held, changed = self._put(ident, fresh, now), True
             held.relayed = False
-        elif held.record.phase == "gone" or beat.seq < held.record.seq:
+        elif held.record.phase == "gone" or heartbeat.seq < held.record.seq:
             return held.told(now), False
         else:
             before = held.told(now)
-            late = beat.seq <= held.heard
+            late = heartbeat.seq <= held.heard
             if late:  # others heard a newer one, of which we know no more than that it came
                 fresh = msgspec.structs.replace(fresh, quiet=before.quiet)
             merged = join(before, fresh)
@@ -279,7 +279,7 @@
             else:
                 held.record, held.at = merged, now
             if not late:
-                held.heard, held.heard_at, held.relayed = beat.seq, now, False
+                held.heard, held.heard_at, held.relayed = heartbeat.seq, now, False
         self._take_over(held.record, now)
         return held.record, changed
 
@@ -346,7 +346,7 @@
     # -- what other copies say
 
     def join(self, record: Record, now: float) -> bool:
-        """Merge another copy's record. True if anything changed that our own followers have to hear of."""
+        """Merge another copy's record. True if anything changed that our own controller sessions have to hear of."""
         held = self._held.get(record.id)
         if held is None:
             if record.quiet / 1000 >= self._kept(record):
@@ -423,7 +423,7 @@
                 self._floor = max(self._floor, self._order.pop(ident))
         return forgotten
 
-    # -- what followers and others read
+    # -- what controller sessions and others read
 
     def get(self, ident: str, now: float) -> Record | None:
         """One record, gone or not."""
@@ -441,7 +441,7 @@
     def since(self, life: str, place: int, now: float) -> list[Record] | None:
         """The records changed after ``place``, oldest first; None if that place is not ours or too old.
 
-        A follower puts each in the place of what it had; a server that was forgotten is told as gone.
+        A controller session puts each in the place of what it had; a server that was forgotten is told as gone.
         """
         if life != self.life or not self._floor <= place <= self._place:
             return None
--- a/crowseam/gateway/controller_session.py
+++ b/crowseam/gateway/controller_session.py
@@ -1,4 +1,4 @@
-"""A desk's session with a registry: what it follows, what it reports, where it goes when that one fails."""
+"""A gateway's session with a controller: what it follows, what it reports, where it goes when that one fails."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 from random import Random
 
 from crowseam import clock, logs
-from crowseam.configuration.model import EMPTY, CatalogueError, Configuration
+from crowseam.configuration.model import EMPTY, Configuration, ConfigurationError
 from crowseam.configuration.routing import Table
 from crowseam.consensus.messages import SnapshotOffer, SnapshotPart
 from crowseam.consensus.snapshot_transfer import Fetch
 from crowseam.discovery.retirement import Memory
 from crowseam.quotas.leases import Holdings
 from crowseam.quotas.shards import KEYS, duty_of
-from crowseam.settings import Boot, BootError, address
+from crowseam.settings import Settings, SettingsError, address
 from crowseam.transport import messages as m
 from crowseam.transport.links import Link
 
 REPORT, REPORT_SOON = 0.5, 0.15     # s between reports; at the most, while a lease is missing or new
-SOON_LEAST, SOON_EACH = 0.04, 0.001     # s between them then: at the least, and for each desk there is
-YOUNG = 2.0         # s after a first lease in which it hardly fits: all asks are new to the giver
-SILENT = 1.1        # s without a pulse after which another registry is tried
-ALONE = 0.8         # s that a registry may say it has no majority before another one is tried
+SOON_LEAST, SOON_EACH = 0.04, 0.001     # s between them then: at the least, and for each gateway there is
+YOUNG = 2.0         # s after a first lease in which it hardly fits: all asks are new to the grantor
+SILENT = 1.1        # s without a pulse after which another controller is tried
+ALONE = 0.8         # s that a controller may say it has no majority before another one is tried
 ALONE_AGAIN = 4.0   # s before one that had no majority is tried again
 DRAW_TIMEOUT = 0.06     # s for an answer from the reserve: a request waits for it
 DRAW_BITS = 10      # of a draw's number below the life's microseconds: more draws than that take longer
@@ -31,14 +31,14 @@
 PART_WAIT = 3.0     # s without a part after which it is asked for again
 
 
-class Follower:
-    """Keeps one session standing. `table` and the register never go back within one process."""
+class ControllerSession:
+    """Keeps one session standing. `table` and the registry never go back within one process."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, boot: Boot, rng: Random,
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, rng: Random,
                  on_table: Callable[[Table], None], on_servers: Callable[[list, bool], None],
                  on_quiet: Callable[[list[str]], None], asks: Callable[[], dict[str, float]],
                  leaving: Callable[[], dict[str, int]] = dict) -> None:
-        self.loop, self.boot, self.rng = loop, boot, rng
+        self.loop, self.settings, self.rng = loop, settings, rng
         self.on_table, self.on_servers, self.on_quiet, self.asks = on_table, on_servers, on_quiet, asks
         self.leaving = leaving      # requests under way at servers that leave, by id
         self.life = clock.time_ns() // 1000
@@ -47,35 +47,35 @@
         self.table: Table | None = None
         self.slot = -1
         self.fetch: Fetch | None = None     # a large configuration on its way, which outlives a session
-        self.register, self.place = "", 0
+        self.registry, self.place = "", 0
         self.memory = Memory()
-        self.known: dict[str, float] = {}   # registries, by when they may be tried again
+        self.known: dict[str, float] = {}   # controllers, by when they may be tried again
         self.failed: dict[str, int] = {}    # how often each was tried in vain since one was last in touch
         self.holdings: dict[str, Holdings] = {}
         self.on_lease: Callable[[], None] = lambda: None    # what was missing is lent
         self.on_shun: Callable[[list[str]], None] = lambda ids: None
         self.leased_at = -1e9   # when a lease was last missing
         self.draws: dict[int, Callable[[int, float], None]] = {}
-        # Begun with the life: registries pass answers on by the desk's name, whichever life it is in.
+        # Begun with the life: controllers pass answers on by the gateway's name, whichever life it is in.
         self.last_draw = self.life << DRAW_BITS
         self.members = 0
         self.link: Link | None = None
-        self.at = ""            # the registry that the session is with
+        self.at = ""            # the controller that the session is with
         self.heard_at = -1e9
         self.unread = 0         # bytes that have come of a message that is not whole yet
         self.alone_since: float | None = None
         self.told_slot = -1
-        self.fresh = False      # configuration and servers are as new as a registry in touch has them
+        self.fresh = False      # configuration and servers are as new as a controller in touch has them
         self.have_servers = False
         self.stopping = False
         self.dialling = False
-        self.learn(boot.seeds)
+        self.learn(settings.seeds)
 
-    def learn(self, registries: list[str]) -> None:
-        for addr in registries:
+    def learn(self, controllers: list[str]) -> None:
+        for addr in controllers:
             try:
                 address(addr)
-            except BootError:
+            except SettingsError:
                 continue
             self.known.setdefault(addr, 0.0)
 
@@ -87,8 +87,8 @@
         now = clock.monotonic()
         if self.link is not None:
             if (unread := len(self.link.buffer)) != self.unread:
-                # All servers of a large site, asked for by all desks at once, may take longer than SILENT to
-                # come; who left over that would ask the next registry for as much.
+                # All servers of a large site, asked for by all gateways at once, may take longer than SILENT to
+                # come; who left over that would ask the next controller for as much.
                 self.unread, self.heard_at = unread, now
             if now - self.heard_at > SILENT:
                 self._leave("silent")
@@ -106,7 +106,7 @@
         self.loop.call_later(0.1, self._tick)
 
     def _leave(self, why: str, again: float = 1.0) -> None:
-        logs.say("session_left", registry=self.at, why=why)
+        logs.say("session_left", controller=self.at, why=why)
         self._in_vain(self.at, again)
         link, self.link = self.link, None
         link.close()
@@ -116,7 +116,7 @@
         self.failed[addr] = self.failed.get(addr, 0) + 1
 
     def _pick(self, now: float) -> str | None:
-        """A registry to try: those tried in vain least; of them one of our zone, as bytes between zones cost.
+        """A controller to try: those tried in vain least; of them one of our zone, as bytes between zones cost.
 
         Two of our zone that don't answer would else be tried in turns for ever.
         """
@@ -125,7 +125,7 @@
             return None
         least = min(self.failed.get(addr, 0) for addr in able)
         able = [addr for addr in able if self.failed.get(addr, 0) == least]
-        zone = self.boot.ip.rsplit(".", 2)[0]
+        zone = self.settings.ip.rsplit(".", 2)[0]
         near = [addr for addr in able if addr.startswith(zone + ".")]
         return self.rng.choice(near or able)
 
@@ -139,12 +139,12 @@
             link = Link(self._heard, self._ended)
             link.peer = addr
             async with asyncio.timeout(CONNECT):
-                await self.loop.create_connection(lambda: link, host, self.boot.port_range[0])
+                await self.loop.create_connection(lambda: link, host, self.settings.port_range[0])
             self.link, self.at, self.alone_since = link, addr, None
             self.heard_at = clock.monotonic()
             self.hop += 1
             self.told_slot = -1
-            link.send(m.Open(self.boot.hostname, self.life, self.hop, self.boot.az, self.slot, self.register,
+            link.send(m.Open(self.settings.hostname, self.life, self.hop, self.settings.az, self.slot, self.registry,
                              self.place, True))
             self._send_report(clock.monotonic())    # others may wait for it, to be lent what is not ours
         except (OSError, TimeoutError):
@@ -157,7 +157,7 @@
             self.link = None
             self._in_vain(self.at, 0.3)
             if not self.stopping:
-                logs.say("session_lost", registry=self.at)
+                logs.say("session_lost", controller=self.at)
 
     def _heard(self, link: Link, message: m.Message) -> None:
         if link is not self.link:
@@ -174,7 +174,7 @@
             elif self.alone_since is None:
                 self.alone_since = now
         elif kind is m.Servers:
-            self.register, self.place = message.register, message.place
+            self.registry, self.place = message.registry, message.place
             self.have_servers = True
             self.on_servers(self.memory.take(message.records, message.whole, now), message.whole)
         elif kind is m.Quiet:
@@ -200,23 +200,23 @@
             if (done := self.draws.pop(message.number, None)) is not None:
                 done(message.given, message.wait)
         elif kind is m.Count:
-            link.send(m.Leaving(message.number, self.register, self.place, self.leaving()))
+            link.send(m.Leaving(message.number, self.registry, self.place, self.leaving()))
         elif kind is m.Welcome:
-            self.learn(message.registries)
+            self.learn(message.controllers)
 
     def _state(self, message: m.State) -> None:
         if message.slot <= self.slot:
-            return      # guards against going back: that registry is behind
+            return      # guards against going back: that controller is behind
         try:
             config = Configuration.from_put(m.unpack(message.body))
-        except (CatalogueError, ValueError) as error:
+        except (ConfigurationError, ValueError) as error:
             if message.slot:    # before the first configuration there is none to read
                 logs.say("state_unread", error=error)
             config = EMPTY
         self._take(message.slot, config)
 
     def _offered(self, message: SnapshotOffer, now: float) -> None:
-        """The registry's configuration is large: fetch it, or go on with one that another began to send."""
+        """The controller's configuration is large: fetch it, or go on with one that another began to send."""
         if message.last <= self.slot:
             return self.link.send(m.Following(self.slot))
         if self.fetch is None:
@@ -267,7 +267,7 @@
         if message.body:
             try:
                 config = Configuration.from_change(config, message.whole, m.unpack(message.body))
-            except (CatalogueError, ValueError) as error:
+            except (ConfigurationError, ValueError) as error:
                 logs.say("step_unread", error=error)
         self._take(message.slot, config)
 
@@ -300,7 +300,7 @@
     def complain(self, news: dict[str, int]) -> None:
         """Tell the fleet of servers that fail, or do no more."""
         if self.link is not None:
-            self.link.send(m.Ill(self.boot.hostname, news))
+            self.link.send(m.OutlierReport(self.settings.hostname, news))
 
     def draw(self, tenant: str, count: int, done: Callable[[int, float], None]) -> None:
         """Ask for requests of a tenant beyond our slice; `done` gets how many, and the wait for one more."""
@@ -309,7 +309,7 @@
         self.last_draw += 1
         number = self.last_draw
         self.draws[number] = done
-        self.link.send(m.Draw(self.boot.hostname, tenant, count, number))
+        self.link.send(m.Draw(self.settings.hostname, tenant, count, number))
         self.loop.call_later(DRAW_TIMEOUT, self._undrawn, number)
 
     def _undrawn(self, number: int) -> None:
--- a/crowseam/gateway/counters.py
+++ b/crowseam/gateway/counters.py
@@ -1,11 +1,11 @@
-"""What was asked of a desk, counted for the line that it logs each span and that a replay reads."""
+"""What was asked of a gateway, counted for the line that it logs each span and that a replay reads."""
 
 ASKED = "asked"
 SPAN = 5.0  # s that one line covers
 
 
-class Tally:
-    """Counts what is asked, for the line that a desk logs each span."""
+class RequestCounters:
+    """Counts what is asked, for the line that a gateway logs each span."""
 
     def __init__(self) -> None:
         self.counts: dict[tuple[str, str], int] = {}
--- a/crowseam/gateway/gateway.py
+++ b/crowseam/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The owner of the clerk: sockets' events in, its decisions out; every request gets exactly one answer."""
+"""The owner of the balancer: sockets' events in, its decisions out; every request gets exactly one answer."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from crowseam import clock, logs
 from crowseam.configuration.routing import Table
 from crowseam.discovery.service_registry import Record
-from crowseam.gateway.counters import Tally
+from crowseam.gateway.counters import RequestCounters
 from crowseam.gateway.http_dialect import ServerDialect, load_of
-from crowseam.gateway.load_balancer import Clerk, Draw, Give, Send, Wake
+from crowseam.gateway.load_balancer import Draw, Give, LoadBalancer, Send, Wake
 from crowseam.gateway.request_reader import Asked
 from crowseam.metrics.latency import Recorder
 from crowseam.quotas.admission import Admission
 from crowseam.quotas.leases import beside_slices
 from crowseam.quotas.retry_budget import Most, RetryBudget
-from crowseam.settings import Boot, seconds
+from crowseam.settings import Settings, seconds
 from fennelpoint.interface import BackendEntry, BackendState, Roster, RosterKind, Status
 from fennelpoint.net.backends import HOP_BY_HOP, Answer, Backends, Exchange, UpstreamConnection
 from fennelpoint.net.flow import Budget
@@ -27,9 +27,9 @@
 IDLE_MOST = 4.0         # s that a connection to a server is kept unused: the servers close theirs some time
 UNSAFE_IDLE = (0.03, 1.0)   # s that a connection for what may run once only has stood unused: young enough
                         # not to have been forgotten, old enough for a second answer to have shown
-LATELY = 60.0           # s for which the highest number of desks told counts, where something is cut evenly
-UNKNOWN = 96            # desks reckoned with until a number is told
-YOUNG = 2.0             # s from its start in which a desk is lent its first slices
+LATELY = 60.0           # s for which the highest number of gateways told counts, where something is cut evenly
+UNKNOWN = 96            # gateways reckoned with until a number is told
+YOUNG = 2.0             # s from its start in which a gateway is lent its first slices
 SETTLED = 0.6           # s, least told to come back after then: all who were cut off come back at the same
                         # time, and buckets begin empty
 NOT_RUN = frozenset((429, 503, 408, 421))   # a promise: it has not run and never will
@@ -55,7 +55,7 @@
 class Passing:
     """Takes a large answer as it comes; from its first bytes on this attempt is the one that counts."""
 
-    desk: Desk
+    gateway: Gateway
     ticket: Ticket
     number: int
 
@@ -71,40 +71,40 @@
             self.ticket.client.piece(data)
 
 
-class Desk:
+class Gateway:
     """What `fennelpoint.net.server` calls its host: takes requests, gives answers."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, boot: Boot, rng: Random, connections: int) -> None:
-        self.loop, self.boot, self.rng = loop, boot, rng
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, rng: Random, connections: int) -> None:
+        self.loop, self.settings, self.rng = loop, settings, rng
         now = clock.monotonic()
-        bounds = boot.bounds
+        bounds = settings.bounds
         self.admission = Admission(now, rng)
         self.budget = RetryBudget(bounds.retry_ratio, seconds(bounds.retry_window, "retry_window"),
-                                  bounds.retry_slack, now, UNKNOWN, earlier=not boot.bootstrap)
-        self.clerk = Clerk(boot.az, self.admission, self.budget, rng, boot.hostname)
+                                  bounds.retry_slack, now, UNKNOWN, earlier=not settings.bootstrap)
+        self.balancer = LoadBalancer(settings.az, self.admission, self.budget, rng, settings.hostname)
         self.backends = Backends(loop, connections, CONNECT_TIMEOUT, 2 * IDLE_MOST, 4.0,
-                                 Budget(boot.limits.mem_mb), ServerDialect())
+                                 Budget(settings.limits.mem_mb), ServerDialect())
         self.table: Table | None = None
-        self.tally = Tally()
+        self.counters = RequestCounters()
         self.tickets: dict[int, Ticket] = {}
         self.begun = now
         self.open_ids: set[bytes] = set()
         self.last_id = 0
-        self.reserve = lambda tenant, count, done: done(0, 0.1)   # how the giver's reserve is asked
+        self.reserve = lambda tenant, count, done: done(0, 0.1)   # how the grantor's reserve is asked
         self.share = lambda tenant, now: None   # the part of a tenant's quota that is lent to us
         self.left = lambda tenant, now: 0.0     # and for how many seconds more
         # Tenants whose leases have changed since the last look; None where that isn't known.
         self.relent: Callable[[float], Iterable[str] | None] = lambda now: None
-        self.cut_for = 0    # the number of desks that buckets are cut for
+        self.cut_for = 0    # the number of gateways that buckets are cut for
         self.members = 0
         self.most = Most(LATELY)
-        self.figures = Recorder()
+        self.metrics = Recorder()
 
-    # What the registries tell
+    # What the controllers tell
 
     def follow(self, records: list[Record], whole: bool) -> None:
         """Servers, all or those changed: the sockets keep to it from now on."""
-        self.clerk.follow(records, whole, clock.monotonic())
+        self.balancer.follow(records, whole, clock.monotonic())
         entries, addresses = [], {}
         for record in records:
             state = (BackendState.GONE if record.phase == "gone" else
@@ -119,7 +119,7 @@
     def _move(self) -> None:
         """What waits for a connection to a server that leaves goes elsewhere."""
         for ticket in list(self.tickets.values()):
-            tried = self.clerk.tries.get(ticket.id)
+            tried = self.balancer.tries.get(ticket.id)
             for number, exchange in list(ticket.out.items()):
                 if (exchange.connecting is not None and tried is not None and number in tried.out
                         and not tried.out[number][0].usable):
@@ -133,7 +133,7 @@
             changed = [name for name, tenant in after.items() if before.get(name) is not tenant]
             changed += [name for name in before if name not in after]
         self.table = table
-        self.figures.follow(table.routes)
+        self.metrics.follow(table.routes)
         self.admission.configure(table.tenants, now, changed)
         self.slices(now, changed)
 
@@ -143,24 +143,24 @@
         `changed`: tenants to be looked at beside those lent anew; None: all of them.  Buckets fill by
         themselves: to go through 17,000 of them each 0.1 s took more than half a core.
         """
-        bounds = self.boot.bounds
+        bounds = self.settings.bounds
         if self.members:    # until then both reckon with UNKNOWN, but don't remember it
-            self.budget.desks(self.members, now)
-            # Desks that are cut off still reckon with the number of before.
+            self.budget.gateways(self.members, now)
+            # Gateways that are cut off still reckon with the number of before.
             self.most.tell(self.members, now)
-        desks = self.most.get(now, UNKNOWN)
+        gateways = self.most.get(now, UNKNOWN)
         window = seconds(bounds.quota_window, "quota_window")
         tenants = self.table.tenants if self.table else {}
         relent = self.relent(now)
         names: Iterable[str] = tenants
-        if relent is not None and changed is not None and desks == self.cut_for:
+        if relent is not None and changed is not None and gateways == self.cut_for:
             names = {name for name in (*relent, *changed) if name in tenants}
-        self.cut_for = desks
+        self.cut_for = gateways
         for name in names:
             tenant = tenants[name]
             if tenant.rate > 0.0:
                 floor, extra = beside_slices(tenant.rate, tenant.burst, window, bounds.quota_excess,
-                                             bounds.quota_slack, desks)
+                                             bounds.quota_slack, gateways)
                 self.admission.slice_of(name, self.share(name, now), now, floor, extra=extra,
                                         until=now + self.left(name, now))
 
@@ -180,13 +180,13 @@
         ticket = Ticket(self.last_id, asked, client, now + asked.time_left)
         self.tickets[ticket.id] = ticket
         self.open_ids.add(asked.txn)
-        self.tally.add(asked.route.name, asked.tenant)
+        self.counters.add(asked.route.name, asked.tenant)
         if asked.tenant and asked.tenant not in self.admission.tenants:
             # The configuration that knew the key is not the one in force any more.
             self._finish(ticket, lambda c: c.answered(401, [], b"the key is not known\n"), 401, "key")
             return ticket.id
         ticket.timer = self.loop.call_later(asked.time_left, self._expire, ticket)
-        self._do(self.clerk.arrive(ticket.id, asked.route, asked.tenant, asked.time_left, now))
+        self._do(self.balancer.arrive(ticket.id, asked.route, asked.tenant, asked.time_left, now))
         return ticket.id
 
     def is_open(self, txn: bytes) -> bool:
@@ -200,8 +200,8 @@
         ticket = self.tickets.get(request)
         if ticket is None or ticket.client is None:
             return
-        self.clerk.gone(request, clock.monotonic())
-        self.figures.gone += 1
+        self.balancer.gone(request, clock.monotonic())
+        self.metrics.gone += 1
         self._finish(ticket, lambda client: None, 0)
         for exchange in list(ticket.out.values()):
             exchange.give_up(Status.CANCELLED)
@@ -231,7 +231,7 @@
             if draw.tenant not in self.admission.tenants:
                 return self._finish(ticket, lambda c: c.answered(401, [], b"the key is not known\n"), 401,
                                     "key")
-            self._do(self.clerk.arrive(ticket.id, ticket.asked.route, draw.tenant, ticket.deadline - now, now,
+            self._do(self.balancer.arrive(ticket.id, ticket.asked.route, draw.tenant, ticket.deadline - now, now,
                                        0.0 if given else wait))
 
         self.tickets[draw.id].drawing = True
@@ -240,11 +240,11 @@
     def lent(self) -> None:
         """A first slice is here: buckets fill from now on, and what was dry need not be."""
         self.slices(clock.monotonic())
-        self.clerk.dry.clear()
+        self.balancer.dry.clear()
 
     def _wake(self, request: int) -> None:
         if request in self.tickets:
-            self._do(self.clerk.late(request, clock.monotonic()))
+            self._do(self.balancer.late(request, clock.monotonic()))
 
     def _send(self, send: Send) -> None:
         ticket = self.tickets[send.id]
@@ -268,14 +268,14 @@
     def _outcome(self, ticket: Ticket, number: int, status: Status, answer: Answer | None,
                  passing: Passing | None = None) -> None:
         if ticket.client is not None and ticket.passing is not None and ticket.passing is passing:
-            self.clerk.passed(ticket.id, number, status is Status.OK, clock.monotonic())
+            self.balancer.passed(ticket.id, number, status is Status.OK, clock.monotonic())
             if status is Status.OK:
                 self._finish(ticket, lambda c: c.finish(), 200)
             else:
                 self._finish(ticket, lambda c: c.broken(), 200, "broken")
         elif ticket.client is not None and ticket.passing is None:
             load = load_of(answer) if answer is not None else None
-            self._do(self.clerk.outcome(ticket.id, number, status, answer, clock.monotonic(), load))
+            self._do(self.balancer.outcome(ticket.id, number, status, answer, clock.monotonic(), load))
         self._forget(ticket)
 
     def _give(self, give: Give) -> None:
@@ -312,7 +312,7 @@
         span = clock.monotonic() - ticket.deadline + ticket.asked.time_left
         answer(client)
         if status:      # counted once the answer is out, which waits for nothing here
-            self.figures.ended(ticket.asked.route, ticket.svc, status, reason, span)
+            self.metrics.ended(ticket.asked.route, ticket.svc, status, reason, span)
 
     def _forget(self, ticket: Ticket) -> None:
         if ticket.client is None and not ticket.out and self.tickets.pop(ticket.id, None) is not None:
@@ -331,7 +331,7 @@
 
     def _time_out(self, ticket: Ticket) -> None:
         """Answer a request that has waited as long as its client does."""
-        self._do(self.clerk.over(ticket.id, clock.monotonic()))
+        self._do(self.balancer.over(ticket.id, clock.monotonic()))
         if ticket.client is not None and ticket.drawing:
             # It waits for the reserve: no server has had it.
             self._finish(ticket, lambda c: c.answered(429, [(REASON, b"quota")], b"quota\n"), 429, "quota")
--- a/crowseam/gateway/load_balancer.py
+++ b/crowseam/gateway/load_balancer.py
@@ -14,7 +14,7 @@
 
 from crowseam.configuration.routing import Route
 from crowseam.discovery.service_registry import Record
-from crowseam.gateway.reserved_servers import Shelves
+from crowseam.gateway.reserved_servers import ReservedServers
 from crowseam.gateway.subsetting import Subsets
 from crowseam.quotas.admission import Admission
 from crowseam.quotas.retry_budget import RetryBudget
@@ -55,13 +55,13 @@
     slots: int
     warm_at: float          # when it has warmed up, by its word
     usable: bool = True
-    quiet: bool = False     # no sign of life has come to the registries
+    quiet: bool = False     # no sign of life has come to the controllers
     out: int = 0            # our requests there
     told: float = 0.0       # requests it held by its own word, ours of the moment left out
     told_at: float = -inf
     slow: float = 1.0       # its time for a piece of work against the others'
     shunned: bool = False   # the fleet complains of it
-    rank: float = 1.0       # its place among its zone's, 0 to 1 (`shelves`)
+    rank: float = 1.0       # its place among its zone's, 0 to 1 (`reserved_servers`)
     try_at: float = inf     # when we try whether it is well again
     fails: int = 0          # in a row
     failed_at: float = -inf
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True)
 class Draw:
-    """Ask the giver's reserve for one request of the tenant, then call `arrive` again with the answer."""
+    """Ask the grantor's reserve for one request of the tenant, then call `arrive` again with the answer."""
 
     id: int
     tenant: str
@@ -137,8 +137,8 @@
     at: float
 
 
-class Clerk:
-    """The decisions of one desk; its owner carries out what the methods return."""
+class LoadBalancer:
+    """The decisions of one gateway; its owner carries out what the methods return."""
 
     def __init__(self, az: str, admission: Admission, budget: RetryBudget, rng: Random,
                  name: str = "") -> None:
@@ -147,7 +147,7 @@
         self.services: dict[str, list[Server]] = {}
         self.subsets = Subsets(name, az)
         self.kinds: dict[tuple[str, str], Kind] = {}
-        self.shelves = Shelves()
+        self.reserved_servers = ReservedServers()
         self.mean: dict[str, float] = {}    # s of work that a service's requests take on average
         self.tries: dict[int, Try] = {}
         self.news: dict[str, int] = {}
@@ -155,7 +155,7 @@
         self.served_at = -inf   # when a server has last served us
         self.dry: dict[str, float] = {}     # tenants whose reserve is empty, by when it is worth asking again
 
-    # What the registries tell
+    # What the controllers tell
 
     def follow(self, records: list[Record], whole: bool, now: float) -> None:
         """Take in servers, all there are or those changed."""
@@ -187,7 +187,7 @@
             server.usable = record.usable
         self.subsets.news()
         for svc in moved:
-            self.shelves.order(self.services.get(svc, ()))
+            self.reserved_servers.order(self.services.get(svc, ()))
 
     def _drop(self, ident: str) -> None:
         if (server := self.servers.pop(ident, None)) is not None:
@@ -295,7 +295,7 @@
         """The server with the least expected wait that may take this request, of those we consider."""
         kind = self.kind(t.svc, t.route)
         mean = self.mean.get(t.svc, kind.work)
-        short = self.shelves.ask(t.svc, kind.work, mean)
+        short = self.reserved_servers.ask(t.svc, kind.work, mean)
         for among in self.subsets.of(t.svc, self.services.get(t.svc, [])):
             if (server := self._best(among, t, kind.work, mean, short, now)) is not None:
                 return server
@@ -318,7 +318,7 @@
             well = [s for s in able if not s.quiet] or able
             if not t.route.safe:
                 well = [s for s in well if s.fails <= 1] or well
-        part = self.shelves.part(t.svc)
+        part = self.reserved_servers.part(t.svc)
         away = (SHORT_ON_LONG if short else LONG_ON_SHORT) * work
         best, least = None, inf
         for s in well:
--- a/crowseam/gateway/reserved_servers.py
+++ b/crowseam/gateway/reserved_servers.py
@@ -1,4 +1,4 @@
-"""Which servers of a service are kept for short requests: the short-loan shelf of a service.
+"""Which servers of a service are kept for short requests: the short-loan menu of a service.
 
 A short request that finds all slots of a server taken waits for a long one to end, which may take longer
 than its whole aim; a long request hardly minds a short one.  So where the requests of a service differ much
@@ -25,7 +25,7 @@
 STEADY = 0.25       # of the part: the change from which on it is followed, so that no server goes to and fro
 
 
-class Shelved(Protocol):
+class Reservable(Protocol):
     """A server, as far as it matters here; `rank` is its place in its zone, 0 to 1."""
 
     id: str
@@ -34,7 +34,7 @@
     rank: float
 
 
-class Shelves:
+class ReservedServers:
     """The parts of all services, as one ingress sees them."""
 
     def __init__(self) -> None:
@@ -42,9 +42,9 @@
         self._asked: dict[str, int] = {}
         self._part: dict[str, float] = {}
 
-    def order(self, servers: Iterable[Shelved]) -> None:
+    def order(self, servers: Iterable[Reservable]) -> None:
         """Rank the servers of one service anew, as some have come, gone or moved."""
-        zones: dict[str, list[Shelved]] = {}
+        zones: dict[str, list[Reservable]] = {}
         for server in servers:
             if server.usable:
                 zones.setdefault(server.az, []).append(server)
--- a/crowseam/gateway/subsetting.py
+++ b/crowseam/gateway/subsetting.py
@@ -34,16 +34,16 @@
 
 
 class Subsets:
-    """The servers that the desk of this name and zone considers, by service."""
+    """The servers that the gateway of this name and zone considers, by service."""
 
-    def __init__(self, desk: str, az: str) -> None:
-        self.desk, self.az = desk, az
+    def __init__(self, gateway: str, az: str) -> None:
+        self.gateway, self.az = gateway, az
         self._ranks: dict[str, list[tuple[float, str, Server]]] = {}    # of services with more than MANY
         self._kept: dict[str, tuple[list[Server], ...]] = {}
 
     def _rank(self, server: Server) -> tuple[float, str, Server]:
         """Lower comes first.  A weight w has it win against w servers of weight 1 as one of them would."""
-        digest = hashlib.blake2b(f"{self.desk}|{server.id}".encode(), digest_size=8).digest()
+        digest = hashlib.blake2b(f"{self.gateway}|{server.id}".encode(), digest_size=8).digest()
         weight = NEAR if server.az == self.az else 1.0
         return -log((int.from_bytes(digest) + 1.0) / _RANGE) / weight, server.id, server
 
--- a/crowseam/membership/duties.py
+++ b/crowseam/membership/duties.py
@@ -1,6 +1,6 @@
-"""Duties, cut by key over the live registries that vote; a key changes hands under a fence.
+"""Duties, cut by key over the live controllers that vote; a key changes hands under a fence.
 
-The wanted holder of a key is found by highest random weight over the live registries, so one that comes or
+The wanted holder of a key is found by highest random weight over the live controllers, so one that comes or
 goes moves only the keys it had or gets. Being wanted gives no right: a holder needs a lease from a majority
 of the voters, renewed each half second. A voter grants a key to one holder at a time, by its own steady
 clock; the holder counts from when it sent the request, so its lease has ended when a voter grants to the
@@ -94,7 +94,7 @@
 
 
 class Holding(msgspec.Struct, array_like=True, tag="duties.holding"):
-    """The sender holds the key; news for registries that do not vote."""
+    """The sender holds the key; news for controllers that do not vote."""
 
     key: str
     fence: int
@@ -106,7 +106,7 @@
 
 
 class DutyTerms(msgspec.Struct, frozen=True):
-    """Figures of the duties, in seconds; the same on all registries."""
+    """Figures of the duties, in seconds; the same on all controllers."""
 
     term: float = 1.4  # a grant holds so long, from when it was asked for
     margin: float = 0.1  # voters wait so much longer, for clocks that differ in speed by up to 2%
@@ -156,19 +156,19 @@
     whole_at: float = float("-inf")  # when those that are not listed hold nothing any more
 
 
-def wanted(key: str, registries: Iterable[str]) -> str | None:
-    """The registry that should hold the key: the one with the highest weight; None if there is none."""
+def wanted(key: str, controllers: Iterable[str]) -> str | None:
+    """The controller that should hold the key: the one with the highest weight; None if there is none."""
     return max(
-        registries,
+        controllers,
         key=lambda name: (hashlib.blake2b(f"{key}|{name}".encode(), digest_size=8).digest(), name),
         default=None,
     )
 
 
 class Duties:
-    """The duties of one registry, as a voter, a candidate and a holder.
+    """The duties of one controller, as a voter, a candidate and a holder.
 
-    `me` is the address others know this registry by. Messages that handle, tick and release return are to
+    `me` is the address others know this controller by. Messages that handle, tick and release return are to
     be sent to the address beside them.
     """
 
@@ -219,7 +219,7 @@
     def tick(self, now: float, live: set[str], voters: set[str]) -> Outbox:
         """Seeks, renews and gives up; to be called about ten times a second.
 
-        `live` are the registries heard from lately, `voters` those that vote.
+        `live` are the controllers heard from lately, `voters` those that vote.
         """
         if voters != self._voters:
             self.seat(frozenset(voters), now, self._slot, self._since, self._changing)
@@ -262,7 +262,7 @@
                 self._saved[key] = self.unsaved[key] = _note(_holder(self._saved.get(key, ""))[0], fence)
 
     def holds(self, key: str, now: float) -> int | None:
-        """The fence under which this registry holds the key at this moment, or None."""
+        """The fence under which this controller holds the key at this moment, or None."""
         hand = self._hands[key]
         if not hand.fence or now >= self._end(hand, hand.fence):
             return None
@@ -541,7 +541,7 @@
             self._told[key] = (holder, until, fence)
 
     def _route(self, out: Outbox, now: float) -> Outbox:
-        """Carries out what this registry sends to itself."""
+        """Carries out what this controller sends to itself."""
         away: Outbox = []
         for to, message in out:
             if to == self.me:
--- a/crowseam/metrics/exposition.py
+++ b/crowseam/metrics/exposition.py
@@ -65,7 +65,7 @@
         return call.reply(503)
     if _pool is None:
         from concurrent.futures import ThreadPoolExecutor
-        _pool = ThreadPoolExecutor(1, "figures")
+        _pool = ThreadPoolExecutor(1, "metrics")
     _waiting += 1
 
     def done(future: asyncio.Future) -> None:
@@ -74,7 +74,7 @@
         try:
             call.reply(200, future.result(), CONTENT_TYPE)
         except Exception:
-            logs.failure("figures_failed")
+            logs.failure("metrics_failed")
             call.reply(500)
 
     loop.run_in_executor(_pool, _gently, families).add_done_callback(done)
--- a/crowseam/metrics/latency.py
+++ b/crowseam/metrics/latency.py
@@ -1,4 +1,4 @@
-"""Latencies and ends of a desk's requests, in sketches of `ddsketch`.
+"""Latencies and ends of a gateway's requests, in sketches of `ddsketch`.
 
 All spans are in seconds. Clock-free: who records measures. The number of series has a bound, whatever the
 configuration: a route begins to count by itself with its first request, and what ends beyond MOST series, or
@@ -20,7 +20,7 @@
 EARLY = 2000        # ends that are kept until the library is here
 LEAST, LONGEST = 1e-4, 120.0    # s; spans beyond count as these, which bounds the bins of a sketch to 703
 ACCURACY = 0.01     # of any quantile, as a part of it
-# s; steps so small that a sum over desks still tells a p99 between 2 ms and 10 s within 30%.
+# s; steps so small that a sum over gateways still tells a p99 between 2 ms and 10 s within 30%.
 BOUNDS = tuple(each / 1000.0 for each in (
     2, 3, 5, 7, 10, 15, 20, 30, 50, 70, 100, 150, 200, 300, 500, 700, 1000, 1500, 2000, 3000, 5000, 7000,
     10000, 30000))
@@ -61,7 +61,7 @@
 
 
 class Recorder:
-    """What a desk has counted since it began. Give it each request's end and each configuration's routes."""
+    """What a gateway has counted since it began. Give it each request's end and each configuration's routes."""
 
     def __init__(self) -> None:
         self.make: Callable[[], object] | None = None   # none until the library is here
--- a/crowseam/model_checks/agreement/check.py
+++ b/crowseam/model_checks/agreement/check.py
@@ -160,7 +160,7 @@
                 world.after(pause, self._send, order, self._any().addr)
 
     def _rivals(self) -> None:
-        """Eight orders at once on one parent, all under one number or in two, at different registries."""
+        """Eight orders at once on one parent, all under one number or in two, at different controllers."""
         world = self.world
         self._count("eight at once")
         parent, spread = self._parent(), world.rng.choice((0.0, 0.01, 0.1))
