--- a/crowseam/quotas/admission.py
+++ b/crowseam/quotas/admission.py
@@ -67,7 +67,7 @@
     share: float | None = None
     until: float = inf      # when the lease of the share ends
     floor: float = 0.0      # requests a second without a lease
-    roomy: bool = False     # all asks of the tenant fit in its quota, by the giver's last word
+    roomy: bool = False     # all asks of the tenant fit in its quota, by the grantor's last word
     extra: float = 0.0      # requests that the bucket may hold beyond its slice
     level: float = 0.0
     lent: float = 0.0       # requests that may pass beyond the slice, handed out one by one
@@ -218,7 +218,7 @@
             t.level = min(t.depth(), t.level + 1.0)
 
     def lend(self, tenant: str, count: int, now: float) -> None:
-        """So many requests may pass beyond the slice: the giver has handed them out."""
+        """So many requests may pass beyond the slice: the grantor has handed them out."""
         # Not in the bucket: a slice that is lowered takes what it held with it, as others hold that now.
         self._tenant(tenant).lent += count
 
--- a/crowseam/quotas/leases.py
+++ b/crowseam/quotas/leases.py
@@ -1,17 +1,17 @@
-"""Slices of the tenants' quotas, lent by one giver to every desk.
+"""Slices of the tenants' quotas, lent by one grantor to every gateway.
 
 A slice is a share of a tenant's rate and burst. Shares are whole numbers of PARTS, so that sums are exact.
-The giver (Lender) sits where the duty for the shard is; a desk keeps what it was lent in Holdings.
+The grantor (Lender) sits where the duty for the shard is; a gateway keeps what it was lent in Holdings.
 
-At any moment the shares that desks may still be using, those cut off included, sum to at most 1:
+At any moment the shares that gateways may still be using, those cut off included, sum to at most 1:
 
-- A lease ends by the desk's own steady clock, counted from when the desk SENT the report that was answered;
-  the giver counts from when it answered, and adds a margin for clocks that run unevenly.
-- A raise is given only from what is free. After a lowering the old share counts as in use until the desk
+- A lease ends by the gateway's own steady clock, counted from when the gateway SENT the report that was answered;
+  the grantor counts from when it answered, and adds a margin for clocks that run unevenly.
+- A raise is given only from what is free. After a lowering the old share counts as in use until the gateway
   names the new lease in a report, or until the old lease has ended.
-- A new giver knows nothing. First it has each desk obey its fence, and so refuse the giver before it; the
-  desk keeps what it holds. What it then reports is taken over as it is. What nobody has named may still be
-  in use; it is free once all known desks have been taken over, or when the longest lease of the giver
+- A new grantor knows nothing. First it has each gateway obey its fence, and so refuse the grantor before it; the
+  gateway keeps what it holds. What it then reports is taken over as it is. What nobody has named may still be
+  in use; it is free once all known gateways have been taken over, or when the longest lease of the grantor
   before must have ended.
 
 All times are seconds of a steady clock.
@@ -26,8 +26,8 @@
 EXTRA_PART, EXTRA_MOST = 0.6, 4.0   # of what the rule leaves above the quota, cut evenly: requests that each
                         # bucket may hold beyond its slice of the burst; and no more than this
 FLOOR_PART = 0.25       # of the same, cut evenly: what fills the buckets without a lease in a window
-WIDE_MOST = 64          # tenants of which every desk is lent something, those with the highest rates: what a
-                        # desk is asked of the others, it is lent after its first word of them
+WIDE_MOST = 64          # tenants of which every gateway is lent something, those with the highest rates: what a
+                        # gateway is asked of the others, it is lent after its first word of them
 MANY = 64               # tenants of a lease from which on some share goes down with nearly each lease
 PROMPT_GAP, PROMPT_PAUSE = 0.3, 0.4     # s after a report within which another one was a prompt one; between
                         # two of these because of shares that went down, where there are many
@@ -35,10 +35,10 @@
 
 
 class Held(msgspec.Struct, array_like=True, tag="lending.held"):
-    """What a desk tells the giver that it holds. Shares are in PARTS; `left` and `sent` in seconds."""
+    """What a gateway tells the grantor that it holds. Shares are in PARTS; `left` and `sent` in seconds."""
 
-    life: int  # grows with each start of the desk's process
-    sent: float  # the desk's clock as it sent this
+    life: int  # grows with each start of the gateway's process
+    sent: float  # the gateway's clock as it sent this
     fence: int  # 0 = has never held a lease
     epoch: int
     left: float
@@ -46,9 +46,9 @@
 
 
 class Lease(msgspec.Struct, array_like=True, tag="lending.lease"):
-    """The giver's answer. It holds `term` seconds from `sent`, a time the desk had put into its report.
+    """The grantor's answer. It holds `term` seconds from `sent`, a time the gateway had put into its report.
 
-    Epoch 0 is a new giver's first word: the desk keeps what it holds, and obeys no lower fence any more.
+    Epoch 0 is a new grantor's first word: the gateway keeps what it holds, and obeys no lower fence any more.
     """
 
     life: int
@@ -59,21 +59,21 @@
     shares: dict[str, int]
 
 
-class LendingTerms(msgspec.Struct, frozen=True):
-    """Figures of lending; every giver of a day must use the same `term` and `margin`."""
+class LeaseTerms(msgspec.Struct, frozen=True):
+    """Figures of lending; every grantor of a day must use the same `term` and `margin`."""
 
     term: float = 8.0  # seconds a lease holds
-    margin: float = 0.4  # seconds the giver waits on top, for clocks that differ in speed by up to 2%
+    margin: float = 0.4  # seconds the grantor waits on top, for clocks that differ in speed by up to 2%
     reserve: float = 0.0  # the fraction of a quota that is not lent but drawn from, a request at a time
     reserve_most: float = 0.9  # the same where an even slice is thin
     thin: float = 1.0  # requests a second of an even slice below which less is lent
-    least: float = 0.0  # requests a second below which nothing is lent to a desk that is not asked
+    least: float = 0.0  # requests a second below which nothing is lent to a gateway that is not asked
     even: float = 0.2  # the fraction of a quota that is dealt out evenly, whatever is asked
     keep: float = 1.5  # seconds after a take-over in which no share is lowered, as not all asks are known yet
 
 
 class Lent(msgspec.Struct):
-    """A lease given out that may be in use until `until` by the giver's clock."""
+    """A lease given out that may be in use until `until` by the grantor's clock."""
 
     epoch: int
     until: float
@@ -81,7 +81,7 @@
 
 
 class Borrower:
-    """What the giver knows of one desk."""
+    """What the grantor knows of one gateway."""
 
     __slots__ = ("asks", "bound", "claimed", "heard", "lent", "life", "sent", "settled")
 
@@ -90,27 +90,27 @@
         self.sent = float("-inf")
         self.heard = 0.0
         self.settled = settled
-        self.claimed = False  # it held a lease of the giver before, fit to what that one knew of the asks
+        self.claimed = False  # it held a lease of the grantor before, fit to what that one knew of the asks
         self.asks: dict[str, float] = {}
         self.lent: list[Lent] = []
-        self.bound: dict[str, int] = {}  # the most the desk may be using now
+        self.bound: dict[str, int] = {}  # the most the gateway may be using now
 
 
 class Lender:
     """Gives the slices of one shard of tenants, as long as the duty holds under `fence`.
 
-    `known` names the desks that may hold leases of an earlier giver (empty: none was ever given; None: not
-    known, so that the time alone counts). `expect` is the number of desks there are as far as sessions
+    `known` names the gateways that may hold leases of an earlier grantor (empty: none was ever given; None: not
+    known, so that the time alone counts). `expect` is the number of gateways there are as far as sessions
     tell. `tenants` is to give the very same object until the tenants or their rates change. A Lender is made
     anew for each fence, and must not be asked once the duty is lost.
     """
 
     def __init__(
-        self, fence: int, known: set[str] | None, expect: int, now: float, terms: LendingTerms | None = None,
+        self, fence: int, known: set[str] | None, expect: int, now: float, terms: LeaseTerms | None = None,
         rates: Callable[[str], float] = lambda tenant: 0.0, tenants: Callable[[], Iterable[str]] = tuple,
     ) -> None:
         self.fence = fence
-        self.terms = terms or LendingTerms()
+        self.terms = terms or LeaseTerms()
         self.expect = expect
         self.tenants = tenants  # those with a quota, whether asked for or not
         self.rates = rates  # requests a second of each tenant's quota; 0: not known
@@ -118,40 +118,40 @@
         self._sealed = known is None or bool(known)
         self._sealed_until = now + self.terms.term + self.terms.margin
         self._keep_until = now + self.terms.keep if self._sealed else now
-        self._desks: dict[str, Borrower] = {}
+        self._gateways: dict[str, Borrower] = {}
         self._ended: dict[str, tuple[int, float]] = {}  # the life that left, and when that may be forgotten
         self._used: dict[str, int] = {}  # sum of the bounds by tenant
         self._claimed: dict[str, int] = {}  # sum of what was taken over by tenant, while sealed
         self._asked: dict[str, float] = {}
-        # Tenants of which a desk gets something that is not asked for them: of thousands, few.
+        # Tenants of which a gateway gets something that is not asked for them: of thousands, few.
         self._wide: set[str] = set()
         self._listed: tuple[Iterable[str], frozenset[str]] = ((), frozenset())
-        self._wide_for = 0      # the number of desks that this is so for
+        self._wide_for = 0      # the number of gateways that this is so for
         self._parts: dict[str, tuple[float, float]] = {}    # the rate, and the part not lent, by tenant
         self._next_sweep = now
-        self._epoch = 0  # one count for all desks: one forgotten that returns must not get old ones
+        self._epoch = 0  # one count for all gateways: one forgotten that returns must not get old ones
 
-    def report(self, desk: str, asks: dict[str, float], held: Held, now: float) -> Lease | None:
-        """Takes a desk's report (`asks`: requests a second by tenant, refused ones included, 0 for the
+    def report(self, gateway: str, asks: dict[str, float], held: Held, now: float) -> Lease | None:
+        """Takes a gateway's report (`asks`: requests a second by tenant, refused ones included, 0 for the
         silent).
 
-        Tenants that no desk lists are lent as `tenants` names them.
-        Returns the lease to answer with, or None if the report is late, of an ended process, or if the desk
-        has obeyed a higher fence: this giver's time is over then.
+        Tenants that no gateway lists are lent as `tenants` names them.
+        Returns the lease to answer with, or None if the report is late, of an ended process, or if the gateway
+        has obeyed a higher fence: this grantor's time is over then.
         """
         if held.fence > self.fence:
             return None
         self._sweep(now)
-        ended = self._ended.get(desk)
+        ended = self._ended.get(gateway)
         if ended is not None and held.life <= ended[0] and now < ended[1]:
             return None
-        known = self._desks.get(desk)
+        known = self._gateways.get(gateway)
         if known is not None and held.life < known.life:
             return None
         if known is None or held.life > known.life:
             if known is not None:
-                self._drop(desk)  # the earlier process is dead, and its shares with it
-            known = self._desks[desk] = Borrower(held.life, not self._sealed)
+                self._drop(gateway)  # the earlier process is dead, and its shares with it
+            known = self._gateways[gateway] = Borrower(held.life, not self._sealed)
         elif held.sent <= known.sent:
             return None
         known.sent, known.heard = held.sent, now
@@ -160,36 +160,36 @@
             if held.fence != self.fence:
                 # Only the fence changes hands: what is named here may have run out or gone down under way.
                 if held.shares and self._awaited is not None:
-                    self._awaited.add(desk)
+                    self._awaited.add(gateway)
                 return Lease(held.life, held.sent, self.fence, 0, 0.0, {})
-            self._settle(desk, known, held, now)
+            self._settle(gateway, known, held, now)
         elif held.fence == self.fence:
             known.lent = [lent for lent in known.lent if lent.epoch >= held.epoch]
         self._rebound(known, now)
         return self._give(known, now)
 
-    def leave(self, desk: str, life: int, now: float) -> None:
-        """The desk's process has said that it uses nothing any more."""
-        known = self._desks.get(desk)
+    def leave(self, gateway: str, life: int, now: float) -> None:
+        """The gateway's process has said that it uses nothing any more."""
+        known = self._gateways.get(gateway)
         if known is not None and known.life == life:
-            self._drop(desk)
-        self._ended[desk] = (life, now + self.terms.term + self.terms.margin)
-        self._came(desk)
+            self._drop(gateway)
+        self._ended[gateway] = (life, now + self.terms.term + self.terms.margin)
+        self._came(gateway)
 
     def sealed(self, now: float) -> bool:
         """Whether shares that nobody has named may still be in use."""
         if self._sealed and (now >= self._sealed_until or self._awaited is not None and not self._awaited):
             self._sealed = False
-            for known in self._desks.values():
+            for known in self._gateways.values():
                 known.settled = True
         return self._sealed
 
     def borrowers(self) -> set[str]:
-        """The desks that may hold a lease; the next giver is to know them."""
-        return set(self._desks) | (self._awaited or set() if self._sealed else set())
+        """The gateways that may hold a lease; the next grantor is to know them."""
+        return set(self._gateways) | (self._awaited or set() if self._sealed else set())
 
     def used(self, tenant: str) -> float:
-        """The share of a tenant's quota that may be in use, as far as desks are known."""
+        """The share of a tenant's quota that may be in use, as far as gateways are known."""
         return self._used.get(tenant, 0) / PARTS
 
     def reserve(self, tenant: str) -> float:
@@ -198,19 +198,19 @@
             return self.terms.reserve
         return max(self.terms.reserve, 1.0 - self.used(tenant))
 
-    def _kept(self, tenant: str, desks: int) -> float:
+    def _kept(self, tenant: str, gateways: int) -> float:
         """The part that is not to be lent: the thinner an even slice, the more."""
         terms = self.terms
         if not terms.reserve or (rate := self.rates(tenant)) <= 0.0:
             return terms.reserve
-        return max(terms.reserve, min(terms.reserve_most, 1.0 - rate / (desks * terms.thin)))
+        return max(terms.reserve, min(terms.reserve_most, 1.0 - rate / (gateways * terms.thin)))
 
-    def _came(self, desk: str) -> None:
+    def _came(self, gateway: str) -> None:
         if self._awaited is not None:
-            self._awaited.discard(desk)
+            self._awaited.discard(gateway)
 
-    def _settle(self, desk: str, known: Borrower, held: Held, now: float) -> None:
-        """Takes over what a desk still held after it had begun to refuse the giver before."""
+    def _settle(self, gateway: str, known: Borrower, held: Held, now: float) -> None:
+        """Takes over what a gateway still held after it had begun to refuse the grantor before."""
         known.settled = True
         claim = {tenant: share for tenant, share in held.shares.items() if share > 0}
         for tenant, share in claim.items():
@@ -220,7 +220,7 @@
             until = now + self.terms.term + self.terms.margin
             known.lent.append(Lent(0, until, claim))
         self._rebound(known, now)
-        self._came(desk)
+        self._came(gateway)
 
     def _hear(self, known: Borrower, asks: dict[str, float]) -> None:
         asked = self._asked
@@ -233,29 +233,29 @@
             asked[tenant] = asked.get(tenant, 0.0) + rate
         known.asks = dict(asks)
 
-    def _is_wide(self, tenant: str, desks: int) -> bool:
-        """Whether the even slice of a tenant is worth lending to a desk that is not asked for it."""
-        rate, kept = self._part(tenant, desks)
-        return not 0.0 < (1.0 - kept) * rate / desks < self.terms.least
+    def _is_wide(self, tenant: str, gateways: int) -> bool:
+        """Whether the even slice of a tenant is worth lending to a gateway that is not asked for it."""
+        rate, kept = self._part(tenant, gateways)
+        return not 0.0 < (1.0 - kept) * rate / gateways < self.terms.least
 
-    def _part(self, tenant: str, desks: int) -> tuple[float, float]:
+    def _part(self, tenant: str, gateways: int) -> tuple[float, float]:
         """The tenant's rate, and the part of it that is not to be lent once nothing is sealed."""
         part = self._parts.get(tenant)
         if part is None:
-            part = self._parts[tenant] = (self.rates(tenant), self._kept(tenant, desks))
+            part = self._parts[tenant] = (self.rates(tenant), self._kept(tenant, gateways))
         return part
 
-    def _to_all(self, desks: int) -> set[str]:
-        """The tenants, asked for or listed, of which every desk is lent something.
+    def _to_all(self, gateways: int) -> set[str]:
+        """The tenants, asked for or listed, of which every gateway is lent something.
 
         To go through all tenants with each report cost 5 ms of the processor for 4,250 of them.
         """
         listed = self.tenants()
-        if listed is not self._listed[0] or self._wide_for != desks:
+        if listed is not self._listed[0] or self._wide_for != gateways:
             self._listed = (listed, frozenset(listed))
-            self._wide_for = desks
+            self._wide_for = gateways
             self._parts = {}
-            wide = [tenant for tenant in self._asked.keys() | self._listed[1] if self._is_wide(tenant, desks)]
+            wide = [tenant for tenant in self._asked.keys() | self._listed[1] if self._is_wide(tenant, gateways)]
             if len(wide) > WIDE_MOST:
                 wide = nlargest(WIDE_MOST, wide, key=lambda tenant: (self._parts[tenant][0], tenant))
             self._wide = set(wide)
@@ -275,8 +275,8 @@
             used[tenant] = used.get(tenant, 0) + share
         known.bound = bound
 
-    def _drop(self, desk: str) -> None:
-        known = self._desks.pop(desk)
+    def _drop(self, gateway: str) -> None:
+        known = self._gateways.pop(gateway)
         self._hear(known, {})
         known.lent = []
         self._rebound(known, known.heard)
@@ -288,14 +288,14 @@
             return
         self._next_sweep = now + 0.25
         silence = self.terms.term + self.terms.margin
-        for desk, known in list(self._desks.items()):
+        for gateway, known in list(self._gateways.items()):
             if now - known.heard > silence:
-                self._drop(desk)
+                self._drop(gateway)
             elif known.lent and known.lent[0].until <= now:
                 self._rebound(known, now)
         # Rates are fractions: summed afresh, what was added and taken away leaves nothing behind.
         asked: dict[str, float] = {}
-        for known in self._desks.values():
+        for known in self._gateways.values():
             for tenant, rate in known.asks.items():
                 asked[tenant] = asked.get(tenant, 0.0) + rate
         self._wide -= {tenant for tenant in self._wide
@@ -305,20 +305,20 @@
 
     def _give(self, known: Borrower, now: float) -> Lease:
         terms, used, asked = self.terms, self._used, self._asked
-        heard = len(self._desks)
-        desks = max(self.expect, heard)
-        # Desks not heard yet are taken to ask like the others, or the first one would be given everything.
-        scale = (1.0 - terms.even) * heard / desks
+        heard = len(self._gateways)
+        gateways = max(self.expect, heard)
+        # Gateways not heard yet are taken to ask like the others, or the first one would be given everything.
+        scale = (1.0 - terms.even) * heard / gateways
         keep = known.claimed and now < self._keep_until
         current = known.lent[-1].shares if known.lent else {}
         shares: dict[str, int] = {}
-        named = known.asks.keys() | self._to_all(desks)
+        named = known.asks.keys() | self._to_all(gateways)
         for tenant in named | current.keys() if keep else named:
             total = asked.get(tenant, 0.0)
-            want = 1.0 / desks
+            want = 1.0 / gateways
             if total > 1e-6:
-                want = scale * known.asks.get(tenant, 0.0) / total + terms.even / desks
-            rate, kept = self._part(tenant, desks)
+                want = scale * known.asks.get(tenant, 0.0) / total + terms.even / gateways
+            rate, kept = self._part(tenant, gateways)
             lent = 1.0 - (terms.reserve if self._sealed else kept)
             whole = int(PARTS * lent)
             share = int(want * lent * PARTS)
@@ -343,26 +343,26 @@
 
 
 class Known:
-    """Which desks may hold leases of the giver before, as one registry sees it: what a new Lender is to know.
+    """Which gateways may hold leases of the grantor before, as one controller sees it: what a new Lender is to know.
 
-    `desks` are those that its disk names; `whole` says that these are all there were when it ended. Without
-    a disk, after standing still, and after a time out of touch with most registries, desks may have been
+    `gateways` are those that its disk names; `whole` says that these are all there were when it ended. Without
+    a disk, after standing still, and after a time out of touch with most controllers, gateways may have been
     lent to unseen: then None is known, until `lasts` seconds have gone by.
     """
 
     GAP = 2.0   # seconds without a look, or out of touch, after which something may have been missed
 
-    def __init__(self, desks: Iterable[str], whole: bool, now: float, lasts: float) -> None:
+    def __init__(self, gateways: Iterable[str], whole: bool, now: float, lasts: float) -> None:
         self.lasts = lasts
-        self._seen = dict.fromkeys(desks, now)
+        self._seen = dict.fromkeys(gateways, now)
         self._blind_until = now if whole else now + lasts
         self._looked = now
         self._touched: float | None = None      # when it was last in touch, once it has been
 
-    def saw(self, desks: Iterable[str], now: float) -> None:
+    def saw(self, gateways: Iterable[str], now: float) -> None:
         """These are members, or have just been answered with a lease."""
-        for desk in desks:
-            self._seen[desk] = now
+        for gateway in gateways:
+            self._seen[gateway] = now
 
     def look(self, now: float, in_touch: bool) -> None:
         """To be called at each tick."""
@@ -375,13 +375,13 @@
         self._looked = now
 
     def _missed(self, now: float) -> bool:
-        """Whether nothing was heard for so long that desks may have come and been lent to."""
+        """Whether nothing was heard for so long that gateways may have come and been lent to."""
         since = self._looked if self._touched is None else min(self._looked, self._touched)
         return now - since > self.GAP
 
     def lately(self, now: float) -> set[str]:
-        """The desks that were seen in the last `lasts` seconds: those to keep on disk."""
-        self._seen = {desk: at for desk, at in self._seen.items() if now - at < self.lasts}
+        """The gateways that were seen in the last `lasts` seconds: those to keep on disk."""
+        self._seen = {gateway: at for gateway, at in self._seen.items() if now - at < self.lasts}
         return set(self._seen)
 
     def known(self, now: float) -> set[str] | None:
@@ -390,9 +390,9 @@
 
 
 class Reserve:
-    """The part of each quota that the giver keeps and hands out by the request, where a slice is used up.
+    """The part of each quota that the grantor keeps and hands out by the request, where a slice is used up.
 
-    It begins empty with each giver, so that what an earlier one has handed out is reckoned with.
+    It begins empty with each grantor, so that what an earlier one has handed out is reckoned with.
     """
 
     def __init__(self, now: float) -> None:
@@ -414,7 +414,7 @@
 
 
 class Holdings:
-    """What one desk holds of one shard. `life` must grow with each start of the process."""
+    """What one gateway holds of one shard. `life` must grow with each start of the process."""
 
     def __init__(self, life: int) -> None:
         self.life = life
@@ -427,9 +427,9 @@
         self._over = True   # whether they were told that the lease is over
 
     def take(self, lease: Lease, now: float) -> bool:
-        """Takes a lease unless it is late or of an earlier giver.
+        """Takes a lease unless it is late or of an earlier grantor.
 
-        Returns True if a share went down by a fiftieth of the quota or more, or the giver is new: others
+        Returns True if a share went down by a fiftieth of the quota or more, or the grantor is new: others
         wait for that to be confirmed, so the next report is best sent at once.  Not again, for shares, within
         PROMPT_PAUSE where a lease names many tenants: each then lowers one of them, and four leases answer
         each report.
@@ -450,7 +450,7 @@
         return news or lowered and (len(lease.shares) < MANY or now - self._prompted >= PROMPT_PAUSE)
 
     def share(self, tenant: str, now: float) -> float | None:
-        """The share of the tenant's quota this desk may use (0 to 1), or None without a lease."""
+        """The share of the tenant's quota this gateway may use (0 to 1), or None without a lease."""
         if now >= self._until:
             return None
         share = self._shares.get(tenant)
@@ -469,7 +469,7 @@
         return max(0.0, self._until - now)
 
     def to_report(self, now: float) -> Held:
-        """What to tell the giver; to be sent at once, and each report later than the one before."""
+        """What to tell the grantor; to be sent at once, and each report later than the one before."""
         left = self.left(now)
         if now - self._reported < PROMPT_GAP:
             self._prompted = now
@@ -477,24 +477,24 @@
         return Held(self.life, now, self.fence, self._epoch, left, self._shares if left else {})
 
 
-def floor_rate(rate: float, burst: float, window: float, excess: float, slack: float, desks: int) -> float:
-    """Requests in any span of `window` seconds by which a desk without a lease fills its bucket of a tenant.
+def floor_rate(rate: float, burst: float, window: float, excess: float, slack: float, gateways: int) -> float:
+    """Requests in any span of `window` seconds by which a gateway without a lease fills its bucket of a tenant.
 
-    A quarter of what the rule allows above the quota, cut evenly over `desks`: the buckets of all of them
+    A quarter of what the rule allows above the quota, cut evenly over `gateways`: the buckets of all of them
     may hold most of the rest when the span begins. `rate` is in requests a second; 0 means no limit
     (infinity is returned).
     """
     if rate <= 0:
         return float("inf")
-    return FLOOR_PART * (slack + excess * (rate * window + burst)) / max(1, desks)
+    return FLOOR_PART * (slack + excess * (rate * window + burst)) / max(1, gateways)
 
 
 def beside_slices(
-    rate: float, burst: float, window: float, excess: float, slack: float, desks: int,
+    rate: float, burst: float, window: float, excess: float, slack: float, gateways: int,
 ) -> tuple[float, float]:
-    """What one of `desks` desks may pass of a tenant by itself: without a lease, requests a second; and what
+    """What one of `gateways` gateways may pass of a tenant by itself: without a lease, requests a second; and what
     its bucket may hold beyond its slice of the burst, in requests."""
     spare = excess * (rate * window + burst) + slack
-    floor = floor_rate(rate, burst, window, excess, slack, desks) / window
-    extra = min(EXTRA_PART * spare, max(0.0, spare - STRAYS * 0.5 * max(1, desks) ** 0.5))
-    return floor, min(EXTRA_MOST, extra / max(1, desks))
+    floor = floor_rate(rate, burst, window, excess, slack, gateways) / window
+    extra = min(EXTRA_PART * spare, max(0.0, spare - STRAYS * 0.5 * max(1, gateways) ** 0.5))
+    return floor, min(EXTRA_MOST, extra / max(1, gateways))
--- a/crowseam/quotas/retry_budget.py
+++ b/crowseam/quotas/retry_budget.py
@@ -1,9 +1,9 @@
-"""The budget of further tries: how many requests a desk may send to a second server.
+"""The budget of further tries: how many requests a gateway may send to a second server.
 
 The rule binds all machines together: in any window a service may receive `ratio` x the requests for it +
-`slack` further arrivals. Each desk keeps to a part of it by itself, so nothing has to be asked: `ratio`
+`slack` further arrivals. Each gateway keeps to a part of it by itself, so nothing has to be asked: `ratio`
 counts for the requests it sent on itself, and the slack is cut evenly. Only PART of either is used; the
-rest is left to desks that restart, to counts of desks that differ, and to windows that are laid otherwise
+rest is left to gateways that restart, to counts of gateways that differ, and to windows that are laid otherwise
 than ours.
 
 All times are seconds of a steady clock.
@@ -66,9 +66,9 @@
 
 
 class RetryBudget:
-    """What one desk may send beyond the first of each request, by service.
+    """What one gateway may send beyond the first of each request, by service.
 
-    `ratio`, `window` (seconds) and `slack` are the rule's figures. `cautious` is the number of desks
+    `ratio`, `window` (seconds) and `slack` are the rule's figures. `cautious` is the number of gateways
     reckoned with until one is told. With `earlier`, a process of this machine may have run just before and
     spent its part of the slack; that part then comes back only after a window.
     """
@@ -81,14 +81,14 @@
         self._width = window / BUCKETS
         self._cautious = max(1, cautious)
         self._slack_from = now + window + self._width if earlier else now
-        self._desks = Most(6 * window)
+        self._gateways = Most(6 * window)
         self._firsts: dict[str, Window] = {}
         self._spent: dict[str, Window] = {}
         self.retried: dict[str, int] = {}   # tries spent since the start, for the figures
 
-    def desks(self, count: int, now: float) -> None:
-        """Tells how many desks there are; the highest number of the last six windows counts."""
-        self._desks.tell(max(1, count), now)
+    def gateways(self, count: int, now: float) -> None:
+        """Tells how many gateways there are; the highest number of the last six windows counts."""
+        self._gateways.tell(max(1, count), now)
 
     def first(self, service: str, now: float) -> None:
         """A request was sent to its first server."""
@@ -118,4 +118,4 @@
         return True
 
     def _count(self, now: float) -> int:
-        return self._desks.get(now, self._cautious)
+        return self._gateways.get(now, self._cautious)
--- a/crowseam/settings.py
+++ b/crowseam/settings.py
@@ -11,15 +11,15 @@
 _TIME = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s)")
 
 
-class BootError(Exception):
+class SettingsError(Exception):
     """The settings can't be used; the text names the field."""
 
 
 def seconds(text: str, field: str) -> float:
-    """A time as written in settings, `1500ms` or `2.5s`, in seconds. Raises BootError."""
+    """A time as written in settings, `1500ms` or `2.5s`, in seconds. Raises SettingsError."""
     match = _TIME.fullmatch(text)
     if match is None:
-        raise BootError(f"{field}: {text!r} is not a number followed by ms or s")
+        raise SettingsError(f"{field}: {text!r} is not a number followed by ms or s")
     return float(match[1]) * (0.001 if match[2] == "ms" else 1.0)
 
 
@@ -67,7 +67,7 @@
     quota_slack: float = 20
 
 
-class Boot(msgspec.Struct, frozen=True):
+class Settings(msgspec.Struct, frozen=True):
     """One process's settings. Fields that are not known are ignored."""
 
     hostname: str
@@ -89,7 +89,7 @@
 
     @property
     def peer(self) -> str:
-        """The address at which a registry on this machine hears others of the system."""
+        """The address at which a controller on this machine hears others of the system."""
         return f"{self.ip}:{self.port_range[0]}"
 
 
@@ -100,47 +100,47 @@
     return value
 
 
-def parse(data: bytes) -> Boot:
-    """The settings in `data`. Raises BootError naming the field."""
+def parse(data: bytes) -> Settings:
+    """The settings in `data`. Raises SettingsError naming the field."""
     try:
-        boot = msgspec.convert(_told(msgspec.json.decode(data)), Boot)
+        settings = msgspec.convert(_told(msgspec.json.decode(data)), Settings)
     except msgspec.ValidationError as error:
-        raise BootError(str(error)) from None
+        raise SettingsError(str(error)) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        raise BootError(f"not JSON: {error}") from None
-    for seed in boot.seeds:
+        raise SettingsError(f"not JSON: {error}") from None
+    for seed in settings.seeds:
         address(seed, "seeds")
     for name in ("http", "readyz", "ctl"):
-        if text := getattr(boot.bind, name):
+        if text := getattr(settings.bind, name):
             address(text, f"bind.{name}")
-    low, high = boot.port_range
+    low, high = settings.port_range
     if not 0 < low <= high < 65536:
-        raise BootError(f"port_range: {low} to {high} are not ports")
-    seconds(boot.hb, "hb")
+        raise SettingsError(f"port_range: {low} to {high} are not ports")
+    seconds(settings.hb, "hb")
     for name in ("contact", "ack", "sync_time", "drain", "grace", "apply", "retry_window", "quota_window"):
-        seconds(getattr(boot.bounds, name), f"bounds.{name}")
-    return boot
+        seconds(getattr(settings.bounds, name), f"bounds.{name}")
+    return settings
 
 
-def read(path: str | None = None) -> Boot:
-    """The settings from the file at `path`, or that the variable names. Raises BootError."""
+def read(path: str | None = None) -> Settings:
+    """The settings from the file at `path`, or that the variable names. Raises SettingsError."""
     path = path or os.environ.get(VARIABLE)
     if not path:
-        raise BootError(f"{VARIABLE} names no settings file")
+        raise SettingsError(f"{VARIABLE} names no settings file")
     try:
         with open(path, "rb") as file:
             data = file.read()
     except OSError as error:
-        raise BootError(f"settings {path}: {error.strerror}") from None
+        raise SettingsError(f"settings {path}: {error.strerror}") from None
     try:
         return parse(data)
-    except BootError as error:
-        raise BootError(f"settings {path}: {error}") from None
+    except SettingsError as error:
+        raise SettingsError(f"settings {path}: {error}") from None
 
 
 def address(text: str, field: str = "address") -> tuple[str, int]:
-    """Host and port of `1.2.3.4:80`. Raises BootError."""
+    """Host and port of `1.2.3.4:80`. Raises SettingsError."""
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) < 65536:
-        raise BootError(f"{field}: {text!r} is not an address and a port")
+        raise SettingsError(f"{field}: {text!r} is not an address and a port")
     return host, int(port)
--- a/crowseam/simulator/__init__.py
+++ b/crowseam/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The emulator: clients, servers, disks, links and clocks on a virtual clock, round the daemons' own code."""
+"""The simulator: clients, servers, disks, links and clocks on a virtual clock, round the daemons' own code."""
--- a/crowseam/simulator/actors/http_client.py
+++ b/crowseam/simulator/actors/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP as clients, servers and operators of the emulator speak it: real bytes, parsed by a library."""
+"""HTTP as clients, servers and operators of the simulator speak it: real bytes, parsed by a library."""
 
 from __future__ import annotations
 
--- a/crowseam/simulator/actors/operator.py
+++ b/crowseam/simulator/actors/operator.py
@@ -11,9 +11,9 @@
 from crowseam.simulator.judge import Version
 
 if TYPE_CHECKING:
-    from crowseam.simulator.simulation import Cell
+    from crowseam.simulator.simulation import Simulation
 
-SILENCE = 1.0           # s without an answer after which another registry is called
+SILENCE = 1.0           # s without an answer after which another controller is called
 PER_BYTE = 1 / 500_000  # s more for each byte of a body
 PAUSE, PAUSE_MOST = 0.1, 1.0    # s
 FINAL = frozenset((400, 409, 412, 413, 422))
@@ -22,10 +22,10 @@
 class Operator:
     """Keeps the items of the configuration and changes them one version after the other."""
 
-    def __init__(self, cell: Cell) -> None:
-        self.cell, self.world = cell, cell.world
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation, self.world = simulation, simulation.world
         self.rng = self.world.random("operator")
-        self.process = cell.network.process("operator", "10.251.0.1")
+        self.process = simulation.network.process("operator", "10.251.0.1")
         self.items: dict[tuple[str, str], dict[str, Any]] = {}
         self.ver = 0            # the newest that was acknowledged
         self.last = 0           # the newest number that was used
@@ -38,9 +38,9 @@
 
     def first(self) -> None:
         """The first configuration, from the deployment."""
-        deployment = self.cell.deployment
+        deployment = self.simulation.deployment
         for route in deployment.routes:
-            spec = {"vhost": self.cell.host, "prefix": f"/{route.name}/", "kind": route.kind,
+            spec = {"vhost": self.simulation.host, "prefix": f"/{route.name}/", "kind": route.kind,
                     "timeout": f"{int(route.timeout * 1000)}ms",
                     "target_time": f"{int(route.target * 1000)}ms", "prio": route.prio,
                     "tries": route.tries, "public": route.public}
@@ -53,7 +53,7 @@
             self._set("svcs", service.name, {"hc_path": "/healthz", "maxconn": service.maxconn, "proto": "h1",
                                              "tls": False})
         for tenant in deployment.tenants:
-            self._set("tenants", tenant.name, {"apikeys": [self.cell.keys[tenant.name]], "prio": tenant.prio,
+            self._set("tenants", tenant.name, {"apikeys": [self.simulation.keys[tenant.name]], "prio": tenant.prio,
                                                "rate_per_s": tenant.rate, "burst": tenant.burst})
         self.items["limits", ""] = {"type": "limits", "meta": {}, "spec": {
             "hdr_bytes": 16384, "body_max_bytes": 1048576, "hdr": "3000ms", "idle": "15000ms"}}
@@ -114,7 +114,7 @@
                 told["remove"] = gone
             body = msgspec.json.encode(told)
             version = Version(ver, parent, *_meaning(after), body, self.world.now)
-            self.cell.judge.versions.append(version)
+            self.simulation.judge.versions.append(version)
 
             def done(status: int, version: Version = version) -> None:
                 nonlocal left
@@ -123,12 +123,12 @@
                     version.acked_at = self.world.now
                     if version.ver > self.ver:
                         self.ver, self.items = version.ver, after
-                        self.cell.acknowledged(version)
+                        self.simulation.acknowledged(version)
                 else:
                     version.refused = status
                 # Of those under one number the judge is to find the one that was taken.
-                self.cell.judge.versions[-rivals:] = sorted(
-                    self.cell.judge.versions[-rivals:], key=lambda one: one.acked_at is None)
+                self.simulation.judge.versions[-rivals:] = sorted(
+                    self.simulation.judge.versions[-rivals:], key=lambda one: one.acked_at is None)
                 if not left:
                     self.busy = False
                     self._next()
@@ -137,7 +137,7 @@
 
     def _call(self, method: str, body: bytes, done: Callable[[int], None], tries: int, avoid: str) -> None:
         """Send the body unchanged until a clear answer comes."""
-        at = self.cell.a_registry(self.rng, avoid)
+        at = self.simulation.a_controller(self.rng, avoid)
 
         def answered(answer: http_client.Answer | None) -> None:
             if self.lost and self.rng.random() < self.lost:
@@ -154,7 +154,7 @@
 
     def read_back(self) -> None:
         """Ask for the configuration until it comes; the last answer counts."""
-        at = self.cell.a_registry(self.rng)
+        at = self.simulation.a_controller(self.rng)
 
         def answered(answer: http_client.Answer | None) -> None:
             if answer is not None and answer.status == 200:
--- a/crowseam/simulator/scenario/replay.py
+++ b/crowseam/simulator/scenario/replay.py
@@ -1,4 +1,4 @@
-"""What was asked on a day, out of the logs of its desks, as the load of another."""
+"""What was asked on a day, out of the logs of its gateways, as the load of another."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from crowseam.gateway.counters import ASKED
 
-# A desk counts its requests by route and tenant and tells them in one line a span:
+# A gateway counts its requests by route and tenant and tells them in one line a span:
 #     event=asked span=5 counts=look-up/north-branch:12,borrow/south-branch:3
 _PAIR = re.compile(r'([A-Za-z_][\w.-]*)=("(?:[^"\\]|\\.)*"|\S*)')
 _COUNT = re.compile(r"([^/,]+)/([^/:,]*):(\d{1,7})")
--- a/crowseam/simulator/world/loop.py
+++ b/crowseam/simulator/world/loop.py
@@ -1,6 +1,6 @@
 """Virtual time: one queue of events, and for each process an event loop as asyncio knows it.
 
-A process that is emulated runs on a `ProcessLoop`.  Its callbacks cost processor time, so that one that is
+A process that is simulated runs on a `ProcessLoop`.  Its callbacks cost processor time, so that one that is
 overloaded or frozen falls behind; its steady clock began at a moment of its own and is a little off.
 """
 
@@ -18,7 +18,7 @@
     from crowseam.simulator.world.network import Network
 
 LATE = 0.001        # s, most that a timer fires late
-EPOCH = 1_700_000_000.0     # s, time of day at which the emulation begins
+EPOCH = 1_700_000_000.0     # s, time of day at which the simulation begins
 
 
 class Handle:
--- a/crowseam/simulator/world/network.py
+++ b/crowseam/simulator/world/network.py
@@ -38,12 +38,12 @@
             self.transport.resets = struct.unpack("ii", value) == (1, 0)
 
     def fileno(self) -> Transport:
-        """Not a number: the poll of the emulator takes the transport itself."""
+        """Not a number: the poll of the simulator takes the transport itself."""
         return self.transport
 
 
 class Poll:
-    """`select.poll` over the transports of the emulator."""
+    """`select.poll` over the transports of the simulator."""
 
     def __init__(self) -> None:
         self.watched: list[Transport] = []
--- a/crowseam/transport/messages.py
+++ b/crowseam/transport/messages.py
@@ -23,11 +23,11 @@
     """A message."""
 
 
-# Between registries
+# Between controllers
 
 
 class Hello(Struct, tag="hello"):
-    """The first message of a connection between registries: whose it is."""
+    """The first message of a connection between controllers: whose it is."""
 
     addr: str
     life: str
@@ -40,7 +40,7 @@
     sent: float
     echo: float
     last: int
-    registries: list[str] = []
+    controllers: list[str] = []
     prompt: bool = False
 
 
@@ -57,26 +57,26 @@
 
 
 class Ask(Struct, tag="ask"):
-    """A desk's report for one duty, passed on to who holds it."""
+    """A gateway's report for one duty, passed on to who holds it."""
 
-    desk: str
+    gateway: str
     key: str
     asks: dict[str, float]
     held: Held
 
 
 class Lent(Struct, tag="lent"):
-    """The answer to Ask, to be passed on to the desk."""
+    """The answer to Ask, to be passed on to the gateway."""
 
-    desk: str
+    gateway: str
     key: str
     lease: Lease
 
 
 class Draw(Struct, tag="draw"):
-    """A desk whose slice is used up asks for `count` requests of a tenant from the giver's reserve."""
+    """A gateway whose slice is used up asks for `count` requests of a tenant from the grantor's reserve."""
 
-    desk: str
+    gateway: str
     tenant: str
     count: int
     number: int
@@ -85,33 +85,33 @@
 class Drawn(Struct, tag="drawn"):
     """The answer to Draw: how many may pass, and the seconds until one more may."""
 
-    desk: str
+    gateway: str
     number: int
     given: int
     wait: float
 
 
 class Watch(Struct, tag="watch"):
-    """Asks for what the peer's desks have under way at these servers, which leave."""
+    """Asks for what the peer's gateways have under way at these servers, which leave."""
 
     number: int
     records: list[Record]
 
 
 class Watched(Struct, tag="watched"):
-    """The answer to Watch: by desk, requests by server (None: it has not answered); desks lost from sight
+    """The answer to Watch: by gateway, requests by server (None: it has not answered); gateways lost from sight
     and servers that leave, each by seconds."""
 
     number: int
-    desks: dict[str, dict[str, int] | None]
+    gateways: dict[str, dict[str, int] | None]
     away: dict[str, float]
     ages: dict[str, float]
 
 
-class Ill(Struct, tag="ill"):
-    """Failures of servers that a desk has seen, or (below 0) successes of shunned ones."""
+class OutlierReport(Struct, tag="ill"):
+    """Failures of servers that a gateway has seen, or (below 0) successes of shunned ones."""
 
-    desk: str
+    gateway: str
     news: dict[str, int]
 
 
@@ -121,57 +121,57 @@
     ids: list[str]
 
 
-# Between a desk and its registry
+# Between a gateway and its controller
 
 
 class Open(Struct, tag="open"):
-    """A desk opens its session, and says up to where it knows the log and the register.
+    """A gateway opens its session, and says up to where it knows the log and the registry.
 
     `parts`: a large configuration may come in parts, which former versions don't know.
     """
 
-    desk: str
+    gateway: str
     life: int
     hop: int
     az: str
     slot: int
-    register: str
+    registry: str
     place: int
     parts: bool = False
 
 
 class Report(Struct, tag="report"):
-    """What a desk asked for by tenant (requests a second), and what it holds of each duty."""
+    """What a gateway asked for by tenant (requests a second), and what it holds of each duty."""
 
     asks: dict[str, float]
     held: dict[str, Held]
 
 
 class Leaving(Struct, tag="leaving"):
-    """The answer to Count: the requests under way at servers that leave, by id; and the place in the register
-    that the desk has followed up to."""
+    """The answer to Count: the requests under way at servers that leave, by id; and the place in the registry
+    that the gateway has followed up to."""
 
     number: int
-    register: str
+    registry: str
     place: int
     under_way: dict[str, int]
 
 
 class Following(Struct, tag="following"):
-    """A desk has the configuration after `slot` and follows the log from there; -1: it has none."""
+    """A gateway has the configuration after `slot` and follows the log from there; -1: it has none."""
 
     slot: int
 
 
 class Bye(Struct, tag="bye"):
-    """The desk stops."""
+    """The gateway stops."""
 
 
 class Welcome(Struct, tag="welcome"):
-    """The session stands. `registries`: where else one may be opened."""
+    """The session stands. `controllers`: where else one may be opened."""
 
     addr: str
-    registries: list[str]
+    controllers: list[str]
 
 
 class State(Struct, tag="state"):
@@ -182,7 +182,7 @@
 
 
 class Step(Struct, tag="step"):
-    """What slot `slot` did: a change (packed), or nothing that concerns a desk (no body)."""
+    """What slot `slot` did: a change (packed), or nothing that concerns a gateway (no body)."""
 
     slot: int
     whole: bool = False
@@ -192,7 +192,7 @@
 class Servers(Struct, tag="servers"):
     """Records of servers, all (`whole`) or those changed; the place to follow on from."""
 
-    register: str
+    registry: str
     place: int
     whole: bool
     records: list[Record]
@@ -205,7 +205,7 @@
 
 
 class Pulse(Struct, tag="pulse"):
-    """A sign of life: how many desks there are, the newest slot, and whether a majority is in touch."""
+    """A sign of life: how many gateways there are, the newest slot, and whether a majority is in touch."""
 
     members: int
     slot: int
@@ -213,7 +213,7 @@
 
 
 class Count(Struct, tag="count"):
-    """Asks a desk what it has under way at servers that leave. Sent only while an operator looks."""
+    """Asks a gateway what it has under way at servers that leave. Sent only while an operator looks."""
 
     number: int
 
@@ -227,7 +227,7 @@
 
 Message = (consensus.Message | duties.Message | Hold | ReportHeld | DigestOffer | RangeRecords | SessionsTold
            | Hello | Ping | Rows | Heard | Ask | Lent | Open | Report | Bye | Welcome | State | Step | Servers
-           | Quiet | Pulse | Slice | Ill | Shun | Draw | Drawn | Watch | Watched | Count | Leaving
+           | Quiet | Pulse | Slice | OutlierReport | Shun | Draw | Drawn | Watch | Watched | Count | Leaving
            | Learn | Learned | Following)
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message).decode
