--- a/crowseam/gateway/controller_session.py
+++ b/crowseam/gateway/controller_session.py
@@ -18,54 +18,61 @@
 from crowseam.transport import messages as m
 from crowseam.transport.links import Link
 
-REPORT, REPORT_SOON = 0.5, 0.15     # s between reports; at the most, while a lease is missing or new
-SOON_LEAST, SOON_EACH = 0.04, 0.001     # s between them then: at the least, and for each gateway there is
-YOUNG = 2.0         # s after a first lease in which it hardly fits: all asks are new to the grantor
-SILENT = 1.1        # s without a pulse after which another controller is tried
-ALONE = 0.8         # s that a controller may say it has no majority before another one is tried
-ALONE_AGAIN = 4.0   # s before one that had no majority is tried again
-DRAW_TIMEOUT = 0.06     # s for an answer from the reserve: a request waits for it
-DRAW_BITS = 10      # of a draw's number below the life's microseconds: more draws than that take longer
-CONNECT = 0.5       # s for a connection to come up
+REPORT, REPORT_SOON = 0.5, 0.15  # s between reports; at the most, while a lease is missing or new
+SOON_LEAST, SOON_EACH = 0.04, 0.001  # s between them then: at the least, and for each gateway there is
+YOUNG = 2.0  # s after a first lease in which it hardly fits: all asks are new to the grantor
+SILENT = 1.1  # s without a pulse after which another controller is tried
+ALONE = 0.8  # s that a controller may say it has no majority before another one is tried
+ALONE_AGAIN = 4.0  # s before one that had no majority is tried again
+DRAW_TIMEOUT = 0.06  # s for an answer from the reserve: a request waits for it
+DRAW_BITS = 10  # of a draw's number below the life's microseconds: more draws than that take longer
+CONNECT = 0.5  # s for a connection to come up
 PART, WINDOW = 32 << 10, 2  # bytes of a part of a large configuration; parts asked for at a time
-PART_WAIT = 3.0     # s without a part after which it is asked for again
+PART_WAIT = 3.0  # s without a part after which it is asked for again
 
 
 class ControllerSession:
     """Keeps one session standing. `table` and the registry never go back within one process."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, rng: Random,
-                 on_table: Callable[[Table], None], on_servers: Callable[[list, bool], None],
-                 on_quiet: Callable[[list[str]], None], asks: Callable[[], dict[str, float]],
-                 leaving: Callable[[], dict[str, int]] = dict) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: Settings,
+        rng: Random,
+        on_table: Callable[[Table], None],
+        on_servers: Callable[[list, bool], None],
+        on_quiet: Callable[[list[str]], None],
+        asks: Callable[[], dict[str, float]],
+        leaving: Callable[[], dict[str, int]] = dict,
+    ) -> None:
         self.loop, self.settings, self.rng = loop, settings, rng
         self.on_table, self.on_servers, self.on_quiet, self.asks = on_table, on_servers, on_quiet, asks
-        self.leaving = leaving      # requests under way at servers that leave, by id
+        self.leaving = leaving  # requests under way at servers that leave, by id
         self.life = clock.time_ns() // 1000
         self.hop = 0
         self.config: Configuration = EMPTY
         self.table: Table | None = None
         self.slot = -1
-        self.fetch: Fetch | None = None     # a large configuration on its way, which outlives a session
+        self.fetch: Fetch | None = None  # a large configuration on its way, which outlives a session
         self.registry, self.place = "", 0
         self.memory = Memory()
-        self.known: dict[str, float] = {}   # controllers, by when they may be tried again
-        self.failed: dict[str, int] = {}    # how often each was tried in vain since one was last in touch
+        self.known: dict[str, float] = {}  # controllers, by when they may be tried again
+        self.failed: dict[str, int] = {}  # how often each was tried in vain since one was last in touch
         self.holdings: dict[str, Holdings] = {}
-        self.on_lease: Callable[[], None] = lambda: None    # what was missing is lent
+        self.on_lease: Callable[[], None] = lambda: None  # what was missing is lent
         self.on_shun: Callable[[list[str]], None] = lambda ids: None
-        self.leased_at = -1e9   # when a lease was last missing
+        self.leased_at = -1e9  # when a lease was last missing
         self.draws: dict[int, Callable[[int, float], None]] = {}
         # Begun with the life: controllers pass answers on by the gateway's name, whichever life it is in.
         self.last_draw = self.life << DRAW_BITS
         self.members = 0
         self.link: Link | None = None
-        self.at = ""            # the controller that the session is with
+        self.at = ""  # the controller that the session is with
         self.heard_at = -1e9
-        self.unread = 0         # bytes that have come of a message that is not whole yet
+        self.unread = 0  # bytes that have come of a message that is not whole yet
         self.alone_since: float | None = None
         self.told_slot = -1
-        self.fresh = False      # configuration and servers are as new as a controller in touch has them
+        self.fresh = False  # configuration and servers are as new as a controller in touch has them
         self.have_servers = False
         self.stopping = False
         self.dialling = False
@@ -92,8 +99,11 @@
                 self.unread, self.heard_at = unread, now
             if now - self.heard_at > SILENT:
                 self._leave("silent")
-            elif (self.alone_since is not None and now - self.alone_since > ALONE
-                    and any(at <= now for addr, at in self.known.items() if addr != self.at)):
+            elif (
+                self.alone_since is not None
+                and now - self.alone_since > ALONE
+                and any(at <= now for addr, at in self.known.items() if addr != self.at)
+            ):
                 # Where all say so, we stay a while longer with each.
                 self._leave("alone", ALONE_AGAIN)
         if self.fetch is not None and self.link is not None and now - self.fetch.heard_at > PART_WAIT:
@@ -144,9 +154,19 @@
             self.heard_at = clock.monotonic()
             self.hop += 1
             self.told_slot = -1
-            link.send(m.Open(self.settings.hostname, self.life, self.hop, self.settings.az, self.slot, self.registry,
-                             self.place, True))
-            self._send_report(clock.monotonic())    # others may wait for it, to be lent what is not ours
+            link.send(
+                m.Open(
+                    self.settings.hostname,
+                    self.life,
+                    self.hop,
+                    self.settings.az,
+                    self.slot,
+                    self.registry,
+                    self.place,
+                    True,
+                )
+            )
+            self._send_report(clock.monotonic())  # others may wait for it, to be lent what is not ours
         except (OSError, TimeoutError):
             self._in_vain(addr, 0.4)
         finally:
@@ -206,11 +226,11 @@
 
     def _state(self, message: m.State) -> None:
         if message.slot <= self.slot:
-            return      # guards against going back: that controller is behind
+            return  # guards against going back: that controller is behind
         try:
             config = Configuration.from_put(m.unpack(message.body))
         except (ConfigurationError, ValueError) as error:
-            if message.slot:    # before the first configuration there is none to read
+            if message.slot:  # before the first configuration there is none to read
                 logs.say("state_unread", error=error)
             config = EMPTY
         self._take(message.slot, config)
@@ -243,7 +263,7 @@
                 return
             if fetch.digest:
                 return self._fetch_anew(now)
-            self.fetch = None       # it has nothing newer than we have
+            self.fetch = None  # it has nothing newer than we have
             return self.link.send(m.Following(self.slot))
         if not fetch.take(message, now):
             return
@@ -259,10 +279,10 @@
 
     def _step(self, message: m.Step) -> None:
         if message.slot <= self.slot:
-            return      # said twice
+            return  # said twice
         if message.slot != self.slot + 1:
             logs.say("step_missing", have=self.slot, got=message.slot)
-            return self._leave("gap")   # the next session starts from our place
+            return self._leave("gap")  # the next session starts from our place
         config = self.config
         if message.body:
             try:
@@ -339,4 +359,3 @@
         self.stopping = True
         if self.link is not None:
             self.link.send(m.Bye())
-
--- a/crowseam/gateway/daemon.py
+++ b/crowseam/gateway/daemon.py
@@ -22,19 +22,21 @@
 from crowseam.transport.http import Call, Caller
 from fennelpoint.net.server import Bounds, Server
 
-SLICES, SWEEP = 0.1, 0.5    # s between looks at the leases; at idle connections
-FILES = 200     # descriptors that are kept for files, and no socket gets
-UPSTREAM_PART = 0.55    # of the descriptors, for connections to servers
-ACCEPT_ON = 2.6     # s after SIGTERM that connections are taken: the platform asks each second, twice
-END_BEFORE = 0.4    # s before the grace is over by which the process has ended
-LOAD_LOOK = 0.5     # s between looks whether it is time to load the library of the histograms
+SLICES, SWEEP = 0.1, 0.5  # s between looks at the leases; at idle connections
+FILES = 200  # descriptors that are kept for files, and no socket gets
+UPSTREAM_PART = 0.55  # of the descriptors, for connections to servers
+ACCEPT_ON = 2.6  # s after SIGTERM that connections are taken: the platform asks each second, twice
+END_BEFORE = 0.4  # s before the grace is over by which the process has ended
+LOAD_LOOK = 0.5  # s between looks whether it is time to load the library of the histograms
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
 class Process:
     """Wires the gateway to its sockets, clock and signals."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: settings_file.Settings, rng: Random | None = None) -> None:
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, settings: settings_file.Settings, rng: Random | None = None
+    ) -> None:
         self.loop, self.settings = loop, settings
         sockets = max(64, settings.limits.nofile - FILES - 32)
         upstream = int(sockets * UPSTREAM_PART)
@@ -42,13 +44,22 @@
         self.gateway = Gateway(loop, settings, rng, upstream)
         self.reader = Reader()
         self.server = Server(loop, self.gateway, sockets - upstream, self.reader, Bounds())
-        self.controller_session = ControllerSession(loop, settings, rng, self._on_table, self.gateway.follow,
-                                 self.gateway.balancer.silent, self.gateway.asks, self.gateway.balancer.leaving)
+        self.controller_session = ControllerSession(
+            loop,
+            settings,
+            rng,
+            self._on_table,
+            self.gateway.follow,
+            self.gateway.balancer.silent,
+            self.gateway.asks,
+            self.gateway.balancer.leaving,
+        )
         self.gateway.reserve, self.gateway.share = self.controller_session.draw, self.controller_session.share
         self.controller_session.on_lease = self.gateway.lent
         self.gateway.left = self.controller_session.left
-        self.gateway.relent = lambda now: [name for each in self.controller_session.holdings.values()
-                                        for name in each.news(now)]
+        self.gateway.relent = lambda now: [
+            name for each in self.controller_session.holdings.values() for name in each.news(now)
+        ]
         self.controller_session.on_shun = lambda ids: self.gateway.balancer.shun(ids, clock.monotonic())
         self.listeners: list[asyncio.Server] = []
         self.stopping_since: float | None = None
@@ -60,8 +71,9 @@
         self.controller_session.start()
         await self.server.listen(settings_file.address(self.settings.bind.http))
         host, port = settings_file.address(self.settings.bind.readyz)
-        self.listeners.append(await self.loop.create_server(
-            lambda: Caller(self._readyz, 64 * 1024), host, port, reuse_address=True))
+        self.listeners.append(
+            await self.loop.create_server(lambda: Caller(self._readyz, 64 * 1024), host, port, reuse_address=True)
+        )
         self._tick()
         logs.say("started", http=self.settings.bind.http, seeds=",".join(self.settings.seeds))
 
@@ -78,6 +90,7 @@
     def _readyz(self, call: Call) -> None:
         if call.path == "/-/metrics":
             from crowseam.metrics import exposition, families
+
             return exposition.answer(call, self.loop, families.of_gateway(self))
         if call.path != "/-/readyz":
             return call.reply(404)
@@ -117,7 +130,7 @@
         """No longer ready; what still comes is served, what is under way is finished."""
         if self.stopping_since is None:
             self.stopping_since = clock.monotonic()
-            self.server.stopping = True     # each answer is the last of its connection
+            self.server.stopping = True  # each answer is the last of its connection
             logs.say("stopping", under_way=self.gateway.under_way)
             self.loop.call_later(ACCEPT_ON, self._finish)
 
@@ -173,7 +186,7 @@
 
 def main() -> int:
     """Run the role; the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)    # the file is about to be read anyway
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the file is about to be read anyway
     try:
         settings = settings_file.read()
         for name in ("http", "readyz"):
--- a/crowseam/gateway/gateway.py
+++ b/crowseam/gateway/gateway.py
@@ -23,16 +23,16 @@
 from fennelpoint.net.backends import HOP_BY_HOP, Answer, Backends, Exchange, UpstreamConnection
 from fennelpoint.net.flow import Budget
 
-CONNECT_TIMEOUT = 0.3   # s for a server to take a connection
-IDLE_MOST = 4.0         # s that a connection to a server is kept unused: the servers close theirs some time
-UNSAFE_IDLE = (0.03, 1.0)   # s that a connection for what may run once only has stood unused: young enough
-                        # not to have been forgotten, old enough for a second answer to have shown
-LATELY = 60.0           # s for which the highest number of gateways told counts, where something is cut evenly
-UNKNOWN = 96            # gateways reckoned with until a number is told
-YOUNG = 2.0             # s from its start in which a gateway is lent its first slices
-SETTLED = 0.6           # s, least told to come back after then: all who were cut off come back at the same
-                        # time, and buckets begin empty
-NOT_RUN = frozenset((429, 503, 408, 421))   # a promise: it has not run and never will
+CONNECT_TIMEOUT = 0.3  # s for a server to take a connection
+IDLE_MOST = 4.0  # s that a connection to a server is kept unused: the servers close theirs some time
+UNSAFE_IDLE = (0.03, 1.0)  # s that a connection for what may run once only has stood unused: young enough
+# not to have been forgotten, old enough for a second answer to have shown
+LATELY = 60.0  # s for which the highest number of gateways told counts, where something is cut evenly
+UNKNOWN = 96  # gateways reckoned with until a number is told
+YOUNG = 2.0  # s from its start in which a gateway is lent its first slices
+SETTLED = 0.6  # s, least told to come back after then: all who were cut off come back at the same
+# time, and buckets begin empty
+NOT_RUN = frozenset((429, 503, 408, 421))  # a promise: it has not run and never will
 REASON = b"x-refused-by"
 
 
@@ -47,8 +47,8 @@
     timer: asyncio.TimerHandle | None = None
     out: dict[int, Exchange] = field(default_factory=dict)
     passing: Passing | None = None
-    drawing: bool = False   # the reserve has been asked for it
-    svc: str = ""       # the service of its servers, once one was chosen
+    drawing: bool = False  # the reserve has been asked for it
+    svc: str = ""  # the service of its servers, once one was chosen
 
 
 @dataclass(slots=True, eq=False)
@@ -62,7 +62,7 @@
     def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None:
         ticket = self.ticket
         if ticket.client is None or ticket.passing is not None:
-            return      # another attempt was quicker; what comes is dropped
+            return  # another attempt was quicker; what comes is dropped
         ticket.passing = self
         ticket.client.begin(answer, length, source)
 
@@ -79,23 +79,30 @@
         now = clock.monotonic()
         bounds = settings.bounds
         self.admission = Admission(now, rng)
-        self.budget = RetryBudget(bounds.retry_ratio, seconds(bounds.retry_window, "retry_window"),
-                                  bounds.retry_slack, now, UNKNOWN, earlier=not settings.bootstrap)
+        self.budget = RetryBudget(
+            bounds.retry_ratio,
+            seconds(bounds.retry_window, "retry_window"),
+            bounds.retry_slack,
+            now,
+            UNKNOWN,
+            earlier=not settings.bootstrap,
+        )
         self.balancer = LoadBalancer(settings.az, self.admission, self.budget, rng, settings.hostname)
-        self.backends = Backends(loop, connections, CONNECT_TIMEOUT, 2 * IDLE_MOST, 4.0,
-                                 Budget(settings.limits.mem_mb), ServerDialect())
+        self.backends = Backends(
+            loop, connections, CONNECT_TIMEOUT, 2 * IDLE_MOST, 4.0, Budget(settings.limits.mem_mb), ServerDialect()
+        )
         self.table: Table | None = None
         self.counters = RequestCounters()
         self.tickets: dict[int, Ticket] = {}
         self.begun = now
         self.open_ids: set[bytes] = set()
         self.last_id = 0
-        self.reserve = lambda tenant, count, done: done(0, 0.1)   # how the grantor's reserve is asked
-        self.share = lambda tenant, now: None   # the part of a tenant's quota that is lent to us
-        self.left = lambda tenant, now: 0.0     # and for how many seconds more
+        self.reserve = lambda tenant, count, done: done(0, 0.1)  # how the grantor's reserve is asked
+        self.share = lambda tenant, now: None  # the part of a tenant's quota that is lent to us
+        self.left = lambda tenant, now: 0.0  # and for how many seconds more
         # Tenants whose leases have changed since the last look; None where that isn't known.
         self.relent: Callable[[float], Iterable[str] | None] = lambda now: None
-        self.cut_for = 0    # the number of gateways that buckets are cut for
+        self.cut_for = 0  # the number of gateways that buckets are cut for
         self.members = 0
         self.most = Most(LATELY)
         self.metrics = Recorder()
@@ -107,8 +114,13 @@
         self.balancer.follow(records, whole, clock.monotonic())
         entries, addresses = [], {}
         for record in records:
-            state = (BackendState.GONE if record.phase == "gone" else
-                     BackendState.READY if record.usable else BackendState.DRAINING)
+            state = (
+                BackendState.GONE
+                if record.phase == "gone"
+                else BackendState.READY
+                if record.usable
+                else BackendState.DRAINING
+            )
             entries.append(BackendEntry(record.id, state))
             host, _, port = record.addr.rpartition(":")
             addresses[record.id] = (host, int(port or 0))
@@ -121,8 +133,12 @@
         for ticket in list(self.tickets.values()):
             tried = self.balancer.tries.get(ticket.id)
             for number, exchange in list(ticket.out.items()):
-                if (exchange.connecting is not None and tried is not None and number in tried.out
-                        and not tried.out[number][0].usable):
+                if (
+                    exchange.connecting is not None
+                    and tried is not None
+                    and number in tried.out
+                    and not tried.out[number][0].usable
+                ):
                     exchange.give_up(Status.CONNECT_FAILED)
 
     def configure(self, table: Table) -> None:
@@ -144,7 +160,7 @@
         themselves: to go through 17,000 of them each 0.1 s took more than half a core.
         """
         bounds = self.settings.bounds
-        if self.members:    # until then both reckon with UNKNOWN, but don't remember it
+        if self.members:  # until then both reckon with UNKNOWN, but don't remember it
             self.budget.gateways(self.members, now)
             # Gateways that are cut off still reckon with the number of before.
             self.most.tell(self.members, now)
@@ -159,17 +175,18 @@
         for name in names:
             tenant = tenants[name]
             if tenant.rate > 0.0:
-                floor, extra = beside_slices(tenant.rate, tenant.burst, window, bounds.quota_excess,
-                                             bounds.quota_slack, gateways)
-                self.admission.slice_of(name, self.share(name, now), now, floor, extra=extra,
-                                        until=now + self.left(name, now))
+                floor, extra = beside_slices(
+                    tenant.rate, tenant.burst, window, bounds.quota_excess, bounds.quota_slack, gateways
+                )
+                self.admission.slice_of(
+                    name, self.share(name, now), now, floor, extra=extra, until=now + self.left(name, now)
+                )
 
     def asks(self) -> dict[str, float]:
         """Asks a second by tenant, for the slices; only of tenants that ask and have a quota."""
         asked = self.admission.asks(clock.monotonic())
         tenants = self.table.tenants if self.table else {}
-        return {name: round(rate, 3) for name, rate in asked.items()
-                if name in tenants and tenants[name].rate > 0.0}
+        return {name: round(rate, 3) for name, rate in asked.items() if name in tenants and tenants[name].rate > 0.0}
 
     # What the server of clients calls
 
@@ -229,10 +246,12 @@
                 return
             ticket.drawing = False
             if draw.tenant not in self.admission.tenants:
-                return self._finish(ticket, lambda c: c.answered(401, [], b"the key is not known\n"), 401,
-                                    "key")
-            self._do(self.balancer.arrive(ticket.id, ticket.asked.route, draw.tenant, ticket.deadline - now, now,
-                                       0.0 if given else wait))
+                return self._finish(ticket, lambda c: c.answered(401, [], b"the key is not known\n"), 401, "key")
+            self._do(
+                self.balancer.arrive(
+                    ticket.id, ticket.asked.route, draw.tenant, ticket.deadline - now, now, 0.0 if given else wait
+                )
+            )
 
         self.tickets[draw.id].drawing = True
         self.reserve(draw.tenant, 1, done)
@@ -259,14 +278,20 @@
             ticket.out.pop(number, None)
             self._outcome(ticket, number, status, answer, passing)
 
-        exchange = Exchange(lambda: asked.render(ticket.deadline - clock.monotonic(), server.id), done,
-                            upload=asked.upload, receiver=passing, echo=asked.txn,
-                            idle=None if asked.route.safe else UNSAFE_IDLE)
+        exchange = Exchange(
+            lambda: asked.render(ticket.deadline - clock.monotonic(), server.id),
+            done,
+            upload=asked.upload,
+            receiver=passing,
+            echo=asked.txn,
+            idle=None if asked.route.safe else UNSAFE_IDLE,
+        )
         ticket.out[number] = exchange
         self.backends.begin(exchange, server.id)
 
-    def _outcome(self, ticket: Ticket, number: int, status: Status, answer: Answer | None,
-                 passing: Passing | None = None) -> None:
+    def _outcome(
+        self, ticket: Ticket, number: int, status: Status, answer: Answer | None, passing: Passing | None = None
+    ) -> None:
         if ticket.client is not None and ticket.passing is not None and ticket.passing is passing:
             self.balancer.passed(ticket.id, number, status is Status.OK, clock.monotonic())
             if status is Status.OK:
@@ -283,23 +308,32 @@
         answer = give.answer
         if answer is not None:
             fields = [each for each in answer.headers if each[0] not in HOP_BY_HOP]
-            return self._finish(ticket, lambda c: c.answered(answer.status, fields, answer.body),
-                                answer.status)
+            return self._finish(ticket, lambda c: c.answered(answer.status, fields, answer.body), answer.status)
         fields = {}
         if give.reason == "quota":
             held = self.admission.held(clock.monotonic())[ticket.asked.tenant]
-            fields = {"tenant": ticket.asked.tenant, "share": -1.0 if held.share is None else held.share,
-                      "rate": self.table.tenants[ticket.asked.tenant].rate}
-        logs.say("refused" if give.status in NOT_RUN else "failed", id=ticket.asked.txn.decode("latin-1"),
-                 status=give.status, reason=give.reason, route=ticket.asked.route.name, **fields)
+            fields = {
+                "tenant": ticket.asked.tenant,
+                "share": -1.0 if held.share is None else held.share,
+                "rate": self.table.tenants[ticket.asked.tenant].rate,
+            }
+        logs.say(
+            "refused" if give.status in NOT_RUN else "failed",
+            id=ticket.asked.txn.decode("latin-1"),
+            status=give.status,
+            reason=give.reason,
+            route=ticket.asked.route.name,
+            **fields,
+        )
         fields = [(REASON, give.reason.encode())]
         wait = give.retry_after
         if give.reason == "quota" and clock.monotonic() < self.begun + YOUNG:
             wait = max(wait, SETTLED)
         if wait > 0.0:
             fields.append((b"retry-after", b"%.3f" % wait))
-        self._finish(ticket, lambda c: c.answered(give.status, fields, b"%b\n" % give.reason.encode()),
-                     give.status, give.reason)
+        self._finish(
+            ticket, lambda c: c.answered(give.status, fields, b"%b\n" % give.reason.encode()), give.status, give.reason
+        )
 
     def _finish(self, ticket: Ticket, answer, status: int, reason: str = "") -> None:
         """`status`: what the client gets, 0 if it has left; `reason`: why it is no server's whole answer."""
@@ -311,7 +345,7 @@
         self._forget(ticket)
         span = clock.monotonic() - ticket.deadline + ticket.asked.time_left
         answer(client)
-        if status:      # counted once the answer is out, which waits for nothing here
+        if status:  # counted once the answer is out, which waits for nothing here
             self.metrics.ended(ticket.asked.route, ticket.svc, status, reason, span)
 
     def _forget(self, ticket: Ticket) -> None:
--- a/crowseam/gateway/load_balancer.py
+++ b/crowseam/gateway/load_balancer.py
@@ -20,28 +20,28 @@
 from crowseam.quotas.retry_budget import RetryBudget
 from fennelpoint.interface import Status
 
-FIRST_GUESS = 0.3       # of a route's target: the time its work takes, before any answer
-LEARN, LEARN_SLOW = 0.15, 0.2   # weights of an answer in what a kind of work takes, and in a server's speed
-LEARN_MEAN = 0.03       # weight of a request in the mean work of its service
-FAST, SLOW = 0.4, 4.0   # bounds of a server's slowness against others
-LOAD_HALF = 0.25        # s for what a server told of its load to count half
-SERVED_LATELY = 1.0     # s since others served us well: else what fails may be ourselves
-TRIAL = 0.7             # s between two trials of a shunned server, by all ingresses together
-OVERDUE = 1.5           # slowest usual times without a word that count as a failure
-LOST = 2.0              # slowest usual times after which an answer that another server gave is taken for lost
-REST, REST_MOST = 0.25, 4.0     # s that a server rests after failures in a row: first, most
-FULL_REST = 0.05        # s that nothing more is sent to a server that turned a request away
-COLD = 2.0              # how much slower a server is taken for while it says that it warms up
-FAR = 0.7              # of the work of a request: the price of a server in another zone
-NOISE = 0.05            # random part of a cost, so that ingresses that know alike don't choose alike
-LONG_ON_SHORT, SHORT_ON_LONG = 1.0, 0.3    # of its work: the price of a request on the other kind's servers
-RISK = 0.5              # of a request's work: the price of each that a server holds though a slot is free
-WAITING = 6             # requests that a server is let have waiting, by what is known here, before we refuse
-HEDGE = 3.0             # usual times of an answer after which a repeatable request is sent once more
-TAIL_STEP, TAIL = 0.05, 0.04    # how the time that all but the slowest TAIL of answers take is followed
-LEAST_LEFT = 0.02       # s that must be left for another try to be of use
-NOT_RUN = frozenset((429, 503, 408, 421))   # a promise: it has not run and never will
-RETURN_LEAST = 0.05     # s, least told a client to come back after
+FIRST_GUESS = 0.3  # of a route's target: the time its work takes, before any answer
+LEARN, LEARN_SLOW = 0.15, 0.2  # weights of an answer in what a kind of work takes, and in a server's speed
+LEARN_MEAN = 0.03  # weight of a request in the mean work of its service
+FAST, SLOW = 0.4, 4.0  # bounds of a server's slowness against others
+LOAD_HALF = 0.25  # s for what a server told of its load to count half
+SERVED_LATELY = 1.0  # s since others served us well: else what fails may be ourselves
+TRIAL = 0.7  # s between two trials of a shunned server, by all ingresses together
+OVERDUE = 1.5  # slowest usual times without a word that count as a failure
+LOST = 2.0  # slowest usual times after which an answer that another server gave is taken for lost
+REST, REST_MOST = 0.25, 4.0  # s that a server rests after failures in a row: first, most
+FULL_REST = 0.05  # s that nothing more is sent to a server that turned a request away
+COLD = 2.0  # how much slower a server is taken for while it says that it warms up
+FAR = 0.7  # of the work of a request: the price of a server in another zone
+NOISE = 0.05  # random part of a cost, so that ingresses that know alike don't choose alike
+LONG_ON_SHORT, SHORT_ON_LONG = 1.0, 0.3  # of its work: the price of a request on the other kind's servers
+RISK = 0.5  # of a request's work: the price of each that a server holds though a slot is free
+WAITING = 6  # requests that a server is let have waiting, by what is known here, before we refuse
+HEDGE = 3.0  # usual times of an answer after which a repeatable request is sent once more
+TAIL_STEP, TAIL = 0.05, 0.04  # how the time that all but the slowest TAIL of answers take is followed
+LEAST_LEFT = 0.02  # s that must be left for another try to be of use
+NOT_RUN = frozenset((429, 503, 408, 421))  # a promise: it has not run and never will
+RETURN_LEAST = 0.05  # s, least told a client to come back after
 
 
 @dataclass(slots=True, eq=False)
@@ -53,21 +53,21 @@
     addr: str
     az: str
     slots: int
-    warm_at: float          # when it has warmed up, by its word
+    warm_at: float  # when it has warmed up, by its word
     usable: bool = True
-    quiet: bool = False     # no sign of life has come to the controllers
-    out: int = 0            # our requests there
-    told: float = 0.0       # requests it held by its own word, ours of the moment left out
+    quiet: bool = False  # no sign of life has come to the controllers
+    out: int = 0  # our requests there
+    told: float = 0.0  # requests it held by its own word, ours of the moment left out
     told_at: float = -inf
-    slow: float = 1.0       # its time for a piece of work against the others'
-    shunned: bool = False   # the fleet complains of it
-    rank: float = 1.0       # its place among its zone's, 0 to 1 (`reserved_servers`)
-    try_at: float = inf     # when we try whether it is well again
-    fails: int = 0          # in a row
+    slow: float = 1.0  # its time for a piece of work against the others'
+    shunned: bool = False  # the fleet complains of it
+    rank: float = 1.0  # its place among its zone's, 0 to 1 (`reserved_servers`)
+    try_at: float = inf  # when we try whether it is well again
+    fails: int = 0  # in a row
     failed_at: float = -inf
-    overdue_at: float = -inf    # when we last told that it says nothing
-    rest_until: float = 0.0     # after failures
-    full_until: float = 0.0     # after it turned a request away
+    overdue_at: float = -inf  # when we last told that it says nothing
+    rest_until: float = 0.0  # after failures
+    full_until: float = 0.0  # after it turned a request away
     answered_at: float = -inf
 
 
@@ -75,8 +75,8 @@
 class Kind:
     """What is known of the requests of one route at one service."""
 
-    work: float             # s, of an answer by a server that is not busy
-    tail: float             # s, all but the slowest answers
+    work: float  # s, of an answer by a server that is not busy
+    tail: float  # s, all but the slowest answers
 
 
 @dataclass(slots=True, eq=False)
@@ -92,10 +92,10 @@
     out: dict[int, tuple[Server, float]] = field(default_factory=dict)  # attempts under way: server, sent at
     tried: list[str] = field(default_factory=list)
     attempts: int = 0
-    ran: bool = False       # an attempt may have run
-    offered: bool = False   # a server has had it
+    ran: bool = False  # an attempt may have run
+    offered: bool = False  # a server has had it
     hedge_at: float = inf
-    answer: object = None   # the last failure that a server answered with, to be passed on
+    answer: object = None  # the last failure that a server answered with, to be passed on
 
 
 # Actions
@@ -140,26 +140,25 @@
 class LoadBalancer:
     """The decisions of one gateway; its owner carries out what the methods return."""
 
-    def __init__(self, az: str, admission: Admission, budget: RetryBudget, rng: Random,
-                 name: str = "") -> None:
+    def __init__(self, az: str, admission: Admission, budget: RetryBudget, rng: Random, name: str = "") -> None:
         self.az, self.admission, self.budget, self.rng = az, admission, budget, rng
         self.servers: dict[str, Server] = {}
         self.services: dict[str, list[Server]] = {}
         self.subsets = Subsets(name, az)
         self.kinds: dict[tuple[str, str], Kind] = {}
         self.reserved_servers = ReservedServers()
-        self.mean: dict[str, float] = {}    # s of work that a service's requests take on average
+        self.mean: dict[str, float] = {}  # s of work that a service's requests take on average
         self.tries: dict[int, Try] = {}
         self.news: dict[str, int] = {}
         self.ingresses = 1
-        self.served_at = -inf   # when a server has last served us
-        self.dry: dict[str, float] = {}     # tenants whose reserve is empty, by when it is worth asking again
+        self.served_at = -inf  # when a server has last served us
+        self.dry: dict[str, float] = {}  # tenants whose reserve is empty, by when it is worth asking again
 
     # What the controllers tell
 
     def follow(self, records: list[Record], whole: bool, now: float) -> None:
         """Take in servers, all there are or those changed."""
-        moved: set[str] = set()     # services whose servers are not those they were
+        moved: set[str] = set()  # services whose servers are not those they were
         if whole:
             named = {record.id for record in records}
             for gone in [one for one in self.servers if one not in named]:
@@ -175,8 +174,8 @@
             if server is None or (server.addr, server.svc) != (record.addr, record.svc):
                 self._drop(record.id)
                 server = self.servers[record.id] = Server(
-                    record.id, record.svc, record.addr, record.az, max(1, record.slots),
-                    now + record.warm / 1000.0)
+                    record.id, record.svc, record.addr, record.az, max(1, record.slots), now + record.warm / 1000.0
+                )
                 servers = self.services.setdefault(record.svc, [])
                 servers.append(server)
                 self.subsets.joined(server, servers)
@@ -220,8 +219,10 @@
         """Servers that have said nothing since they were sent what is long overdue."""
         for t in self.tries.values():
             for server, sent in t.out.values():
-                if (max(server.answered_at, server.overdue_at) < sent
-                        and now - sent > OVERDUE * self.kind(t.svc, t.route).tail):
+                if (
+                    max(server.answered_at, server.overdue_at) < sent
+                    and now - sent > OVERDUE * self.kind(t.svc, t.route).tail
+                ):
                     server.overdue_at = now
                     server.rest_until = max(server.rest_until, now + REST)
                     self._tell(server, now)
@@ -244,8 +245,9 @@
 
     # Requests
 
-    def arrive(self, number: int, route: Route, tenant: str, left: float, now: float,
-               drawn: float | None = None) -> list:
+    def arrive(
+        self, number: int, route: Route, tenant: str, left: float, now: float, drawn: float | None = None
+    ) -> list:
         """A request has come whole.  `drawn`: the reserve has been asked, and this is the wait it told of."""
         verdict = self.admission.admit(tenant, 1.0 / (1.0 + route.prio), now, again=drawn is not None)
         if not verdict.ok:
@@ -301,8 +303,7 @@
                 return server
         return None
 
-    def _best(self, among: list[Server], t: Try, work: float, mean: float, short: bool,
-              now: float) -> Server | None:
+    def _best(self, among: list[Server], t: Try, work: float, mean: float, short: bool, now: float) -> Server | None:
         able = [s for s in among if s.usable and s.id not in t.tried]
         if not able:
             return None
@@ -311,7 +312,7 @@
             for s in able:
                 if s.shunned and now >= s.try_at:
                     self._plan_trial(s, now)
-                    return s    # what may be repeated finds out whether it is back
+                    return s  # what may be repeated finds out whether it is back
         well = [s for s in able if now >= s.rest_until and not (s.quiet or s.shunned)]
         if not well:
             # All rest or are silent: what may be repeated finds out whether one is back.
@@ -349,8 +350,15 @@
         cost = slow * (work + wait) + (FAR * work if s.az != self.az else 0.0)
         return cost * (1.0 + NOISE * self.rng.random())
 
-    def outcome(self, number: int, attempt: int, status: Status, answer: object, now: float,
-                load: tuple[int, int, int] | None = None) -> list:
+    def outcome(
+        self,
+        number: int,
+        attempt: int,
+        status: Status,
+        answer: object,
+        now: float,
+        load: tuple[int, int, int] | None = None,
+    ) -> list:
         """An attempt has ended.
 
         OK: the server's whole success. ERROR: another answer of the server, which ran it. FULL: it says that
@@ -364,7 +372,7 @@
         self._learn(t, server, sent, status, load, now)
         if status is Status.OK:
             self.admission.answered(t.tenant, now - t.begun, t.route.target, now)
-            for other, begun in t.out.values():     # nobody tells of those that were slower
+            for other, begun in t.out.values():  # nobody tells of those that were slower
                 other.out -= 1
                 ratio = min(SLOW, (now - begun) / self.kind(t.svc, t.route).work)
                 other.slow = max(other.slow, other.slow + LEARN_SLOW * (ratio - other.slow))
@@ -379,7 +387,7 @@
             if status is Status.ERROR:
                 t.answer = answer
         if t.out:
-            return []   # another attempt is under way
+            return []  # another attempt is under way
         return self._again(t, status, now)
 
     def _again(self, t: Try, status: Status, now: float) -> list:
@@ -461,8 +469,9 @@
 
     # What answers tell
 
-    def _learn(self, t: Try, s: Server, sent: float, status: Status, load: tuple[int, int, int] | None,
-               now: float) -> None:
+    def _learn(
+        self, t: Try, s: Server, sent: float, status: Status, load: tuple[int, int, int] | None, now: float
+    ) -> None:
         if load is not None:
             # The answer's own request is still among those it counts as running.
             s.told, s.told_at, s.slots = max(0, load[0] + load[1] - 1 - s.out), now, max(1, load[2])
@@ -485,7 +494,7 @@
             s.full_until = now + FULL_REST
             s.told, s.told_at = max(s.told, float(s.slots + WAITING)), now
         elif status in (Status.RESET, Status.TIMEOUT, Status.CONNECT_FAILED):
-            if sent >= s.failed_at:     # what was sent before tells nothing new
+            if sent >= s.failed_at:  # what was sent before tells nothing new
                 self._fail(s, sent, now)
         elif status is Status.ERROR:
             self._tell(s, now)
--- a/crowseam/gateway/request_reader.py
+++ b/crowseam/gateway/request_reader.py
@@ -12,13 +12,14 @@
 
 ID = re.compile(rb"[!-~]{1,200}")
 MOST_LEFT_MS = 600_000  # ms; a longer wait is not meant
-DEFAULT_LEFT = 30.0     # s for clients that don't say how long they wait
-AGAIN = ((b"retry-after", b"0.3"),)     # for who comes before the first configuration is here
-SINGLE = frozenset((b"x-attempt-id", b"x-time-left", b"authorization", b"host", b"content-length",
-                    b"transfer-encoding"))
+DEFAULT_LEFT = 30.0  # s for clients that don't say how long they wait
+AGAIN = ((b"retry-after", b"0.3"),)  # for who comes before the first configuration is here
+SINGLE = frozenset(
+    (b"x-attempt-id", b"x-time-left", b"authorization", b"host", b"content-length", b"transfer-encoding")
+)
 # What only we may tell a server, what concerns one connection only, and the key, which is the client's alone.
 NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-time-left", b"authorization", b"x-tenant", b"x-target-instance"}
-KEPT = frozenset((b"x-attempt-id", b"host"))     # whatever a client's `Connection` names
+KEPT = frozenset((b"x-attempt-id", b"host"))  # whatever a client's `Connection` names
 
 
 @dataclass(slots=True, eq=False)
@@ -27,9 +28,9 @@
 
     txn: bytes
     route: Route
-    tenant: str     # "" on routes that need no key
+    tenant: str  # "" on routes that need no key
     time_left: float
-    head: bytes     # request line and fields, without what is told each server anew
+    head: bytes  # request line and fields, without what is told each server anew
     body: bytes
     upload: Upload | None
 
@@ -37,7 +38,12 @@
         """The bytes for a server that is waited for this many seconds."""
         tenant = b"X-Tenant: %b\r\n" % self.tenant.encode() if self.tenant else b""
         return b"%bX-Time-Left: %d\r\nX-Target-Instance: %b\r\n%b\r\n%b" % (
-            self.head, max(1, int(left * 1000)), server.encode(), tenant, self.body)
+            self.head,
+            max(1, int(left * 1000)),
+            server.encode(),
+            tenant,
+            self.body,
+        )
 
 
 class Reader:
@@ -46,11 +52,10 @@
     ready_path = None
 
     def __init__(self) -> None:
-        self.table: Table | None = None     # none before the first configuration
-        self.turned: dict[int, int] = {}    # requests that could not be taken, by the status that says so
+        self.table: Table | None = None  # none before the first configuration
+        self.turned: dict[int, int] = {}  # requests that could not be taken, by the status that says so
 
-    def read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]],
-             body: bytes | Upload) -> Asked:
+    def read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes | Upload) -> Asked:
         """Raises BadRequest with the status that refuses it."""
         try:
             return self._read(method, url, headers, body)
@@ -58,8 +63,7 @@
             self.turned[fault.status] = self.turned.get(fault.status, 0) + 1
             raise
 
-    def _read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]],
-              body: bytes | Upload) -> Asked:
+    def _read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes | Upload) -> Asked:
         table = self.table
         found, lines = sort_fields(method + b" " + url + b" HTTP/1.1", headers, SINGLE, NOT_PASSED_ON, KEPT)
         if table is None or table.ver == 0:
@@ -81,10 +85,16 @@
         upload = body if isinstance(body, Upload) else None
         length = len(body) if upload is None else upload.length
         if length or b"content-length" in found or b"transfer-encoding" in found:
-            lines.append(b"content-length: %d" % length if length is not None else
-                         b"transfer-encoding: chunked")
-        return Asked(txn, route, tenant, min(left, route.timeout), b"\r\n".join(lines) + b"\r\n",
-                     body if upload is None else b"", upload)
+            lines.append(b"content-length: %d" % length if length is not None else b"transfer-encoding: chunked")
+        return Asked(
+            txn,
+            route,
+            tenant,
+            min(left, route.timeout),
+            b"\r\n".join(lines) + b"\r\n",
+            body if upload is None else b"",
+            upload,
+        )
 
     def _tenant(self, table: Table, found: dict[bytes, bytes]) -> str:
         kind, _, key = found.get(b"authorization", b"").partition(b" ")
--- a/crowseam/gateway/reserved_servers.py
+++ b/crowseam/gateway/reserved_servers.py
@@ -16,13 +16,13 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-SHORT = 0.5         # of the mean work of a service: requests with less are short
-ROOM = 2.5          # servers kept, against the share of the work that short requests bring
-MOST = 0.5          # of a service's servers
-LEAST = 0.04        # part below which none are kept
-FOLLOW = 0.005      # weight of a request in the share, at the least: the first ones count alike
-FIRST = 12          # requests of a service before its servers are parted
-STEADY = 0.25       # of the part: the change from which on it is followed, so that no server goes to and fro
+SHORT = 0.5  # of the mean work of a service: requests with less are short
+ROOM = 2.5  # servers kept, against the share of the work that short requests bring
+MOST = 0.5  # of a service's servers
+LEAST = 0.04  # part below which none are kept
+FOLLOW = 0.005  # weight of a request in the share, at the least: the first ones count alike
+FIRST = 12  # requests of a service before its servers are parted
+STEADY = 0.25  # of the part: the change from which on it is followed, so that no server goes to and fro
 
 
 class Reservable(Protocol):
--- a/crowseam/gateway/subsetting.py
+++ b/crowseam/gateway/subsetting.py
@@ -15,10 +15,10 @@
 from math import log
 from typing import Protocol
 
-MANY = 160      # servers of a service up to which all are considered
-ENOUGH = 48     # servers that are well of which the best is as good as the best of all
-NEAR = 4.0      # weight of a server in the own zone: of three equal zones it has two thirds of the places
-_RANGE = 2.0 ** 64
+MANY = 160  # servers of a service up to which all are considered
+ENOUGH = 48  # servers that are well of which the best is as good as the best of all
+NEAR = 4.0  # weight of a server in the own zone: of three equal zones it has two thirds of the places
+_RANGE = 2.0**64
 
 
 class Server(Protocol):
@@ -38,7 +38,7 @@
 
     def __init__(self, gateway: str, az: str) -> None:
         self.gateway, self.az = gateway, az
-        self._ranks: dict[str, list[tuple[float, str, Server]]] = {}    # of services with more than MANY
+        self._ranks: dict[str, list[tuple[float, str, Server]]] = {}  # of services with more than MANY
         self._kept: dict[str, tuple[list[Server], ...]] = {}
 
     def _rank(self, server: Server) -> tuple[float, str, Server]:
@@ -62,7 +62,7 @@
         if ranks is None:
             return
         if len(servers) <= MANY:
-            del self._ranks[server.svc]     # all are considered again: no server is lost by that
+            del self._ranks[server.svc]  # all are considered again: no server is lost by that
         else:
             del ranks[bisect_left(ranks, self._rank(server)[:2], key=lambda rank: rank[:2])]
         self._kept.pop(server.svc, None)
--- a/crowseam/logs.py
+++ b/crowseam/logs.py
@@ -10,9 +10,9 @@
 from crowseam import clock
 
 _log = picologging.getLogger("crowseam")
-_SAMPLE, _SPAN = 5, 1.0     # lines of one event within so many seconds; the rest is counted
+_SAMPLE, _SPAN = 5, 1.0  # lines of one event within so many seconds; the rest is counted
 _seen: dict[str, list] = {}
-_PLAIN = re.compile(r'[!#-<>-\[\]-~]+')     # printable, without a blank and what pairs are told apart by
+_PLAIN = re.compile(r"[!#-<>-\[\]-~]+")  # printable, without a blank and what pairs are told apart by
 
 
 def begin(role: str, host: str) -> None:
@@ -49,4 +49,5 @@
 def failure(event: str) -> None:
     """Log the exception at hand, with its trace in one line."""
     import traceback
+
     say(event, trace=traceback.format_exc().replace("\n", " | "))
--- a/crowseam/membership/duties.py
+++ b/crowseam/membership/duties.py
@@ -173,7 +173,12 @@
     """
 
     def __init__(
-        self, me: str, rng: Random, now: float, keys: Iterable[str], terms: DutyTerms | None = None,
+        self,
+        me: str,
+        rng: Random,
+        now: float,
+        keys: Iterable[str],
+        terms: DutyTerms | None = None,
         remembered: dict[str, str] | None = None,
     ) -> None:
         self.me = me
@@ -184,7 +189,7 @@
         self._silent_until = now + self.terms.term + self.terms.margin
         self._voters: frozenset[str] | None = None
         self._slot, self._since, self._changing = -1, -1, False
-        self.learning = False   # a newcomer that has not been told the fences yet; set by the owner
+        self.learning = False  # a newcomer that has not been told the fences yet; set by the owner
         blind = float("-inf") if remembered == {} else now + self.terms.lasts
         self._votes = {key: Vote(blind_until=blind) for key in self.keys}
         self._hands = {key: Hand() for key in self.keys}
@@ -229,12 +234,11 @@
         for key in self.keys:
             who = wanted(key, (live | {self.me}) & voters)
             if now < self._silent_until and (self._remembered or {}).get(key) == self.me:
-                who = self.me   # the one that all voters grant it to at once
+                who = self.me  # the one that all voters grant it to at once
             out += self._tend(key, self._hands[key], who, live, now)
         return self._route(out, now)
 
-    def seat(self, voters: frozenset[str], now: float, slot: int = -1, since: int = -1,
-             changing: bool = False) -> None:
+    def seat(self, voters: frozenset[str], now: float, slot: int = -1, since: int = -1, changing: bool = False) -> None:
         """The voters as they are known here; to be told before each message is handed in.
 
         `slot` is the newest slot of the log that is known here, `since` one after which these voters have
@@ -298,8 +302,11 @@
 
     def borrowers(self, key: str) -> set[str] | None:
         """Who may hold what the hands before ours have lent; None: voters that know are no majority."""
-        told = [names for voter, names in self._hands[key].told.items()
-                if names is not None and voter in (self._voters or ())]
+        told = [
+            names
+            for voter, names in self._hands[key].told.items()
+            if names is not None and voter in (self._voters or ())
+        ]
         if 2 * len(told) <= len(self._voters or ()):
             return None
         return {name for names in told for name in names}
@@ -399,7 +406,7 @@
             vote.listing, vote.count, vote.borrowers = listing, 0, {}
         if listing != vote.listing:
             return 0, None
-        for change in seek.news[vote.count - seek.base:] if vote.count >= seek.base else ():
+        for change in seek.news[vote.count - seek.base :] if vote.count >= seek.base else ():
             if change[:1] == "+":
                 vote.borrowers[change[1:]] = None
             else:
@@ -440,7 +447,7 @@
         if hand.since is None:
             near = (live | {self.me}) & (self._voters or frozenset())
             if who != self.me or now < hand.next_at or 2 * len(near) <= len(self._voters or ()):
-                return []   # without a majority, what few would grant only stands in others' way
+                return []  # without a majority, what few would grant only stands in others' way
             hand.since = now
             return self._seek(key, hand, now)
         end = self._end(hand, hand.fence) if hand.fence else float("-inf")
@@ -470,8 +477,22 @@
         out: Outbox = []
         for voter in sorted(self._voters or ()):
             base = min(hand.counts.get(voter, 0), len(hand.news))
-            out.append((voter, Seek(key, token, hand.fence, self.terms.term, self._slot, hand.listing, base,
-                                    hand.news[base:], now < hand.whole_at)))
+            out.append(
+                (
+                    voter,
+                    Seek(
+                        key,
+                        token,
+                        hand.fence,
+                        self.terms.term,
+                        self._slot,
+                        hand.listing,
+                        base,
+                        hand.news[base:],
+                        now < hand.whole_at,
+                    ),
+                )
+            )
         return out
 
     def _on_granted(self, sender: str, granted: Granted, now: float) -> Outbox:
--- a/crowseam/membership/failure_detector.py
+++ b/crowseam/membership/failure_detector.py
@@ -109,7 +109,7 @@
         return min(PHI_MOST, -math.log10(chance)) if chance > 0 else PHI_MOST
 
     def state(self, peer: str, now: float) -> str:
-        """"alive", "slow" (answers, but late), "suspect" (perhaps dead), or "dead" (also: not watched)."""
+        """ "alive", "slow" (answers, but late), "suspect" (perhaps dead), or "dead" (also: not watched)."""
         known = self._peers.get(peer)
         if known is None:
             return "dead"
@@ -130,9 +130,11 @@
 
     def near(self, now: float, peers: Iterable[str]) -> set[str]:
         """Those of ``peers`` that are not dead, and with which both ways have been open lately."""
-        return {p for p in peers
-                if (known := self._peers.get(p)) is not None and now - known.proof <= PROOF
-                and self.state(p, now) != "dead"}
+        return {
+            p
+            for p in peers
+            if (known := self._peers.get(p)) is not None and now - known.proof <= PROOF and self.state(p, now) != "dead"
+        }
 
     def in_touch(self, now: float, voters: Iterable[str], me: str = "") -> bool:
         """Whether more than half of ``voters`` (``me`` among them, if it is one) are near."""
@@ -143,8 +145,7 @@
     def proven(self, now: float, voters: Iterable[str], me: str = "") -> float:
         """When the newest messages were sent that a majority of ``voters`` has answered; -inf if never."""
         everyone = set(voters)
-        times = sorted([self._peers[p].proof for p in everyone - {me} if p in self._peers]
-                       + [now] * (me in everyone))
+        times = sorted([self._peers[p].proof for p in everyone - {me} if p in self._peers] + [now] * (me in everyone))
         need = len(everyone) // 2 + 1
         return times[-need] if everyone and len(times) >= need else -math.inf
 
--- a/crowseam/membership/outliers.py
+++ b/crowseam/membership/outliers.py
@@ -12,11 +12,11 @@
 from collections import deque
 from collections.abc import Callable, Mapping
 
-ENOUGH, DESKS = 3, 2    # failures that shun a server, and the gateways that have to have seen them
-SPAN = 1.5          # s within which they have to come
-GOOD = 3            # successes in a row that end it
-LASTS = 8.0         # s after which it ends where nobody tells anything
-MOST = 1.0 / 3.0    # of a service's servers
+ENOUGH, DESKS = 3, 2  # failures that shun a server, and the gateways that have to have seen them
+SPAN = 1.5  # s within which they have to come
+GOOD = 3  # successes in a row that end it
+LASTS = 8.0  # s after which it ends where nobody tells anything
+MOST = 1.0 / 3.0  # of a service's servers
 
 
 class _Case:
@@ -25,9 +25,9 @@
     __slots__ = ("bad", "ill", "good", "heard")
 
     def __init__(self) -> None:
-        self.bad: deque[tuple[float, str, int]] = deque()   # when, seen by whom, how many
+        self.bad: deque[tuple[float, str, int]] = deque()  # when, seen by whom, how many
         self.ill = False
-        self.good = 0       # in a row since it was found ill
+        self.good = 0  # in a row since it was found ill
         self.heard = 0.0
 
 
@@ -49,8 +49,7 @@
             elif case is not None and count < 0 and case.ill:
                 case.good, case.heard = case.good - count, now
 
-    def shunned(self, service_of: Callable[[str], str | None], size_of: Callable[[str], int],
-                now: float) -> list[str]:
+    def shunned(self, service_of: Callable[[str], str | None], size_of: Callable[[str], int], now: float) -> list[str]:
         """The servers to shun, sorted; of each service the worst ones, as far as allowed.
 
         `service_of` gives a server's service (None: it is gone), `size_of` how many servers a service has.
@@ -60,8 +59,10 @@
             while case.bad and now - case.bad[0][0] > SPAN:
                 case.bad.popleft()
             if not case.ill:
-                case.ill = (sum(count for _, _, count in case.bad) >= ENOUGH
-                            and len({gateway for _, gateway, _ in case.bad}) >= DESKS)
+                case.ill = (
+                    sum(count for _, _, count in case.bad) >= ENOUGH
+                    and len({gateway for _, gateway, _ in case.bad}) >= DESKS
+                )
             elif case.good >= GOOD or now - case.heard > LASTS:
                 case.ill = False
                 case.bad.clear()
@@ -73,5 +74,5 @@
         worst: list[str] = []
         for service, servers in found.items():
             servers.sort(key=lambda server: (self._cases[server].good, server))
-            worst += servers[:int(size_of(service) * MOST)]
+            worst += servers[: int(size_of(service) * MOST)]
         return sorted(worst)
--- a/crowseam/metrics/exposition.py
+++ b/crowseam/metrics/exposition.py
@@ -21,9 +21,9 @@
     from crowseam.transport.http import Call
 
 CONTENT_TYPE = "text/plain; version=0.0.4"
-TURN = 0.0005       # s; with the usual 5 ms the loop was late by so much at each turn
-MOST_WAITING = 8    # scrapes that are rendered or wait for it; more get 503
-_pool: ThreadPoolExecutor | None = None     # one thread: two renderings would only take each other's time
+TURN = 0.0005  # s; with the usual 5 ms the loop was late by so much at each turn
+MOST_WAITING = 8  # scrapes that are rendered or wait for it; more get 503
+_pool: ThreadPoolExecutor | None = None  # one thread: two renderings would only take each other's time
 _waiting = 0
 
 
@@ -31,6 +31,7 @@
     """The text of the families, in their order."""
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily
     from prometheus_client.exposition import generate_latest
+
     kinds = {"counter": CounterMetricFamily, "gauge": GaugeMetricFamily, "histogram": HistogramMetricFamily}
     names = [*map(str, BOUNDS), "+Inf"]
 
@@ -65,6 +66,7 @@
         return call.reply(503)
     if _pool is None:
         from concurrent.futures import ThreadPoolExecutor
+
         _pool = ThreadPoolExecutor(1, "metrics")
     _waiting += 1
 
--- a/crowseam/metrics/families.py
+++ b/crowseam/metrics/families.py
@@ -9,7 +9,7 @@
 from crowseam.quotas.shards import KEYS
 from crowseam.transport.links import Link
 
-MOST_SHARES = 300   # tenants whose share is told, by name
+MOST_SHARES = 300  # tenants whose share is told, by name
 
 
 class Family(NamedTuple):
@@ -51,20 +51,39 @@
     for (outcome, reason), count in recorder.reasons.items():
         reasons[outcome][reason] = count
     copies = recorder.copies()
-    return [Family("histogram", "crowseam_request_seconds", "From a client's whole request to its answer.",
-                   ("route", "service", "outcome"), copies),
-            Family("gauge", "crowseam_answer_quantile_seconds",
-                   "Latency of what was served or late, since the start and within 1%; 1 is the worst.",
-                   ("route", "service", "quantile"), _quantiles(copies)),
-            _by("counter", "crowseam_answers", "Answers by the class of their status.", "class",
-                {f"{kind}xx": count for kind, count in recorder.answers.items()}),
-            _by("counter", "crowseam_refused", "Requests that no server ran, by reason.", "reason",
-                reasons["refused"]),
-            _by("counter", "crowseam_failed", "Requests that may have run and got no good answer, by reason.",
-                "reason", reasons["failed"]),
-            _one("counter", "crowseam_gone", "Clients that left before their answer.", recorder.gone),
-            _one("counter", "crowseam_latencies_skipped", "Requests at the start that no histogram has.",
-                 recorder.skipped)]
+    return [
+        Family(
+            "histogram",
+            "crowseam_request_seconds",
+            "From a client's whole request to its answer.",
+            ("route", "service", "outcome"),
+            copies,
+        ),
+        Family(
+            "gauge",
+            "crowseam_answer_quantile_seconds",
+            "Latency of what was served or late, since the start and within 1%; 1 is the worst.",
+            ("route", "service", "quantile"),
+            _quantiles(copies),
+        ),
+        _by(
+            "counter",
+            "crowseam_answers",
+            "Answers by the class of their status.",
+            "class",
+            {f"{kind}xx": count for kind, count in recorder.answers.items()},
+        ),
+        _by("counter", "crowseam_refused", "Requests that no server ran, by reason.", "reason", reasons["refused"]),
+        _by(
+            "counter",
+            "crowseam_failed",
+            "Requests that may have run and got no good answer, by reason.",
+            "reason",
+            reasons["failed"],
+        ),
+        _one("counter", "crowseam_gone", "Clients that left before their answer.", recorder.gone),
+        _one("counter", "crowseam_latencies_skipped", "Requests at the start that no histogram has.", recorder.skipped),
+    ]
 
 
 def of_gateway(process) -> list[Family]:
@@ -72,48 +91,75 @@
     gateway, controller_session = process.gateway, process.controller_session
     tenants = gateway.table.tenants if gateway.table is not None else {}
     services = gateway.table.svcs if gateway.table is not None else {}
-    shares = {name: gateway.admission.tenants[name].share for name, tenant in tenants.items()
-              if tenant.rate > 0.0 and name in gateway.admission.tenants}
+    shares = {
+        name: gateway.admission.tenants[name].share
+        for name, tenant in tenants.items()
+        if tenant.rate > 0.0 and name in gateway.admission.tenants
+    }
     lent = {name: share for name, share in shares.items() if share is not None}
     pools = gateway.backends
     idle = sum(len(upstream.idle) for upstream in pools.upstreams.values())
-    return [*of_recorder(gateway.metrics),
-            _by("counter", "crowseam_turned_away", "Requests that could not be taken as they were, by status.",
-                "status", {str(status): count for status, count in process.reader.turned.items()}),
-            _one("gauge", "crowseam_ready", "Whether it says that it is ready.", process.ready()),
-            _one("gauge", "crowseam_slot", "Place in the log of configurations.", controller_session.slot),
-            _one("gauge", "crowseam_under_way", "Requests without an answer, and attempts that are out.",
-                 gateway.under_way),
-            _one("gauge", "crowseam_gateways", "Gateways that are members.", gateway.members),
-            _one("gauge", "crowseam_in_session", "Whether a controller is followed.", controller_session.link is not None),
-            _one("gauge", "crowseam_client_connections", "Connections of clients.",
-                 len(process.server.connections)),
-            _by("gauge", "crowseam_server_connections", "Connections to servers.", "state",
-                {"busy": max(0, len(pools.all) - idle), "idle": idle, "connecting": len(pools.connecting)}),
-            _by("gauge", "crowseam_share", "Part of a tenant's quota that is lent to this gateway.", "tenant",
-                {name: lent[name] for name in sorted(lent)[:MOST_SHARES]}),
-            _one("gauge", "crowseam_shares_missing", "Tenants with a quota of which nothing is lent here.",
-                 len(shares) - len(lent)),
-            _by("counter", "crowseam_retries", "Further tries that were spent.", "service",
-                {name: count for name, count in gateway.budget.retried.items() if name in services})]
+    return [
+        *of_recorder(gateway.metrics),
+        _by(
+            "counter",
+            "crowseam_turned_away",
+            "Requests that could not be taken as they were, by status.",
+            "status",
+            {str(status): count for status, count in process.reader.turned.items()},
+        ),
+        _one("gauge", "crowseam_ready", "Whether it says that it is ready.", process.ready()),
+        _one("gauge", "crowseam_slot", "Place in the log of configurations.", controller_session.slot),
+        _one(
+            "gauge", "crowseam_under_way", "Requests without an answer, and attempts that are out.", gateway.under_way
+        ),
+        _one("gauge", "crowseam_gateways", "Gateways that are members.", gateway.members),
+        _one("gauge", "crowseam_in_session", "Whether a controller is followed.", controller_session.link is not None),
+        _one("gauge", "crowseam_client_connections", "Connections of clients.", len(process.server.connections)),
+        _by(
+            "gauge",
+            "crowseam_server_connections",
+            "Connections to servers.",
+            "state",
+            {"busy": max(0, len(pools.all) - idle), "idle": idle, "connecting": len(pools.connecting)},
+        ),
+        _by(
+            "gauge",
+            "crowseam_share",
+            "Part of a tenant's quota that is lent to this gateway.",
+            "tenant",
+            {name: lent[name] for name in sorted(lent)[:MOST_SHARES]},
+        ),
+        _one(
+            "gauge",
+            "crowseam_shares_missing",
+            "Tenants with a quota of which nothing is lent here.",
+            len(shares) - len(lent),
+        ),
+        _by(
+            "counter",
+            "crowseam_retries",
+            "Further tries that were spent.",
+            "service",
+            {name: count for name, count in gateway.budget.retried.items() if name in services},
+        ),
+    ]
 
 
 def of_controller(api, now: float) -> list[Family]:
     """The figures of the controller that a control API belongs to; `now` in seconds of its steady clock."""
     node, peers = api.node, api.peers
     held = sum(api.duties.holder_of(key, now) == peers.me for key in KEYS)
-    return [_by("counter", "crowseam_calls", "Calls of servers and operators by name.", "call", api.counts),
-            _one("counter", "crowseam_unreadable", "Messages of other processes that could not be read.",
-                 Link.unreadable),
-            _one("gauge", "crowseam_slot", "Place in the log of configurations.", node.last),
-            _one("gauge", "crowseam_in_touch", "Whether a majority of the voters is reached.",
-                 peers.in_touch(now)),
-            _one("gauge", "crowseam_gateways", "Gateways that are members.", api.session_table.count(now)),
-            _one("gauge", "crowseam_servers", "Servers that are known.", len(api.registry.snapshot(now))),
-            _one("gauge", "crowseam_voters", "Who votes, in number.", len(node.voters)),
-            _one("gauge", "crowseam_voter", "Whether this one votes.", node.me in node.voters),
-            _one("gauge", "crowseam_duties_held", "Duties that this one has.", held),
-            _one("gauge", "crowseam_waiting_calls", "Calls that wait for a majority.",
-                 len(api.agreement.pending_calls)),
-            _one("gauge", "crowseam_disk_late_seconds", "How long the oldest write is overdue.",
-                 api.archive.stuck())]
+    return [
+        _by("counter", "crowseam_calls", "Calls of servers and operators by name.", "call", api.counts),
+        _one("counter", "crowseam_unreadable", "Messages of other processes that could not be read.", Link.unreadable),
+        _one("gauge", "crowseam_slot", "Place in the log of configurations.", node.last),
+        _one("gauge", "crowseam_in_touch", "Whether a majority of the voters is reached.", peers.in_touch(now)),
+        _one("gauge", "crowseam_gateways", "Gateways that are members.", api.session_table.count(now)),
+        _one("gauge", "crowseam_servers", "Servers that are known.", len(api.registry.snapshot(now))),
+        _one("gauge", "crowseam_voters", "Who votes, in number.", len(node.voters)),
+        _one("gauge", "crowseam_voter", "Whether this one votes.", node.me in node.voters),
+        _one("gauge", "crowseam_duties_held", "Duties that this one has.", held),
+        _one("gauge", "crowseam_waiting_calls", "Calls that wait for a majority.", len(api.agreement.pending_calls)),
+        _one("gauge", "crowseam_disk_late_seconds", "How long the oldest write is overdue.", api.archive.stuck()),
+    ]
--- a/crowseam/metrics/latency.py
+++ b/crowseam/metrics/latency.py
@@ -16,16 +16,42 @@
 SERVED, LATE, REFUSED, FAILED = "served", "late", "refused", "failed"
 OUTCOMES = (SERVED, LATE, REFUSED, FAILED)
 OTHER = "(other)"
-MOST = 300          # series of their own; each holds 5 to 11 KB, and 23 KB if its latencies fill every bin
-EARLY = 2000        # ends that are kept until the library is here
-LEAST, LONGEST = 1e-4, 120.0    # s; spans beyond count as these, which bounds the bins of a sketch to 703
-ACCURACY = 0.01     # of any quantile, as a part of it
+MOST = 300  # series of their own; each holds 5 to 11 KB, and 23 KB if its latencies fill every bin
+EARLY = 2000  # ends that are kept until the library is here
+LEAST, LONGEST = 1e-4, 120.0  # s; spans beyond count as these, which bounds the bins of a sketch to 703
+ACCURACY = 0.01  # of any quantile, as a part of it
 # s; steps so small that a sum over gateways still tells a p99 between 2 ms and 10 s within 30%.
-BOUNDS = tuple(each / 1000.0 for each in (
-    2, 3, 5, 7, 10, 15, 20, 30, 50, 70, 100, 150, 200, 300, 500, 700, 1000, 1500, 2000, 3000, 5000, 7000,
-    10000, 30000))
-
-Key = tuple[str, str, str]      # route, service ("" where none was chosen), outcome
+BOUNDS = tuple(
+    each / 1000.0
+    for each in (
+        2,
+        3,
+        5,
+        7,
+        10,
+        15,
+        20,
+        30,
+        50,
+        70,
+        100,
+        150,
+        200,
+        300,
+        500,
+        700,
+        1000,
+        1500,
+        2000,
+        3000,
+        5000,
+        7000,
+        10000,
+        30000,
+    )
+)
+
+Key = tuple[str, str, str]  # route, service ("" where none was chosen), outcome
 
 
 def library() -> Callable[[], object]:
@@ -33,7 +59,8 @@
     from ddsketch.ddsketch import BaseDDSketch
     from ddsketch.mapping import LogarithmicMapping
     from ddsketch.store import DenseStore
-    mapping = LogarithmicMapping(ACCURACY)      # holds no state of a sketch, so all share it
+
+    mapping = LogarithmicMapping(ACCURACY)  # holds no state of a sketch, so all share it
 
     class Sketch(BaseDDSketch):
         """A sketch that keeps hold of its store, since the library counts no values below a bound."""
@@ -64,14 +91,14 @@
     """What a gateway has counted since it began. Give it each request's end and each configuration's routes."""
 
     def __init__(self) -> None:
-        self.make: Callable[[], object] | None = None   # none until the library is here
+        self.make: Callable[[], object] | None = None  # none until the library is here
         self.early: list[tuple[Key, float]] = []
-        self.skipped = 0        # ends without a latency, as too many came before the library
+        self.skipped = 0  # ends without a latency, as too many came before the library
         self.series: dict[Key, object] = {}
         self.routes: Mapping[str, Route] = {}
-        self.answers: dict[int, int] = {}       # by the first digit of the status
-        self.reasons: dict[tuple[str, str], int] = {}   # by outcome and reason
-        self.gone = 0           # clients that left before their answer
+        self.answers: dict[int, int] = {}  # by the first digit of the status
+        self.reasons: dict[tuple[str, str], int] = {}  # by outcome and reason
+        self.gone = 0  # clients that left before their answer
 
     def use(self, make: Callable[[], object]) -> None:
         """The library is here: take in what has ended until now."""
@@ -105,7 +132,7 @@
             why = (outcome, reason or "server")
             self.reasons[why] = self.reasons.get(why, 0) + 1
             if not service and len(route.split) == 1:
-                service = route.split[0][0]     # it would have gone there
+                service = route.split[0][0]  # it would have gone there
         span = LEAST if span < LEAST else LONGEST if span > LONGEST else span
         key = (route.name, service, outcome)
         series = self.series.get(key)
--- a/crowseam/model_checks/agreement/exhaustive.py
+++ b/crowseam/model_checks/agreement/exhaustive.py
@@ -57,8 +57,11 @@
                 node.last,
                 sorted(node._votes.items()),
                 node._high,
-                node._round and (
-                    node._round.message, sorted(node._round.got), sorted(node._round.refused),
+                node._round
+                and (
+                    node._round.message,
+                    sorted(node._round.got),
+                    sorted(node._round.refused),
                     sorted(p.accepted for p in node._round.got.values() if getattr(p, "accepted", 0)),
                 ),
                 [(p.ticket, p.confirmed, sorted(p.tags), p.proposed) for p in node._pending],
@@ -158,7 +161,8 @@
             left = (losses, timers, crashes - 1)
             yield self._act(
                 _Moment(_put(was.nodes, at, node), was.disks, was.clocks, was.flying, left, was.taken),
-                at, lambda n, t=was.clocks[at]: n.tick(t),
+                at,
+                lambda n, t=was.clocks[at]: n.tick(t),
             )
 
     def go(self, depth: int, left: tuple[int, int, int]) -> Walk:
