--- a/crowseam/quotas/admission.py
+++ b/crowseam/quotas/admission.py
@@ -19,15 +19,15 @@
 
 from fennelpoint.regions import PERIOD, Flow, Regulator
 
-PUBLIC = ""             # the flow of requests that belong to no tenant
-ASKED_HALF = 2.0        # s for an ask to count half
+PUBLIC = ""  # the flow of requests that belong to no tenant
+ASKED_HALF = 2.0  # s for an ask to count half
 FADE = log(2.0) / ASKED_HALF
-FEWEST_ASKS = 0.01      # asks a second that count as none
-RATIO_MOST = 3.0        # guards against one stalled answer that fails a tenant for seconds
-FORGET = 15.0           # s after which a cut of a tenant that asks no more ends
-FLOOR_SPAN = 1.0        # s of the floor that a bucket without a lease saves up
-FLOOR_EXTRA = 0.5       # of the extra, up to one request, that it may hold besides
-WAIT_MOST = 5.0         # s, longest wait told: slices and cuts have changed by then
+FEWEST_ASKS = 0.01  # asks a second that count as none
+RATIO_MOST = 3.0  # guards against one stalled answer that fails a tenant for seconds
+FORGET = 15.0  # s after which a cut of a tenant that asks no more ends
+FLOOR_SPAN = 1.0  # s of the floor that a bucket without a lease saves up
+FLOOR_EXTRA = 0.5  # of the extra, up to one request, that it may hold besides
+WAIT_MOST = 5.0  # s, longest wait told: slices and cuts have changed by then
 
 
 class AdmissionError(Exception):
@@ -51,30 +51,30 @@
 
 class Verdict(NamedTuple):
     ok: bool
-    wait: float = 0.0       # s until it may pass, as things stand
-    reason: str = ""        # "quota" or "cut" where it may not
+    wait: float = 0.0  # s until it may pass, as things stand
+    reason: str = ""  # "quota" or "cut" where it may not
 
 
 class Held(NamedTuple):
-    share: float | None     # of the quota, None without a lease
-    level: float            # requests in the bucket
-    cap: float | None       # requests a second while it is cut
+    share: float | None  # of the quota, None without a lease
+    level: float  # requests in the bucket
+    cap: float | None  # requests a second while it is cut
 
 
 @dataclass(slots=True, eq=False)
 class Tenant(Flow):
     terms: Terms = field(default_factory=TenantTerms, kw_only=True)
     share: float | None = None
-    until: float = inf      # when the lease of the share ends
-    floor: float = 0.0      # requests a second without a lease
-    roomy: bool = False     # all asks of the tenant fit in its quota, by the grantor's last word
-    extra: float = 0.0      # requests that the bucket may hold beyond its slice
+    until: float = inf  # when the lease of the share ends
+    floor: float = 0.0  # requests a second without a lease
+    roomy: bool = False  # all asks of the tenant fit in its quota, by the grantor's last word
+    extra: float = 0.0  # requests that the bucket may hold beyond its slice
     level: float = 0.0
-    lent: float = 0.0       # requests that may pass beyond the slice, handed out one by one
+    lent: float = 0.0  # requests that may pass beyond the slice, handed out one by one
     filled: float = 0.0
-    asked: float = 0.0      # asks, fading
+    asked: float = 0.0  # asks, fading
     asked_at: float = 0.0
-    luck: float = 0.0       # what buckets too small for a request have held when asked, less those passed
+    luck: float = 0.0  # what buckets too small for a request have held when asked, less those passed
 
     @property
     def limited(self) -> bool:
@@ -130,7 +130,7 @@
     def __init__(self, now: float, rng: Random, extra: float = 0.0) -> None:
         self.random, self.extra = rng, extra
         self.tenants: dict[str, Tenant] = {PUBLIC: Tenant(PUBLIC, filled=now)}
-        self._asking: dict[str, Tenant] = {}    # those with asks that still count
+        self._asking: dict[str, Tenant] = {}  # those with asks that still count
         self.regulator = Regulator(Tenant.pace, meet_below)
         self.period_at = now
 
@@ -144,8 +144,9 @@
             self.tenants.pop(name, None)
             self._asking.pop(name, None)
             self.regulator.active.pop(name, None)
-        for name, terms in tenants.items() if changed is None else (
-                (name, tenants[name]) for name in changed if name in tenants):
+        for name, terms in (
+            tenants.items() if changed is None else ((name, tenants[name]) for name in changed if name in tenants)
+        ):
             if (t := self.tenants.get(name)) is None:
                 # A bucket starts empty: what an earlier life of this ingress has sent is not known.
                 t = self.tenants[name] = Tenant(name, filled=now, extra=self.extra, luck=self.random.random())
@@ -153,8 +154,16 @@
             t.terms, t.worth = terms, worth_of(terms.prio) if terms.prio is not None else t.worth
             t.fill(now)
 
-    def slice_of(self, tenant: str, share: float | None, now: float, floor: float = 0.0,
-                 roomy: bool = False, extra: float | None = None, until: float = inf) -> None:
+    def slice_of(
+        self,
+        tenant: str,
+        share: float | None,
+        now: float,
+        floor: float = 0.0,
+        roomy: bool = False,
+        extra: float | None = None,
+        until: float = inf,
+    ) -> None:
         """This ingress's part of the quota until then, 0 to 1; None: no lease, `floor` requests a second.
 
         `roomy` says that all asks fit in the quota: even the smallest slice then saves up one request.
@@ -236,7 +245,7 @@
             return
         self.period_at = now
         for t in list(self.regulator.active.values()):
-            t.fill(now)     # what the cut let through until now goes by the old cut
+            t.fill(now)  # what the cut let through until now goes by the old cut
         self.regulator.regulate(span)
         self.regulator.rest(now - FORGET)
 
--- a/crowseam/quotas/leases.py
+++ b/crowseam/quotas/leases.py
@@ -23,15 +23,15 @@
 import msgspec
 
 PARTS = 1_000_000
-EXTRA_PART, EXTRA_MOST = 0.6, 4.0   # of what the rule leaves above the quota, cut evenly: requests that each
-                        # bucket may hold beyond its slice of the burst; and no more than this
-FLOOR_PART = 0.25       # of the same, cut evenly: what fills the buckets without a lease in a window
-WIDE_MOST = 64          # tenants of which every gateway is lent something, those with the highest rates: what a
-                        # gateway is asked of the others, it is lent after its first word of them
-MANY = 64               # tenants of a lease from which on some share goes down with nearly each lease
-PROMPT_GAP, PROMPT_PAUSE = 0.3, 0.4     # s after a report within which another one was a prompt one; between
-                        # two of these because of shares that went down, where there are many
-STRAYS = 3.0            # standard deviations left for chance, where a bucket is too small for a request
+EXTRA_PART, EXTRA_MOST = 0.6, 4.0  # of what the rule leaves above the quota, cut evenly: requests that each
+# bucket may hold beyond its slice of the burst; and no more than this
+FLOOR_PART = 0.25  # of the same, cut evenly: what fills the buckets without a lease in a window
+WIDE_MOST = 64  # tenants of which every gateway is lent something, those with the highest rates: what a
+# gateway is asked of the others, it is lent after its first word of them
+MANY = 64  # tenants of a lease from which on some share goes down with nearly each lease
+PROMPT_GAP, PROMPT_PAUSE = 0.3, 0.4  # s after a report within which another one was a prompt one; between
+# two of these because of shares that went down, where there are many
+STRAYS = 3.0  # standard deviations left for chance, where a bucket is too small for a request
 
 
 class Held(msgspec.Struct, array_like=True, tag="lending.held"):
@@ -106,8 +106,14 @@
     """
 
     def __init__(
-        self, fence: int, known: set[str] | None, expect: int, now: float, terms: LeaseTerms | None = None,
-        rates: Callable[[str], float] = lambda tenant: 0.0, tenants: Callable[[], Iterable[str]] = tuple,
+        self,
+        fence: int,
+        known: set[str] | None,
+        expect: int,
+        now: float,
+        terms: LeaseTerms | None = None,
+        rates: Callable[[str], float] = lambda tenant: 0.0,
+        tenants: Callable[[], Iterable[str]] = tuple,
     ) -> None:
         self.fence = fence
         self.terms = terms or LeaseTerms()
@@ -126,8 +132,8 @@
         # Tenants of which a gateway gets something that is not asked for them: of thousands, few.
         self._wide: set[str] = set()
         self._listed: tuple[Iterable[str], frozenset[str]] = ((), frozenset())
-        self._wide_for = 0      # the number of gateways that this is so for
-        self._parts: dict[str, tuple[float, float]] = {}    # the rate, and the part not lent, by tenant
+        self._wide_for = 0  # the number of gateways that this is so for
+        self._parts: dict[str, tuple[float, float]] = {}  # the rate, and the part not lent, by tenant
         self._next_sweep = now
         self._epoch = 0  # one count for all gateways: one forgotten that returns must not get old ones
 
@@ -227,8 +233,12 @@
         for tenant, rate in known.asks.items():
             asked[tenant] -= rate
         for tenant, rate in asks.items():
-            if (tenant not in asked and self._wide_for and len(self._wide) < WIDE_MOST
-                    and self._is_wide(tenant, self._wide_for)):
+            if (
+                tenant not in asked
+                and self._wide_for
+                and len(self._wide) < WIDE_MOST
+                and self._is_wide(tenant, self._wide_for)
+            ):
                 self._wide.add(tenant)
             asked[tenant] = asked.get(tenant, 0.0) + rate
         known.asks = dict(asks)
@@ -298,8 +308,7 @@
         for known in self._gateways.values():
             for tenant, rate in known.asks.items():
                 asked[tenant] = asked.get(tenant, 0.0) + rate
-        self._wide -= {tenant for tenant in self._wide
-                       if tenant not in asked and tenant not in self._listed[1]}
+        self._wide -= {tenant for tenant in self._wide if tenant not in asked and tenant not in self._listed[1]}
         self._asked = asked
         self._used = {tenant: used for tenant, used in self._used.items() if used or tenant in asked}
 
@@ -323,14 +332,14 @@
             whole = int(PARTS * lent)
             share = int(want * lent * PARTS)
             if not known.asks.get(tenant) and 0.0 < want * (1.0 - kept) * rate < terms.least:
-                share = 0   # no request would pass by it in seconds; it does more in the reserve
+                share = 0  # no request would pass by it in seconds; it does more in the reserve
             if keep:
                 share = max(share, current.get(tenant, 0))
             bound = known.bound.get(tenant, 0)
             free = whole - used.get(tenant, 0) + bound
             if self._sealed:
                 free -= max(0, whole - self._claimed.get(tenant, 0))
-            if share > bound:   # no more than there is; what is not raised needs nothing
+            if share > bound:  # no more than there is; what is not raised needs nothing
                 share = max(bound, min(share, free))
             if share:
                 shares[tenant] = share
@@ -350,14 +359,14 @@
     lent to unseen: then None is known, until `lasts` seconds have gone by.
     """
 
-    GAP = 2.0   # seconds without a look, or out of touch, after which something may have been missed
+    GAP = 2.0  # seconds without a look, or out of touch, after which something may have been missed
 
     def __init__(self, gateways: Iterable[str], whole: bool, now: float, lasts: float) -> None:
         self.lasts = lasts
         self._seen = dict.fromkeys(gateways, now)
         self._blind_until = now if whole else now + lasts
         self._looked = now
-        self._touched: float | None = None      # when it was last in touch, once it has been
+        self._touched: float | None = None  # when it was last in touch, once it has been
 
     def saw(self, gateways: Iterable[str], now: float) -> None:
         """These are members, or have just been answered with a lease."""
@@ -422,9 +431,9 @@
         self._epoch = 0
         self._until = float("-inf")
         self._shares: dict[str, int] = {}
-        self._news: set[str] = set()    # tenants whose share, or its end, nobody has asked for since
+        self._news: set[str] = set()  # tenants whose share, or its end, nobody has asked for since
         self._reported = self._prompted = float("-inf")
-        self._over = True   # whether they were told that the lease is over
+        self._over = True  # whether they were told that the lease is over
 
     def take(self, lease: Lease, now: float) -> bool:
         """Takes a lease unless it is late or of an earlier grantor.
@@ -490,7 +499,12 @@
 
 
 def beside_slices(
-    rate: float, burst: float, window: float, excess: float, slack: float, gateways: int,
+    rate: float,
+    burst: float,
+    window: float,
+    excess: float,
+    slack: float,
+    gateways: int,
 ) -> tuple[float, float]:
     """What one of `gateways` gateways may pass of a tenant by itself: without a lease, requests a second; and what
     its bucket may hold beyond its slice of the burst, in requests."""
--- a/crowseam/quotas/retry_budget.py
+++ b/crowseam/quotas/retry_budget.py
@@ -84,7 +84,7 @@
         self._gateways = Most(6 * window)
         self._firsts: dict[str, Window] = {}
         self._spent: dict[str, Window] = {}
-        self.retried: dict[str, int] = {}   # tries spent since the start, for the figures
+        self.retried: dict[str, int] = {}  # tries spent since the start, for the figures
 
     def gateways(self, count: int, now: float) -> None:
         """Tells how many gateways there are; the highest number of the last six windows counts."""
--- a/crowseam/simulator/world/disk.py
+++ b/crowseam/simulator/world/disk.py
@@ -10,9 +10,9 @@
 from crowseam.storage.errors import StoreError
 from crowseam.storage.store import Member, Note
 
-SYNC = 0.002        # s that a sync takes
-SLOW = 0.5          # s after which a write that is out is told of
-BATCH_MOST = 4096   # records in one transaction
+SYNC = 0.002  # s that a sync takes
+SLOW = 0.5  # s after which a write that is out is told of
+BATCH_MOST = 4096  # records in one transaction
 
 
 class DiskImage:
@@ -20,8 +20,8 @@
 
     def __init__(self, rng: Random, sync: float = SYNC) -> None:
         self.rng, self.sync = rng, sync
-        self.slow = 1.0             # how many times slower than usual
-        self.hangs_until = 0.0      # world time
+        self.slow = 1.0  # how many times slower than usual
+        self.hangs_until = 0.0  # world time
         self.full = False
         self.syncs = 0
         self.wipe()
@@ -73,8 +73,12 @@
 
     def durable(self) -> Durable:
         """What a voter reads back after a start."""
-        told = Durable(id=self.identity.get("id"), floor=self.identity.get("floor", 0), saved=self.saved,
-                       chosen=dict(sorted(self.chosen.items())))
+        told = Durable(
+            id=self.identity.get("id"),
+            floor=self.identity.get("floor", 0),
+            saved=self.saved,
+            chosen=dict(sorted(self.chosen.items())),
+        )
         for slot, ballot in sorted(self.promises.items()):
             told.votes[slot] = Vote(promised=ballot)
         for slot, (ballot, entry) in sorted(self.votes.items()):
--- a/crowseam/simulator/world/network.py
+++ b/crowseam/simulator/world/network.py
@@ -16,11 +16,11 @@
 
 from crowseam.simulator.world.loop import Process, World
 
-WINDOW = 64 * 1024      # bytes that the kernel takes in for a peer that does not read
-AGAIN = 0.2             # s, least until what a cut held up is sent again
-KNOCK = 1.0             # s until the opening of a connection is sent again; doubles
-HEAD = 60               # bytes that each packet has besides its data
-PACKET = 16 * 1024      # bytes that go over a link with a rate in one piece
+WINDOW = 64 * 1024  # bytes that the kernel takes in for a peer that does not read
+AGAIN = 0.2  # s, least until what a cut held up is sent again
+KNOCK = 1.0  # s until the opening of a connection is sent again; doubles
+HEAD = 60  # bytes that each packet has besides its data
+PACKET = 16 * 1024  # bytes that go over a link with a rate in one piece
 
 
 class SocketStub:
@@ -71,22 +71,22 @@
         self.peer: Transport | None = None
         self.protocol: asyncio.BaseProtocol | None = None
         self.buffered = False
-        self.closed = False         # by this end
-        self.ended = False          # the other end sends no more
+        self.closed = False  # by this end
+        self.ended = False  # the other end sends no more
         self.wrote_end = False
-        self.lost = False           # connection_lost is due or was called
+        self.lost = False  # connection_lost is due or was called
         self.resets = False
-        self.refused = False        # the other end was closed before it could read what was sent last
+        self.refused = False  # the other end was closed before it could read what was sent last
         self.paused = False
         self.unread: list[bytes] = []
-        self.out = 0                # bytes sent that the peer has not read
+        self.out = 0  # bytes sent that the peer has not read
         self.choked = False
         self.high, self.low = 64 * 1024, 16 * 1024
         self.user_timeout: float | None = None
-        self.last_arrival = 0.0     # of what this end sent
-        self.held: list[tuple[str, bytes]] = []     # what a cut keeps from going out
+        self.last_arrival = 0.0  # of what this end sent
+        self.held: list[tuple[str, bytes]] = []  # what a cut keeps from going out
         self.held_since = 0.0
-        self.doubted_since: float | None = None     # what was sent then arrived, and its receipt is cut off
+        self.doubted_since: float | None = None  # what was sent then arrived, and its receipt is cut off
         process.transports[self] = None
 
     # What protocols call
@@ -205,7 +205,7 @@
                     break
                 room = self.protocol.get_buffer(-1)
                 count = min(len(room), len(data) - at)
-                room[:count] = data[at:at + count]
+                room[:count] = data[at : at + count]
                 at += count
                 self.protocol.buffer_updated(count)
         if self.ended and not self.unread and not self.closed:
@@ -258,12 +258,12 @@
     other: frozenset[str] | None = None
     cut: bool = False
     way: str = "both"
-    delay: float = 0.0      # s on top, one way
-    loss: float = 0.0       # chance that a packet has to be sent again
+    delay: float = 0.0  # s on top, one way
+    loss: float = 0.0  # chance that a packet has to be sent again
 
     def touches(self, a: str, b: str) -> bool:
         if a in self.one and b in self.one and self.other is None:
-            return False    # those that are cut off together still see each other
+            return False  # those that are cut off together still see each other
         if self.other is None:
             return a in self.one or b in self.one
         return (a in self.one and b in self.other) or (b in self.one and a in self.other)
@@ -282,14 +282,14 @@
         self.world, self.delay, self.zone = world, delay, zone
         self.rng = world.random("network")
         self.listeners: dict[tuple[str, int], Listener] = {}
-        self.off: set[str] = set()      # machines without power
+        self.off: set[str] = set()  # machines without power
         self.troubles: list[Trouble] = []
         self.waiting: dict[Transport, None] = {}
         self.doubted: dict[Transport, None] = {}
         self.bytes_between = 0
-        self.rate: Callable[[str, str], float | None] | None = None     # bytes/s from a to b; None: no bound
-        self.free: dict[tuple[str, str], float] = {}    # when a link with a rate has sent all it was given
-        self.carried: dict[tuple[str, str], int] = {}   # bytes over links with a rate
+        self.rate: Callable[[str, str], float | None] | None = None  # bytes/s from a to b; None: no bound
+        self.free: dict[tuple[str, str], float] = {}  # when a link with a rate has sent all it was given
+        self.carried: dict[tuple[str, str], int] = {}  # bytes over links with a rate
         self.opened = 0
         self.last_port = 20000
 
@@ -316,7 +316,7 @@
                 delay += t.delay * (0.5 + self.rng.random())
                 tries = 0
                 while t.loss and tries < 4 and self.rng.random() < t.loss:
-                    delay += AGAIN * 2 ** tries
+                    delay += AGAIN * 2**tries
                     tries += 1
         return delay
 
@@ -329,8 +329,9 @@
         self.listeners[host, port] = process.listeners[port] = listener
         return listener
 
-    def dial(self, process: Process, factory: Callable, host: str, port: int, made: asyncio.Future,
-             pause: float = KNOCK) -> None:
+    def dial(
+        self, process: Process, factory: Callable, host: str, port: int, made: asyncio.Future, pause: float = KNOCK
+    ) -> None:
         """Open a connection; `made` gets (transport, protocol) or the error."""
         world = self.world
         if made.done() or not process.alive:
@@ -341,8 +342,9 @@
         there = self.lag(process.ip, host)
         world.at(world.now + there, world.outside, self._knock, (process, factory, host, port, made, pause))
 
-    def _knock(self, process: Process, factory: Callable, host: str, port: int, made: asyncio.Future,
-               pause: float) -> None:
+    def _knock(
+        self, process: Process, factory: Callable, host: str, port: int, made: asyncio.Future, pause: float
+    ) -> None:
         world = self.world
         if self.parted(process.ip, host):
             world.at(world.now + pause, process, self.dial, (process, factory, host, port, made, 2 * pause))
@@ -389,8 +391,9 @@
             sender.doubted_since = self.world.now
             self.doubted[sender] = None
             if sender.user_timeout is not None:
-                self.world.at(self.world.now + sender.user_timeout, self.world.outside, self._doubt_over,
-                              (sender, self.world.now))
+                self.world.at(
+                    self.world.now + sender.user_timeout, self.world.outside, self._doubt_over, (sender, self.world.now)
+                )
 
     def _doubt_over(self, sender: Transport, since: float) -> None:
         if sender.doubted_since == since and not sender.lost:
@@ -402,8 +405,9 @@
             sender.held_since = self.world.now
             self.waiting[sender] = None
             if sender.user_timeout is not None:
-                self.world.at(self.world.now + sender.user_timeout, self.world.outside,
-                              self._overdue, (sender, self.world.now))
+                self.world.at(
+                    self.world.now + sender.user_timeout, self.world.outside, self._overdue, (sender, self.world.now)
+                )
         sender.held.append((kind, data))
 
     def _deliver(self, sender: Transport, kind: str, data: bytes, after: float) -> None:
@@ -412,7 +416,7 @@
         if rate is None:
             return self._arrive(sender, kind, data, after)
         for at in range(0, max(1, len(data)), PACKET):
-            piece = data[at:at + PACKET]
+            piece = data[at : at + PACKET]
             begin = max(self.world.now + after, self.free.get((a, b), 0.0))
             self.free[a, b] = begin + (len(piece) + HEAD) / rate
             self.carried[a, b] = self.carried.get((a, b), 0) + len(piece) + HEAD
@@ -434,8 +438,9 @@
         sender, world = gone.peer, self.world
         sender.refused = True
         if sender.process.alive and not sender.lost and not self.blocked(gone.process.ip, sender.process.ip):
-            world.at(world.now + self.lag(gone.process.ip, sender.process.ip), sender.process,
-                     sender.arrive, ("reset", b""))
+            world.at(
+                world.now + self.lag(gone.process.ip, sender.process.ip), sender.process, sender.arrive, ("reset", b"")
+            )
 
     def _overdue(self, sender: Transport, since: float) -> None:
         if sender.held and sender.held_since == since and not sender.lost:
@@ -477,7 +482,7 @@
                 transport.held.clear()
                 peer = transport.peer
                 if peer.process.alive and not peer.lost and peer.last_arrival > self.world.now:
-                    self._hold(peer, "data", b"")   # what is on its way is sent again and again
+                    self._hold(peer, "data", b"")  # what is on its way is sent again and again
             elif not already:
                 self.carry(transport, "reset" if transport.unread else "end", b"")
         process.transports.clear()
--- a/crowseam/simulator/world/patches.py
+++ b/crowseam/simulator/world/patches.py
@@ -38,9 +38,14 @@
 def worn(world: World, say: Callable[..., None]) -> Iterator[None]:
     """Within this, the daemons' code lives in `world`, and what it logs goes to `say(event, **fields)`."""
     told = VirtualTime(world)
-    places = [(clock, "monotonic", told.monotonic), (clock, "time", told.time),
-              (clock, "time_ns", told.time_ns), (logs, "say", say),
-              (notice, "complain", _unheard), (backends, "complain", _unheard)]
+    places = [
+        (clock, "monotonic", told.monotonic),
+        (clock, "time", told.time),
+        (clock, "time_ns", told.time_ns),
+        (logs, "say", say),
+        (notice, "complain", _unheard),
+        (backends, "complain", _unheard),
+    ]
     places += [(module, "time", told) for module in (backends, notice, server)]
     places += [(module, "select", Select) for module in (backends, server)]
     before = [(module, name, getattr(module, name)) for module, name, _ in places]
--- a/crowseam/storage/store.py
+++ b/crowseam/storage/store.py
@@ -106,9 +106,7 @@
         if new and self._journal().exists():
             # A journal without its database says nothing that could be trusted.
             raise _Damaged("journal without a database")
-        self._connection = sqlite3.connect(
-            self.path, isolation_level=None, check_same_thread=False, timeout=0.0
-        )
+        self._connection = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False, timeout=0.0)
         self._connection.text_factory = lambda text: text.decode(errors="replace")
         run = self._connection.execute
         # Exclusive before the first access: the index of the journal then stays off shared memory.
--- a/crowseam/transport/http.py
+++ b/crowseam/transport/http.py
@@ -9,9 +9,9 @@
 
 import httptools
 
-MOST_BODY = 16 * 1024 * 1024    # bytes of a call; a configuration of 20,000 routes has half of it
-MOST_WAITING = 64       # calls written behind one another on one connection
-IDLE = 30.0     # s without a byte after which a caller's connection is closed
+MOST_BODY = 16 * 1024 * 1024  # bytes of a call; a configuration of 20,000 routes has half of it
+MOST_WAITING = 64  # calls written behind one another on one connection
+IDLE = 30.0  # s without a byte after which a caller's connection is closed
 _PHRASE = {status.value: status.phrase for status in HTTPStatus}
 
 
@@ -24,8 +24,9 @@
         self.connection, self.method, self.path = connection, method, path
         self.body, self.keep, self.answered = body, keep, False
 
-    def reply(self, status: int, body: bytes = b"", kind: str = "application/json",
-              fields: tuple[tuple[str, str], ...] = ()) -> None:
+    def reply(
+        self, status: int, body: bytes = b"", kind: str = "application/json", fields: tuple[tuple[str, str], ...] = ()
+    ) -> None:
         """Answer; a second answer is dropped."""
         if self.answered:
             return
@@ -51,7 +52,7 @@
         self.size = 0
         self.deaf = False
         self.timer: asyncio.TimerHandle | None = None
-        self.heard = False      # since the timer was last set
+        self.heard = False  # since the timer was last set
         self._fresh()
 
     def _fresh(self) -> None:
@@ -96,7 +97,7 @@
             # Only HTTP is spoken here, and whoever offers more has to do with that.
             if not self.deaf:
                 self.parser = httptools.HttpRequestParser(self)
-                return data[upgrade.args[0]:]
+                return data[upgrade.args[0] :]
         return b""
 
     def _fault(self, status: int, text: str) -> None:
--- a/crowseam/transport/links.py
+++ b/crowseam/transport/links.py
@@ -16,9 +16,9 @@
 from crowseam import logs
 from crowseam.transport.messages import Message, decode, encode
 
-MOST_FRAME = 32 * 1024 * 1024   # bytes
+MOST_FRAME = 32 * 1024 * 1024  # bytes
 MOST_WAITING = 8 * 1024 * 1024  # bytes that a peer may leave unread before it is dropped
-USER_TIMEOUT = 1500     # ms
+USER_TIMEOUT = 1500  # ms
 _LENGTH = struct.Struct(">I")
 
 
@@ -31,14 +31,18 @@
 class Link(asyncio.Protocol):
     """One connection; `heard(link, message)` gets what comes, `ended(link)` is called once."""
 
-    unreadable = 0      # messages dropped in this process
+    unreadable = 0  # messages dropped in this process
 
-    def __init__(self, heard: Callable[[Link, Message], None], ended: Callable[[Link], None],
-                 made: Callable[[Link], None] = lambda link: None) -> None:
+    def __init__(
+        self,
+        heard: Callable[[Link, Message], None],
+        ended: Callable[[Link], None],
+        made: Callable[[Link], None] = lambda link: None,
+    ) -> None:
         self.heard, self.ended, self.made = heard, ended, made
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.peer = ""      # what the owner knows it by
+        self.peer = ""  # what the owner knows it by
 
     @property
     def open(self) -> bool:
@@ -60,7 +64,7 @@
                     raise ValueError(f"a frame of {size} bytes")
                 if len(buffer) - at < 4 + size:
                     break
-                message = decode(memoryview(buffer)[at + 4:at + 4 + size])
+                message = decode(memoryview(buffer)[at + 4 : at + 4 + size])
                 at += 4 + size
                 self.heard(self, message)
                 if not self.open:
@@ -102,10 +106,16 @@
 class Dialer:
     """Keeps one link to an address, dialling again after a pause while it is wanted."""
 
-    PAUSE, PAUSE_MOST, TIMEOUT = 0.15, 1.0, 0.6     # s
+    PAUSE, PAUSE_MOST, TIMEOUT = 0.15, 1.0, 0.6  # s
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, host: str, port: int,
-                 heard: Callable[[Link, Message], None], made: Callable[[Link], None]) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        host: str,
+        port: int,
+        heard: Callable[[Link, Message], None],
+        made: Callable[[Link], None],
+    ) -> None:
         self.loop, self.host, self.port, self.heard, self.made = loop, host, port, heard, made
         self.link: Link | None = None
         self.wanted, self.pause = True, self.PAUSE
@@ -115,7 +125,8 @@
         try:
             async with asyncio.timeout(self.TIMEOUT):
                 await self.loop.create_connection(
-                    lambda: Link(self.heard, self._ended, self._made), self.host, self.port)
+                    lambda: Link(self.heard, self._ended, self._made), self.host, self.port
+                )
         except (OSError, TimeoutError):
             self._later()
 
--- a/crowseam/transport/messages.py
+++ b/crowseam/transport/messages.py
@@ -16,7 +16,7 @@
 from crowseam.membership.sessions import SessionsTold
 from crowseam.quotas.leases import Held, Lease
 
-PACK_FROM = 2048    # bytes of a body from which on it is packed
+PACK_FROM = 2048  # bytes of a body from which on it is packed
 
 
 class Struct(msgspec.Struct, array_like=True, frozen=True):
@@ -225,10 +225,42 @@
     lease: Lease
 
 
-Message = (consensus.Message | duties.Message | Hold | ReportHeld | DigestOffer | RangeRecords | SessionsTold
-           | Hello | Ping | Rows | Heard | Ask | Lent | Open | Report | Bye | Welcome | State | Step | Servers
-           | Quiet | Pulse | Slice | OutlierReport | Shun | Draw | Drawn | Watch | Watched | Count | Leaving
-           | Learn | Learned | Following)
+Message = (
+    consensus.Message
+    | duties.Message
+    | Hold
+    | ReportHeld
+    | DigestOffer
+    | RangeRecords
+    | SessionsTold
+    | Hello
+    | Ping
+    | Rows
+    | Heard
+    | Ask
+    | Lent
+    | Open
+    | Report
+    | Bye
+    | Welcome
+    | State
+    | Step
+    | Servers
+    | Quiet
+    | Pulse
+    | Slice
+    | OutlierReport
+    | Shun
+    | Draw
+    | Drawn
+    | Watch
+    | Watched
+    | Count
+    | Leaving
+    | Learn
+    | Learned
+    | Following
+)
 encode = msgspec.msgpack.Encoder().encode
 decode = msgspec.msgpack.Decoder(Message).decode
 
--- a/fennelpoint/__main__.py
+++ b/fennelpoint/__main__.py
@@ -30,16 +30,16 @@
 from fennelpoint.net.server import Server
 from fennelpoint.settings import from_json
 
-SWEEP = 0.25            # s between looks at idle connections
-LIST_WAIT = 1.0         # s for an agent to answer before the list known from before will do
-ACCEPT_ON = 0.5         # s that connections are still taken after SIGTERM: the front learns late
+SWEEP = 0.25  # s between looks at idle connections
+LIST_WAIT = 1.0  # s for an agent to answer before the list known from before will do
+ACCEPT_ON = 0.5  # s that connections are still taken after SIGTERM: the front learns late
 LONGEST_STOP, STOP_SLACK = 3.0, 0.4  # s after SIGTERM by which all is answered: the longest deadline, this at
-                        # most, and the slack; SIGKILL comes 0.3 s later
-LAST_TAKEN = 0.5        # s before the longest deadline is over: from then on a stopping process takes nothing
-UNUSED = 2.0            # s that a connection stands unused before it is closed beside a newer process
-SOCKETS = 1024          # descriptors, where the configuration tells no limit
-MEMORY_MB = 128         # where the configuration tells no limit
-RESERVED = 32           # of them for files, the loop, discovery, the counter and the listener
+# most, and the slack; SIGKILL comes 0.3 s later
+LAST_TAKEN = 0.5  # s before the longest deadline is over: from then on a stopping process takes nothing
+UNUSED = 2.0  # s that a connection stands unused before it is closed beside a newer process
+SOCKETS = 1024  # descriptors, where the configuration tells no limit
+MEMORY_MB = 128  # where the configuration tells no limit
+RESERVED = 32  # of them for files, the loop, discovery, the counter and the listener
 GC_THRESHOLDS = (10_000, 20, 50)  # nearly all is freed by count: cycles are looked for more rarely
 # Of the rest, for upstream connections and for clients: alone, beside an older process, beside a newer one.
 # An older one can't shed what is open, but it takes nothing more and needs less by the moment.
@@ -61,10 +61,10 @@
     sockets: int
     settings: api.Settings
     known: Listing | None
-    mgmt: Address | None = None     # the second address, for operators
-    listen_fd: int | None = None    # the platform's listening socket, which is to be used in place of an own
+    mgmt: Address | None = None  # the second address, for operators
+    listen_fd: int | None = None  # the platform's listening socket, which is to be used in place of an own
     memory_mb: float = MEMORY_MB
-    folder: str | None = None       # where the processes of this ingress leave word for one another
+    folder: str | None = None  # where the processes of this ingress leave word for one another
 
 
 def read_config(path: str) -> Config:
@@ -89,14 +89,20 @@
         if isinstance(memory, bool) or not isinstance(memory, int | float) or not 0.0 < memory < math.inf:
             raise ConfigError(f"configuration: limits.memory_mb: {memory!r} is not a size")
         known, mgmt = value.get("known"), value.get("mgmt", os.environ.get("BALANCER_MGMT"))
-        return Config(str(value.get("name", "")), parse_address(value.get("listen"), "listen"),
-                      parse_address(value.get("discovery"), "discovery"),
-                      parse_address(counter, "counter") if counter is not None else None,
-                      read_seed(value.get("seed")), sockets, settings,
-                      parse_list(known, settings, where="known") if known is not None else None,
-                      parse_address(mgmt, "mgmt") if mgmt is not None else None,
-                      read_listen_fd(os.environ.get("BALANCER_LISTEN_FD")), memory,
-                      os.environ.get("TMPDIR"))
+        return Config(
+            str(value.get("name", "")),
+            parse_address(value.get("listen"), "listen"),
+            parse_address(value.get("discovery"), "discovery"),
+            parse_address(counter, "counter") if counter is not None else None,
+            read_seed(value.get("seed")),
+            sockets,
+            settings,
+            parse_list(known, settings, where="known") if known is not None else None,
+            parse_address(mgmt, "mgmt") if mgmt is not None else None,
+            read_listen_fd(os.environ.get("BALANCER_LISTEN_FD")),
+            memory,
+            os.environ.get("TMPDIR"),
+        )
     except ValueError as error:
         raise ConfigError(f"configuration: {error}") from None
 
@@ -138,13 +144,22 @@
         self.handover = Handover(config.folder, config.name)
         self.place, self.listening = "alone", False
         upstream, clients = self._room()
-        self.backends = Backends(loop, upstream, settings.connect_timeout, settings.idle_close,
-                                 min(c.aim for c in settings.classes), Budget(config.memory_mb))
-        self.counter = Counter(loop, *config.counter, settings.counter_timeout) if (
-            config.counter is not None and settings.has_counter) else None
+        self.backends = Backends(
+            loop,
+            upstream,
+            settings.connect_timeout,
+            settings.idle_close,
+            min(c.aim for c in settings.classes),
+            Budget(config.memory_mb),
+        )
+        self.counter = (
+            Counter(loop, *config.counter, settings.counter_timeout)
+            if (config.counter is not None and settings.has_counter)
+            else None
+        )
         self.host = Host(loop, settings, config.seed, self.backends, self.counter)
         self.discovery = Discovery(loop, config.discovery, settings, self.follow, config.seed)
-        self.coming: Discovery | None = None    # a new discovery that has not told its list yet
+        self.coming: Discovery | None = None  # a new discovery that has not told its list yet
         self.server = Server(loop, self.host, clients, Reader(config.settings))
         self.operators = Operators(loop, self) if config.mgmt is not None else None
         self.opening: asyncio.Task | None = None
@@ -155,7 +170,7 @@
         """Descriptors for upstream connections and for clients."""
         reserved = RESERVED
         if self.config.mgmt is not None:
-            reserved += MOST_CALLERS + 1    # whatever the load, an operator can call
+            reserved += MOST_CALLERS + 1  # whatever the load, an operator can call
         room, (upstream, clients) = self.config.sockets - reserved, ROOM[self.place]
         return max(1, int(room * upstream)), max(1, int(room * clients))
 
@@ -202,9 +217,9 @@
     def _take_bans(self) -> None:
         """Follow what another process of this ingress, or the one before, was told by operators."""
         bans, ours = self.handover.changed_bans(), self.host.withdrawn
-        for backend in (bans - ours if bans is not None else ()):
+        for backend in bans - ours if bans is not None else ():
             self.host.withdraw(backend)
-        for backend in (ours - bans if bans is not None else ()):
+        for backend in ours - bans if bans is not None else ():
             self.host.restore(backend)
 
     def follow(self, roster: api.Roster, addresses: dict[str, Address]) -> None:
@@ -229,7 +244,7 @@
     def _ban(self, backend: str, change: Callable[[str], None]) -> bool:
         if not self.host.names(backend):
             return False
-        self._take_bans()   # what the other process was told just now is not to be undone
+        self._take_bans()  # what the other process was told just now is not to be undone
         change(backend)
         self.handover.write_bans(self.host.withdrawn)
         return True
@@ -264,8 +279,9 @@
         if config.discovery != self.discovery.address:
             # Guards against a gap in the watch: the old one goes on until the new one's list is here.  The
             # new one has revisions of its own, so it is asked for the whole of it.
-            self.coming = Discovery(self.loop, config.discovery, self.config.settings, self._go_over,
-                                    self.config.seed)
+            self.coming = Discovery(
+                self.loop, config.discovery, self.config.settings, self._go_over, self.config.seed
+            )
             self.coming.known = self.discovery.known
             self.coming.start()
 
@@ -295,7 +311,7 @@
         self._share()
         self._take_bans()
         if not self.listening and self.place == "alone" and self.stopping_since is None:
-            self.opening = self.loop.create_task(self._listen())    # the older process is gone
+            self.opening = self.loop.create_task(self._listen())  # the older process is gone
         self.server.sweep()
         self.backends.sweep()
         if self.counter is not None:
@@ -365,7 +381,7 @@
         loop.add_signal_handler(number, ingress.stop)
     await ingress.start()
     gc.collect()
-    gc.freeze()     # what lives as long as the process needn't be looked at again
+    gc.freeze()  # what lives as long as the process needn't be looked at again
     gc.set_threshold(*GC_THRESHOLDS)
     await ingress.stopped
     ingress.close()
@@ -375,7 +391,7 @@
     lines = logging.StreamHandler(sys.stderr)
     lines.setFormatter(logging.Formatter("%(asctime)s %(levelname)s %(message)s"))
     logging.basicConfig(level=logging.INFO, handlers=[in_background(lines)])
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)    # the file is about to be read anyway
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the file is about to be read anyway
     try:
         path = os.environ.get("BALANCER_CONFIG")
         if not path:
--- a/fennelpoint/adapter.py
+++ b/fennelpoint/adapter.py
@@ -22,12 +22,23 @@
 ENTRY = struct.Struct(">HdBH6sBf")
 EVERY_PEER = 0xFFFFFFFF
 
-STATUSES = {100: api.Status.OK, 301: api.Status.ERROR, 302: api.Status.FULL, 303: api.Status.TIMEOUT,
-            304: api.Status.CONNECT_FAILED, 305: api.Status.RESET, 306: api.Status.CANCELLED,
-            307: api.Status.MOOT}
+STATUSES = {
+    100: api.Status.OK,
+    301: api.Status.ERROR,
+    302: api.Status.FULL,
+    303: api.Status.TIMEOUT,
+    304: api.Status.CONNECT_FAILED,
+    305: api.Status.RESET,
+    306: api.Status.CANCELLED,
+    307: api.Status.MOOT,
+}
 STATES = {0: api.BackendState.GONE, 1: api.BackendState.READY, 3: api.BackendState.DRAINING}
-ROSTER_KINDS = {0: api.RosterKind.CHANGES, 1: api.RosterKind.FULL, 2: api.RosterKind.CACHED,
-                3: api.RosterKind.FAILED}
+ROSTER_KINDS = {
+    0: api.RosterKind.CHANGES,
+    1: api.RosterKind.FULL,
+    2: api.RosterKind.CACHED,
+    3: api.RosterKind.FAILED,
+}
 FLAG_REPEAT, FLAG_WRITE = 2, 4
 
 
@@ -52,7 +63,7 @@
         end = self.at + size
         if end > len(self.data):
             raise WireError(f"{self.where}: fields need {end} bytes, the record has {len(self.data)}")
-        part = self.data[self.at:end]
+        part = self.data[self.at : end]
         self.at = end
         return part
 
@@ -84,8 +95,11 @@
     entries = []
     for _ in range(count):
         shape, started, zone, cell, backend, state, weight = ENTRY.unpack(r.raw(ENTRY.size))
-        entries.append(api.BackendEntry(backend, r.lookup(STATES, state, "backend state"), started, zone,
-                                        cell, shape, weight))
+        entries.append(
+            api.BackendEntry(
+                backend, r.lookup(STATES, state, "backend state"), started, zone, cell, shape, weight
+            )
+        )
     return api.Roster(r.lookup(ROSTER_KINDS, kind, "list form"), version, entries)
 
 
@@ -93,14 +107,33 @@
     request, cls, plan, customer, left, units, width, first, bits = r.take("IBIQdfffB")
     for value, what in ((left, "time left"), (units, "units"), (width, "spread"), (first, "first ingress")):
         r.amount(value, what)
-    return api.Request(request, cls, plan, customer, left, units, width, first,
-                       bool(bits & FLAG_REPEAT), bool(bits & FLAG_WRITE))
+    return api.Request(
+        request,
+        cls,
+        plan,
+        customer,
+        left,
+        units,
+        width,
+        first,
+        bool(bits & FLAG_REPEAT),
+        bool(bits & FLAG_WRITE),
+    )
 
 
 def _outcome(r: Reader) -> api.Outcome:
     request, ended, backend, latency, code, attempt, used, units = r.take("IB6sdHHHH")
-    return api.Outcome(request, attempt, backend, r.lookup(STATUSES, code, "status"),
-                       r.amount(latency, "latency"), bool(ended), used, units, r.report())
+    return api.Outcome(
+        request,
+        attempt,
+        backend,
+        r.lookup(STATUSES, code, "status"),
+        r.amount(latency, "latency"),
+        bool(ended),
+        used,
+        units,
+        r.report(),
+    )
 
 
 def _stream_started(r: Reader) -> api.StreamStarted:
@@ -135,8 +168,17 @@
 
 
 SPAWN, DETACH = 30, 70
-EVENTS = {10: _peer_message, 20: _client_gone, 40: _probe_result, 50: _registry, 60: _stream_started,
-          80: _request, 90: _counter_reply, 100: _outcome, 110: _timer_due}
+EVENTS = {
+    10: _peer_message,
+    20: _client_gone,
+    40: _probe_result,
+    50: _registry,
+    60: _stream_started,
+    80: _request,
+    90: _counter_reply,
+    100: _outcome,
+    110: _timer_due,
+}
 
 
 # Actions: interface actions to record bytes.
@@ -209,8 +251,10 @@
         """Refuse a request of a class or plan that the instance's settings don't have."""
         if (controller := self.instances.get(instance)) is None:
             return
-        for index, known, what in ((ask.cls, controller.settings.classes, "class"),
-                                   (ask.plan, controller.settings.plans, "plan")):
+        for index, known, what in (
+            (ask.cls, controller.settings.classes, "class"),
+            (ask.plan, controller.settings.plans, "plan"),
+        ):
             if index >= len(known):
                 raise WireError(f"{where}: {what} {index} is not among the {len(known)} of the settings")
 
@@ -233,7 +277,7 @@
             at += RECORD_HEADER.size
             if at + size > len(body):
                 raise WireError(f"{where}: length {size} passes the end of the batch")
-            out += self.record(code, body[at:at + size], now, where)
+            out += self.record(code, body[at : at + size], now, where)
             at += size
         if at != len(body):
             raise WireError(f"batch {number}: {len(body) - at} bytes after its last record")
--- a/fennelpoint/choice.py
+++ b/fennelpoint/choice.py
@@ -14,9 +14,9 @@
 FIRST_GUESS, FASTER, SLOWER = 0.12, 0.1, 0.03  # of the aim: a first latency; an answer's weights
 TAIL, TAIL_STEP, PATIENCE = 0.1, 0.1, 3.0  # of the answers come later; step to that; times it to wait for one
 FAILED, SLOWEST, SLOW_HALF = 4.0, 6.0, 1.0  # a failure looks so much slower, at most; s to fade by half
-PAUSE_FULL = 0.03       # s of pause where a backend is full
+PAUSE_FULL = 0.03  # s of pause where a backend is full
 NEAR_TIE, CANDIDATES = 1.15, 16  # how much better another zone must be; an own part of a large fleet
-HERD, SEES = 0.2, 4.0   # least random part of a wait; ingresses up to which own work out tells most of it
+HERD, SEES = 0.2, 4.0  # least random part of a wait; ingresses up to which own work out tells most of it
 PROBES, PROBE_WAIT = 2, 0.05  # backends probed for a try by those who see little, and s that it waits
 REPORT_HALF, COLD_CAUTION = 1.0, 1.5  # s for a report to count half; power of a cold share that wins a draw
 
@@ -29,10 +29,10 @@
         self.typical = [FIRST_GUESS * c.aim for c in settings.classes]  # latency of a class, uncrowded
         self.usual = list(self.typical)  # and as it is now
         self.tail = [c.aim / PATIENCE for c in settings.classes]  # and of the slowest of them
-        self.usual_held = 0.0   # requests a backend reports
+        self.usual_held = 0.0  # requests a backend reports
         # Where reports come with answers, the more ingresses the seldomer each hears of a backend.
         seldom = max(1.0, settings.ingresses / SEES) if settings.report_via == "answers" else 1.0
-        self.report_half = REPORT_HALF * seldom ** 0.5
+        self.report_half = REPORT_HALF * seldom**0.5
         self.blind = HERD + (1.0 - HERD) * max(0.0, 1.0 - SEES / settings.ingresses)  # to others' work
         self.probes = settings.may_probe and settings.report_via != "none" and self.blind > 0.5
 
@@ -58,11 +58,12 @@
         # Guards against pushing over cold backends, as a sum over all ingresses: a cold one is sent a try
         # only by a draw by weight, won as seldom as it is cold, and once in half an aim for each try.  Where
         # no other is warm, more seldom, as what loses draws again.
-        costs = sorted((self.cost(able[i], lot, t, now), i) for lot, i in lots
-                       if self.cold_share(able[i], now) >= 1.0)
+        costs = sorted(
+            (self.cost(able[i], lot, t, now), i) for lot, i in lots if self.cold_share(able[i], now) >= 1.0
+        )
         if lots and now >= t.draw_at and (share := self.cold_share(able[lots[0][1]], now)) < 1.0:
             t.draw_at = now + cls.aim / 2
-            if self.random.random() < (share if costs else share ** COLD_CAUTION):
+            if self.random.random() < (share if costs else share**COLD_CAUTION):
                 return able[lots[0][1]]
         if not self.probes or t.picked is not None or not costs:
             return able[costs[0][1]] if costs else None
@@ -97,8 +98,12 @@
         allowed, it lasts until the client stops waiting.
         """
         wait = PATIENCE * self.tail[t.ask.cls] / self.cold_share(b, now)
-        again = (t.attempts < self.settings.max_attempts and self.settings.may_cancel and not t.ask.is_coming
-                 and self.settings.classes[t.ask.cls].effect is not api.Effect.UNSAFE)
+        again = (
+            t.attempts < self.settings.max_attempts
+            and self.settings.may_cancel
+            and not t.ask.is_coming
+            and self.settings.classes[t.ask.cls].effect is not api.Effect.UNSAFE
+        )
         return wait if again and now + wait + LATE_MARGIN * self.usual[t.ask.cls] <= t.aim_at else 0.0
 
     def report(self, b: Backend, values: list[float], now: float) -> None:
@@ -110,8 +115,7 @@
         # Where nothing is told: guards against reports that stop just from the busy ones.
         b.reported, b.reported_at = held if told else max(b.reported, 2.0 * self.usual_held), now
 
-    def learn(self, b: Backend, o: api.Outcome, t: Try | None,
-              now: float) -> tuple[float, float] | None:
+    def learn(self, b: Backend, o: api.Outcome, t: Try | None, now: float) -> tuple[float, float] | None:
         """Take in how an attempt ended; the pressure that it tells of, and the s that this took."""
         self.fleet.answer(b, o.request)
         self.report(b, o.report, now) if o.report else None
@@ -138,6 +142,6 @@
             # once, a backend that is well again would be shunned for many seconds.
             if now - o.latency >= b.failed_at:
                 self.fail(b, now)
-                b.fails, b.rest_until = b.fails + 1, now + min(REST_MOST, 2 * PUMP * 2.0 ** b.fails)
+                b.fails, b.rest_until = b.fails + 1, now + min(REST_MOST, 2 * PUMP * 2.0**b.fails)
                 b.failed_at = now
         return None
--- a/fennelpoint/control.py
+++ b/fennelpoint/control.py
@@ -19,7 +19,7 @@
 from fennelpoint.upkeep import Fleet, Line, Timers
 from fennelpoint.window import Window
 
-SPARE = 0.25            # of the window: beyond quotas nothing is sent past it
+SPARE = 0.25  # of the window: beyond quotas nothing is sent past it
 RETRY_SHARE, RETRY_BURST = 0.1, 10.0  # further attempts a first one, saved up
 TOKEN_PERIOD, TOKEN_PUMP = 1, 2
 
@@ -41,14 +41,20 @@
         self.choice = Choice(settings, self.fleet, self.random)
         self.window = Window(self.fleet, now)
         self.retries = RETRY_BURST
-        self.on = {api.Request: self._admit, api.Outcome: self._outcome, api.Roster: self._roster,
-                   api.ProbeResult: self._probed, api.TimerDue: self._timer, api.CounterReply: self._counted,
-                   api.ClientGone: lambda event, now: self.line.end(event.request),
-                   api.Withdraw: lambda event, now: self.fleet.withdraw(event.backend, now),
-                   api.Restore: lambda event, now: self._restore(event.backend, now),
-                   api.BodyWhole: lambda event, now: self._body_whole(event.request, now),
-                   api.StreamStarted: self._begun,
-                   api.Part: lambda event, now: self._take_part(event.part, now)}
+        self.on = {
+            api.Request: self._admit,
+            api.Outcome: self._outcome,
+            api.Roster: self._roster,
+            api.ProbeResult: self._probed,
+            api.TimerDue: self._timer,
+            api.CounterReply: self._counted,
+            api.ClientGone: lambda event, now: self.line.end(event.request),
+            api.Withdraw: lambda event, now: self.fleet.withdraw(event.backend, now),
+            api.Restore: lambda event, now: self._restore(event.backend, now),
+            api.BodyWhole: lambda event, now: self._body_whole(event.request, now),
+            api.StreamStarted: self._begun,
+            api.Part: lambda event, now: self._take_part(event.part, now),
+        }
 
     def start(self, now: float) -> list[api.Action]:
         return [api.Subscribe()] if self.settings.discovery == "ask" else []
@@ -82,7 +88,7 @@
             return self.quotas.spared(reply, ok)
         if (c := self.quotas.customers.get(reply.name)) is None:
             return
-        if c.asking:    # let the try in, or not; soft plans may go on
+        if c.asking:  # let the try in, or not; soft plans may go on
             t = self.quotas.answered(c, reply, ok, now)
             if self.line.release(t):
                 t.not_before = now
@@ -112,7 +118,7 @@
         """Its time counts from now."""
         left, margin = t.ask.time_left, 2 * PUMP + self.settings.tick
         t.aim_at = now + min(self.settings.classes[t.ask.cls].aim, left)
-        t.ends = now + left - margin    # the last answer that is surely in time
+        t.ends = now + left - margin  # the last answer that is surely in time
         t.half = now + left / 2 - margin
 
     def _body_whole(self, request: int, now: float) -> None:
@@ -140,8 +146,7 @@
         if not queued and (self._place(t, now) or ask.request in self.line.held):
             return
         wait = self.quotas.wait(t)
-        late = (t.inside is False
-                or now + max(0.0, wait) + LATE_MARGIN * self.choice.usual[ask.cls] > t.aim_at)
+        late = t.inside is False or now + max(0.0, wait) + LATE_MARGIN * self.choice.usual[ask.cls] > t.aim_at
         self._refuse(t, now, max(wait, c.window / 2)) if late else self._hold(t, now)
 
     def _place(self, t: Try, now: float) -> bool:
@@ -204,8 +209,9 @@
         The client is told to come back once its units are there, or a place is: by when an answer comes.
         """
         cls = self.settings.classes[t.ask.cls]
-        harmless = self._allowed(t, now) and (t.ran_at is None or cls.effect is api.Effect.SAFE
-                                              or cls.group is api.Group.ALL)
+        harmless = self._allowed(t, now) and (
+            t.ran_at is None or cls.effect is api.Effect.SAFE or cls.group is api.Group.ALL
+        )
         t.customer.spared += t.ask.units * (not t.charged)
         wait = max(wait, self.choice.usual[t.ask.cls])
         advice = min(self.settings.max_advice, wait) if self.settings.may_advise else 0.0
@@ -235,8 +241,7 @@
             t.not_before = now + PAUSE_FULL * t.attempts * (o.status in (api.Status.FULL, api.Status.MOOT))
             again = t.ran_at is not None  # as time, effect and a budget against retry storms allow
             barred = self.retries < 1.0 or not self._allowed(t, now)
-            if (t.attempts >= self.settings.max_attempts or now >= t.ends or again and barred
-                    or not o.is_held):
+            if t.attempts >= self.settings.max_attempts or now >= t.ends or again and barred or not o.is_held:
                 self._refuse(t, now, 0.0)
             else:
                 self.retries -= again
--- a/fennelpoint/interface.py
+++ b/fennelpoint/interface.py
@@ -122,7 +122,7 @@
     may_advise: bool = False
     max_advice: float = 0.0
     connect_timeout: float = 0.0
-    idle_close: float = 0.0     # s after which a backend closes an idle connection
+    idle_close: float = 0.0  # s after which a backend closes an idle connection
     zones: list[str] = field(default_factory=list)  # names; a zone or kind elsewhere is an index here
     kinds: list[str] = field(default_factory=list)
 
@@ -135,8 +135,11 @@
         for name in ("ingresses", "max_attempts"):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: {getattr(self, name)} is under 1")
-        parts = [("", self), *((f"classes[{i}].", c) for i, c in enumerate(self.classes)),
-                 *((f"plans[{i}].", p) for i, p in enumerate(self.plans))]
+        parts = [
+            ("", self),
+            *((f"classes[{i}].", c) for i, c in enumerate(self.classes)),
+            *((f"plans[{i}].", p) for i, p in enumerate(self.plans)),
+        ]
         for prefix, part in parts:
             for item in fields(part):
                 value = getattr(part, item.name)
@@ -180,7 +183,7 @@
     first: float
     is_repeat: bool = False
     is_write: bool = False
-    is_coming: bool = False     # its body is still on its way and won't be held: see `BodyWhole`
+    is_coming: bool = False  # its body is still on its way and won't be held: see `BodyWhole`
 
 
 @dataclass(slots=True)
@@ -194,7 +197,7 @@
     metered: int = 0
     true_units: float = 0.0
     report: list[float] = field(default_factory=list)
-    is_held: bool = True    # the request's body is, so that it can be sent again
+    is_held: bool = True  # the request's body is, so that it can be sent again
 
 
 @dataclass(slots=True)
@@ -267,8 +270,21 @@
     part: float
 
 
-Event = (Roster | Request | BodyWhole | Outcome | StreamStarted | ClientGone | TimerDue | ProbeResult
-         | PeerMessage | CounterReply | Withdraw | Restore | Part)
+Event = (
+    Roster
+    | Request
+    | BodyWhole
+    | Outcome
+    | StreamStarted
+    | ClientGone
+    | TimerDue
+    | ProbeResult
+    | PeerMessage
+    | CounterReply
+    | Withdraw
+    | Restore
+    | Part
+)
 
 
 # Actions
@@ -348,5 +364,17 @@
     forget_after: float
 
 
-Action = (Send | Refuse | Fail | CancelAttempt | SetTimer | Probe | CloseIdle | Tell | Log | Subscribe
-          | FetchRoster | Count)
+Action = (
+    Send
+    | Refuse
+    | Fail
+    | CancelAttempt
+    | SetTimer
+    | Probe
+    | CloseIdle
+    | Tell
+    | Log
+    | Subscribe
+    | FetchRoster
+    | Count
+)
--- a/fennelpoint/net/backends.py
+++ b/fennelpoint/net/backends.py
@@ -27,11 +27,22 @@
 
 STALLED, STALLED_SHARE = 0.5, 0.25  # s with no byte amid an answer: no more will come; of the least aim
 OWN_SHORTAGE = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
-CONNECT_TIMEOUT = 0.25      # s, where the settings tell none
+CONNECT_TIMEOUT = 0.25  # s, where the settings tell none
 IDLE_SHARE, IDLE_MOST = 0.5, 30.0  # of the settings' idle time: well before the backend closes; s at most
 KEEP_ALIVE = re.compile(rb"timeout=(\d{1,6})")
-HOP_BY_HOP = frozenset((b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate",
-                        b"te", b"trailer", b"transfer-encoding", b"upgrade", b"content-length"))
+HOP_BY_HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+    )
+)
 
 
 @dataclass(slots=True)
@@ -58,7 +69,7 @@
         if answer.status in (503, 504) and (b"x-turned-away", b"1") in answer.headers:
             return Status.FULL
         if not whole:
-            return Status.CONNECT_FAILED    # it answers what it has not got whole, so it has not run
+            return Status.CONNECT_FAILED  # it answers what it has not got whole, so it has not run
         return Status.OK if answer.status == 200 else Status.ERROR
 
     def doubt(self, status: int, headers: list[tuple[bytes, bytes]], until_close: bool) -> str:
@@ -77,20 +88,36 @@
 class Exchange:
     """One request to one backend, from the wish to send it until its outcome."""
 
-    __slots__ = ("render", "done", "sent", "upload", "receiver", "connection", "connecting", "ended", "echo",
-                 "idle")
-
-    def __init__(self, render: Callable[[], bytes], done: Callable[[Status, Answer | None], None],
-                 sent: Callable[[], None] = lambda: None, upload: Upload | None = None,
-                 receiver: Receiver | None = None, echo: bytes | None = None,
-                 idle: tuple[float, float] | None = None) -> None:
-        self.echo = echo        # the id that its answer names, in dialects that have one
-        self.idle = idle        # s that a connection which is used again may have stood: least and most
-        self.render = render    # the bytes to send, made when they can be written
-        self.done = done        # told the outcome, once; with no answer where that was passed on in pieces
-        self.sent = sent        # told that the last byte is written
-        self.upload = upload    # what follows these bytes as it comes
-        self.receiver = receiver    # who takes an answer too large to hold
+    __slots__ = (
+        "render",
+        "done",
+        "sent",
+        "upload",
+        "receiver",
+        "connection",
+        "connecting",
+        "ended",
+        "echo",
+        "idle",
+    )
+
+    def __init__(
+        self,
+        render: Callable[[], bytes],
+        done: Callable[[Status, Answer | None], None],
+        sent: Callable[[], None] = lambda: None,
+        upload: Upload | None = None,
+        receiver: Receiver | None = None,
+        echo: bytes | None = None,
+        idle: tuple[float, float] | None = None,
+    ) -> None:
+        self.echo = echo  # the id that its answer names, in dialects that have one
+        self.idle = idle  # s that a connection which is used again may have stood: least and most
+        self.render = render  # the bytes to send, made when they can be written
+        self.done = done  # told the outcome, once; with no answer where that was passed on in pieces
+        self.sent = sent  # told that the last byte is written
+        self.upload = upload  # what follows these bytes as it comes
+        self.receiver = receiver  # who takes an answer too large to hold
         self.connection: UpstreamConnection | None = None
         self.connecting: asyncio.Task | None = None
         self.ended = False
@@ -125,7 +152,7 @@
     started: float
     state: BackendState
     idle: list[UpstreamConnection] = field(default_factory=list)  # the most recently used last
-    retired: bool = False   # replaced by a newer start or address: nothing is to be reused
+    retired: bool = False  # replaced by a newer start or address: nothing is to be reused
     withdrawn: bool = False  # taken out by an operator
 
     @property
@@ -136,11 +163,43 @@
 class UpstreamConnection(asyncio.BufferedProtocol):
     """A kept-alive connection that carries one exchange at a time."""
 
-    __slots__ = ("pool", "upstream", "transport", "exchange", "first", "parser", "flushed", "finished",
-                 "idle_since", "poll", "status", "headers", "length", "in_head", "until_close", "body",
-                 "body_size", "counted", "size", "complete", "excess", "keep", "closed", "heard", "moved",
-                 "doubt", "begun", "passing", "reading", "waiting", "alien", "tainted", "used", "lasts",
-                 "__weakref__")
+    __slots__ = (
+        "pool",
+        "upstream",
+        "transport",
+        "exchange",
+        "first",
+        "parser",
+        "flushed",
+        "finished",
+        "idle_since",
+        "poll",
+        "status",
+        "headers",
+        "length",
+        "in_head",
+        "until_close",
+        "body",
+        "body_size",
+        "counted",
+        "size",
+        "complete",
+        "excess",
+        "keep",
+        "closed",
+        "heard",
+        "moved",
+        "doubt",
+        "begun",
+        "passing",
+        "reading",
+        "waiting",
+        "alien",
+        "tainted",
+        "used",
+        "lasts",
+        "__weakref__",
+    )
 
     def __init__(self, pool: Backends, upstream: Upstream, first: Exchange) -> None:
         self.pool, self.upstream, self.first = pool, upstream, first
@@ -149,10 +208,10 @@
         self.parser = httptools.HttpResponseParser(self)
         self.flushed = self.finished = self.reading = True
         self.closed, self.idle_since = False, 0.0
-        self.alien = self.tainted = False   # the answer at hand is to a request that was over; one was
-        self.used = False       # another request was answered here before
-        self.lasts = math.inf   # s that the backend keeps it open unused, by its word
-        self.waiting: Waiting | None = None     # what an upload has waiting here
+        self.alien = self.tainted = False  # the answer at hand is to a request that was over; one was
+        self.used = False  # another request was answered here before
+        self.lasts = math.inf  # s that the backend keeps it open unused, by its word
+        self.waiting: Waiting | None = None  # what an upload has waiting here
         self.counted = 0
         self._reset()
 
@@ -249,12 +308,12 @@
     # The answer.
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        return self.pool.budget.buffer[:self.pool.budget.piece()]
+        return self.pool.budget.buffer[: self.pool.budget.piece()]
 
     def buffer_updated(self, count: int) -> None:
         data = bytes(self.pool.budget.buffer[:count])
         if self.exchange is None:
-            return self.close()     # unasked: an answer to nothing
+            return self.close()  # unasked: an answer to nothing
         self.size += count
         try:
             self.parser.feed_data(data)
@@ -263,7 +322,7 @@
                 return self._spoilt(f"can't be read ({error})")
             self.excess = True
         if self.exchange is None:
-            return      # given up by who took the answer
+            return  # given up by who took the answer
         if self.complete and not self.doubt:
             self._answered()
         elif self.doubt:
@@ -282,7 +341,7 @@
         self.excess, self.begun = self.excess or self.complete, True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if self.in_head and not self.complete:      # else a trailer: too late to count
+        if self.in_head and not self.complete:  # else a trailer: too late to count
             self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
@@ -313,7 +372,7 @@
             return
         self.body_size += len(body)
         if self.body_size > flow.MOST_LARGE:
-            self.doubt = "is too large"     # guards the client: one that never ends
+            self.doubt = "is too large"  # guards the client: one that never ends
         elif self.passing:
             self.exchange.receiver.piece(body)
         else:
@@ -344,11 +403,11 @@
         if self.complete:
             return
         if self.alien:
-            self.alien = False          # the answer that counts may follow
+            self.alien = False  # the answer that counts may follow
             self.headers, self.in_head, self.begun, self.heard = [], True, False, 0.0
         elif 100 <= self.status < 200:
-            self.headers.clear()    # an interim answer; the one that counts follows
-            self.in_head, self.begun, self.heard = True, False, 0.0     # which may take its time
+            self.headers.clear()  # an interim answer; the one that counts follows
+            self.in_head, self.begun, self.heard = True, False, 0.0  # which may take its time
         else:
             # Asked here, as the parser has forgotten it once it returns: guards the reuse of connections.
             self.complete, self.keep = True, self.parser.should_keep_alive()
@@ -367,8 +426,14 @@
         for name, value in self.headers:
             if name == b"keep-alive" and (told := KEEP_ALIVE.search(value)):
                 self.lasts = IDLE_SHARE * int(told[1])
-        if (self.excess or self.tainted or not whole or not self.keep or self.until_close
-                or not self.upstream.open):
+        if (
+            self.excess
+            or self.tainted
+            or not whole
+            or not self.keep
+            or self.until_close
+            or not self.upstream.open
+        ):
             self.close()
         else:
             self.read_on(True)
@@ -400,8 +465,11 @@
 
     def stalled(self) -> None:
         """Guards the request's time: a length over what was sent would hold it until its deadline."""
-        if (self.exchange is not None and not self.passing
-                and 0.0 < self.heard <= time.monotonic() - 0.99 * self.pool.stalled):
+        if (
+            self.exchange is not None
+            and not self.passing
+            and 0.0 < self.heard <= time.monotonic() - 0.99 * self.pool.stalled
+        ):
             self._spoilt("does not come whole")
 
     def overdue(self, now: float) -> None:
@@ -439,8 +507,16 @@
 class Backends:
     """The connections to every backend that discovery has named, within one bound."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, most: int, connect_timeout: float,
-                 idle_close: float, aim: float, budget: Budget, dialect: Dialect | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        most: int,
+        connect_timeout: float,
+        idle_close: float,
+        aim: float,
+        budget: Budget,
+        dialect: Dialect | None = None,
+    ) -> None:
         self.loop, self.most, self.budget = loop, most, budget
         self.dialect = dialect or Dialect()
         # Soon against the aim: guards the time that another attempt needs.
@@ -449,9 +525,9 @@
         self.idle_most = min(IDLE_MOST, idle_close * IDLE_SHARE) if idle_close else IDLE_MOST
         self.upstreams: dict[str, Upstream] = {}
         self.all: set[UpstreamConnection] = set()
-        self.flowing: set[UpstreamConnection] = set()   # with a large body on its way
+        self.flowing: set[UpstreamConnection] = set()  # with a large body on its way
         self.connecting: dict[asyncio.Task, Exchange] = {}
-        self.withdrawn: set[str] = set()    # ids that operators took out
+        self.withdrawn: set[str] = set()  # ids that operators took out
 
     def follow(self, roster: Roster, addresses: dict[str, tuple[str, int]]) -> None:
         """Take in what discovery told: a new start or address gets connections of its own."""
@@ -473,8 +549,9 @@
                 continue
             if old is not None:
                 self._retire(old)
-            self.upstreams[entry.backend] = Upstream(host, port, entry.started_at, entry.state,
-                                                     withdrawn=entry.backend in self.withdrawn)
+            self.upstreams[entry.backend] = Upstream(
+                host, port, entry.started_at, entry.state, withdrawn=entry.backend in self.withdrawn
+            )
 
     def withdraw(self, backend: str) -> None:
         """Nothing more goes there, not even what is about to: its idle connections are closed."""
@@ -500,7 +577,7 @@
             return exchange.end(Status.CONNECT_FAILED)
         now = time.monotonic()
         least, most = exchange.idle or (0.0, self.idle_most)
-        for connection in reversed(list(upstream.idle)):    # the one used last first
+        for connection in reversed(list(upstream.idle)):  # the one used last first
             idle = now - connection.idle_since
             if idle > min(self.idle_most, connection.lasts) or connection.stale():
                 connection.close()
@@ -514,8 +591,11 @@
         self._connect(upstream, exchange)
 
     def _connect(self, upstream: Upstream, exchange: Exchange) -> None:
-        task = self.loop.create_task(self.loop.create_connection(
-            lambda: UpstreamConnection(self, upstream, exchange), upstream.host, upstream.port))
+        task = self.loop.create_task(
+            self.loop.create_connection(
+                lambda: UpstreamConnection(self, upstream, exchange), upstream.host, upstream.port
+            )
+        )
         exchange.connecting, self.connecting[task] = task, exchange
         timer = self.loop.call_later(self.connect_timeout, task.cancel)
 
--- a/fennelpoint/net/counter.py
+++ b/fennelpoint/net/counter.py
@@ -17,11 +17,11 @@
 from fennelpoint.interface import CounterReply, Status
 from fennelpoint.net.notice import complain
 
-CALL_TIMEOUT = 0.05     # s, where the settings tell none
+CALL_TIMEOUT = 0.05  # s, where the settings tell none
 CONNECT_TIMEOUT = 0.25  # s
-SILENT = 4.0            # time-outs without an answer that is due: the line is dead, though it looks open
-IDLE = 3.0              # s after which it is closed from here, before the counter does
-PAUSE = 0.1             # s between two connects where the last failed
+SILENT = 4.0  # time-outs without an answer that is due: the line is dead, though it looks open
+IDLE = 3.0  # s after which it is closed from here, before the counter does
+PAUSE = 0.1  # s between two connects where the last failed
 MOST_LINE, MOST_CALLS = 256, 10_000  # bytes without a line's end; calls on the line
 
 Tell = Callable[[CounterReply], None]
@@ -32,7 +32,7 @@
     name: int
     line: bytes
     at: float
-    tell: Tell | None       # none once the caller knows how it ended
+    tell: Tell | None  # none once the caller knows how it ended
 
     def end(self, status: Status, total: float = 0.0) -> None:
         if (tell := self.tell) is not None:
@@ -55,7 +55,7 @@
         self.connecting: asyncio.Task | None = None
         self.not_before = 0.0
         self.unsent: deque[Call] = deque()
-        self.told: deque[Call] = deque()        # all calls in their order, to end those in time
+        self.told: deque[Call] = deque()  # all calls in their order, to end those in time
         self.timer: asyncio.TimerHandle | None = None
 
     def call(self, name: int, amount: float, forget_after: float, tell: Tell) -> None:
@@ -66,7 +66,7 @@
             return call.end(Status.CONNECT_FAILED)
         if (self.line is None or self.line.address != (self.host, self.port)) and self.connecting is None:
             self._connect()
-        if self.line is None and self.connecting is None:   # it failed just now: the caller needn't wait
+        if self.line is None and self.connecting is None:  # it failed just now: the caller needn't wait
             return call.end(Status.CONNECT_FAILED)
         self.told.append(call)
         if self.timer is None:
@@ -94,8 +94,9 @@
         if time.monotonic() < self.not_before:
             return
         address = (self.host, self.port)
-        task = self.connecting = self.loop.create_task(self.loop.create_connection(
-            lambda: CounterLine(self, address), *address))
+        task = self.connecting = self.loop.create_task(
+            self.loop.create_connection(lambda: CounterLine(self, address), *address)
+        )
         timer = self.loop.call_later(CONNECT_TIMEOUT, task.cancel)
 
         def connected(task: asyncio.Task) -> None:
@@ -177,16 +178,16 @@
 
     def __init__(self, counter: Counter, address: tuple[str, int]) -> None:
         self.counter, self.address = counter, address
-        self.left = False       # closed with the answer to its last call
+        self.left = False  # closed with the answer to its last call
         self.calls: deque[Call] = deque()
         self.rest = b""
-        self.paused = False     # the last call is not written whole; none may follow it yet
+        self.paused = False  # the last call is not written whole; none may follow it yet
         self.heard = self.used = time.monotonic()
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        transport.set_write_buffer_limits(high=0)   # so that pausing tells what is not written
+        transport.set_write_buffer_limits(high=0)  # so that pausing tells what is not written
         self.counter.up(self)
 
     def pause_writing(self) -> None:
@@ -222,7 +223,7 @@
         except ValueError:
             total = math.nan
         if not math.isfinite(total) or word not in (b"ok", b"busy", b"error"):
-            call.end(Status.TIMEOUT)    # it may have been added
+            call.end(Status.TIMEOUT)  # it may have been added
             return False
         call.end({b"ok": Status.OK, b"busy": Status.FULL}.get(word, Status.CONNECT_FAILED), total)
         return True
--- a/fennelpoint/net/discovery.py
+++ b/fennelpoint/net/discovery.py
@@ -17,15 +17,18 @@
 from fennelpoint import interface as api
 from fennelpoint.net.notice import complain
 
-HOLD = 2.0              # s that a watch may wait: short, so that a dead connection is noticed soon
-SLACK = 1.0             # s over that until the answer is given up; for one that needn't wait, all there is
+HOLD = 2.0  # s that a watch may wait: short, so that a dead connection is noticed soon
+SLACK = 1.0  # s over that until the answer is given up; for one that needn't wait, all there is
 BACKOFF, BACKOFF_MOST = 0.1, 1.0  # s before asking again after a failure, doubling up to
-JITTER = (0.5, 1.0)     # of a wait: between these at random, so that ingresses don't call in step
-APART = 0.25            # s between two calls of the fleet, where one discovery serves all
-ASKED_ANEW = 4          # times the time between asks that a failed call counts for
+JITTER = (0.5, 1.0)  # of a wait: between these at random, so that ingresses don't call in step
+APART = 0.25  # s between two calls of the fleet, where one discovery serves all
+ASKED_ANEW = 4  # times the time between asks that a failed call counts for
 MOST_LIST = 8 * 1024 * 1024  # bytes of a list
-STATES = {"up": api.BackendState.READY, "draining": api.BackendState.DRAINING,
-          "removed": api.BackendState.GONE}
+STATES = {
+    "up": api.BackendState.READY,
+    "draining": api.BackendState.DRAINING,
+    "removed": api.BackendState.GONE,
+}
 
 Address = tuple[str, int]
 
@@ -64,8 +67,9 @@
     return names.index(value) if value in names else len(names)
 
 
-def parse_member(value: object, settings: api.Settings,
-                 where: str) -> tuple[api.BackendEntry, Address | None]:
+def parse_member(
+    value: object, settings: api.Settings, where: str
+) -> tuple[api.BackendEntry, Address | None]:
     """One backend of a list."""
     if not isinstance(value, dict):
         raise ListError(f"{where} is not an object")
@@ -75,17 +79,25 @@
     if not isinstance(phase, str) or phase not in STATES:
         raise ListError(f"{where}.phase: {phase!r} is none of {', '.join(STATES)}")
     state = STATES[phase]
-    gone = state is api.BackendState.GONE   # its other fields are of no use any more
+    gone = state is api.BackendState.GONE  # its other fields are of no use any more
     address = None if gone else parse_address(value.get("host_port"), f"{where}.host_port")
     started = 0.0 if gone else _figure(value.get("up_since_ms", 0), f"{where}.up_since_ms") / 1000.0
     weight = 1.0 if gone else _figure(value.get("size", 1.0), f"{where}.size")
     cell = 0 if gone else int(_figure(value.get("cell", 0), f"{where}.cell"))
-    return api.BackendEntry(name, state, started, _index(settings.zones, value.get("locality")), cell,
-                            _index(settings.kinds, value.get("flavor")), weight), address
-
-
-def parse_list(value: object, settings: api.Settings, known: dict[str, Address] | None = None,
-               where: str = "list") -> Listing:
+    return api.BackendEntry(
+        name,
+        state,
+        started,
+        _index(settings.zones, value.get("locality")),
+        cell,
+        _index(settings.kinds, value.get("flavor")),
+        weight,
+    ), address
+
+
+def parse_list(
+    value: object, settings: api.Settings, known: dict[str, Address] | None = None, where: str = "list"
+) -> Listing:
     """A list or its changes; a member that can't be read leaves the backend as it was known."""
     if not isinstance(value, dict):
         raise ListError(f"{where} is not an object")
@@ -103,7 +115,7 @@
         except ListError as error:
             name = member.get("id") if isinstance(member, dict) else None
             if complete and isinstance(name, str) and name in (known or {}):
-                raise   # dropped from a whole list it would count as gone
+                raise  # dropped from a whole list it would count as gone
             complain("discovery", "left out: %s", error)
             continue
         entries[entry.backend] = entry
@@ -116,8 +128,14 @@
 class Discovery(asyncio.Protocol):
     """The watch on discovery, over one connection at a time."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, address: Address, settings: api.Settings,
-                 follow: Callable[[api.Roster, dict[str, Address]], None], seed: int) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        address: Address,
+        settings: api.Settings,
+        follow: Callable[[api.Roster, dict[str, Address]], None],
+        seed: int,
+    ) -> None:
         self.loop, self.address, self.settings, self.follow = loop, address, settings, follow
         self.random, self.hold, self.patience, self.first_in = Random(seed), HOLD, SLACK, 0.0
         self.backoff_least, self.backoff_most = BACKOFF, BACKOFF_MOST
@@ -128,7 +146,7 @@
             self.hold, self.patience = max(HOLD, settings.ask_every), HOLD + SLACK
             self.backoff_most = max(BACKOFF_MOST, self.first_in, ASKED_ANEW * settings.ask_every)
         self.known: dict[str, Address] = {}
-        self.revision: int | None = None    # of the last list from discovery itself
+        self.revision: int | None = None  # of the last list from discovery itself
         self.backoff = self.backoff_least
         self.stopped = False
         self.transport: asyncio.Transport | None = None
@@ -180,7 +198,8 @@
         self.timer = self.loop.call_later(wait + self.patience, self._failed, "does not answer")
         if self.transport is None:
             task = self.connecting = self.loop.create_task(
-                self.loop.create_connection(lambda: self, *self.address))
+                self.loop.create_connection(lambda: self, *self.address)
+            )
             task.add_done_callback(self._connected)
             return
         self.body, self.size, self.complete = [], 0, False
@@ -242,11 +261,11 @@
         if not self.keep:
             transport, self.transport = self.transport, None
             transport.abort()
-        self._ask()     # first: a watch lapses when the next call is late
+        self._ask()  # first: a watch lapses when the next call is late
         if news:
             self.take(listing)
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.transport is not None:      # else it was left on purpose
+        if self.transport is not None:  # else it was left on purpose
             self.transport = None
             self._failed("closed the connection")
--- a/fennelpoint/net/flow.py
+++ b/fennelpoint/net/flow.py
@@ -9,15 +9,15 @@
 from collections.abc import Callable
 from typing import Protocol
 
-HELD = 64 * 1024        # bytes of a body that are held, so that it can be sent again or checked whole
-MOST_LARGE = 32 * 1024 * 1024   # bytes of any body
+HELD = 64 * 1024  # bytes of a body that are held, so that it can be sent again or checked whole
+MOST_LARGE = 32 * 1024 * 1024  # bytes of any body
 PIECE, SMALL_PIECE = 64 * 1024, 4 * 1024  # bytes read at a time; with little room left
 MEGABYTE = 1024 * 1024
 PROCESS = 20 * MEGABYTE  # what a process needs without any bodies; there may be two
 USED, LEAST = 0.75, 2 * MEGABYTE  # of what is left, for the loop and the parsers have copies; at the least
-FRAMING = 16            # bytes of framing that may come with one of the body, as in chunks of a byte each
+FRAMING = 16  # bytes of framing that may come with one of the body, as in chunks of a byte each
 MOST_OVERHEAD = 128 * 1024  # and without any: heads, trailers, extensions of chunks
-STALLED = 5.0           # s without a byte read or written, after which the peer of a large body is given up
+STALLED = 5.0  # s without a byte read or written, after which the peer of a large body is given up
 
 
 class Budget:
@@ -74,10 +74,11 @@
 
     __slots__ = ("budget", "read_on", "length", "held", "size", "whole", "sink", "on_whole")
 
-    def __init__(self, budget: Budget, length: int | None, read_on: Callable[[bool], None],
-                 pieces: list[bytes]) -> None:
+    def __init__(
+        self, budget: Budget, length: int | None, read_on: Callable[[bool], None], pieces: list[bytes]
+    ) -> None:
         self.budget = budget
-        self.length = length    # none where it comes in chunks
+        self.length = length  # none where it comes in chunks
         self.read_on = read_on  # tells the client's side whether to read
         self.held: list[bytes] | None = pieces  # all that came; none once a part was passed on
         self.size = sum(map(len, pieces))
--- a/fennelpoint/net/handover.py
+++ b/fennelpoint/net/handover.py
@@ -17,7 +17,7 @@
 
 from fennelpoint.net.notice import complain, log
 
-MOST_BANS = 1024 * 1024     # bytes of the file of bans; a larger one is none of ours
+MOST_BANS = 1024 * 1024  # bytes of the file of bans; a larger one is none of ours
 
 
 class State(Enum):
@@ -33,7 +33,7 @@
 
     def __init__(self, folder: str | None, name: str) -> None:
         self.folder = Path(folder) if folder else None
-        self.name = quote(name, safe="")    # it may hold anything, a slash too
+        self.name = quote(name, safe="")  # it may hold anything, a slash too
         self.own: Path | None = None
         self.lock: int | None = None
         self.bans_seen: tuple[int, int, int] | None = None  # which file of bans was read last
@@ -56,7 +56,7 @@
             return
         try:
             os.pwrite(self.lock, state.value.encode(), 0)
-        except OSError as error:    # a stop goes on whatever becomes of its file
+        except OSError as error:  # a stop goes on whatever becomes of its file
             log.warning("other processes will not see that this one %s: %s", state.name.lower(), error)
 
     def others(self) -> list[State]:
@@ -65,8 +65,11 @@
             return []
         found = []
         try:
-            paths = [p for p in self.folder.iterdir() if p.suffix == ".alive" and p != self.own
-                     and p.name.rsplit(".", 2)[0] == self.name]
+            paths = [
+                p
+                for p in self.folder.iterdir()
+                if p.suffix == ".alive" and p != self.own and p.name.rsplit(".", 2)[0] == self.name
+            ]
         except OSError as error:
             complain("handover", "%s can't be read: %s", self.folder, error)
             return []
@@ -76,9 +79,9 @@
                     if _locked(file.fileno()):
                         found.append(_state(file.read(16)))
                     else:
-                        path.unlink(missing_ok=True)    # its process is gone
+                        path.unlink(missing_ok=True)  # its process is gone
             except OSError:
-                continue    # it went just now
+                continue  # it went just now
         return found
 
     # Bans
--- a/fennelpoint/net/host.py
+++ b/fennelpoint/net/host.py
@@ -62,9 +62,9 @@
     first: float
     is_repeat: bool
     is_write: bool
-    head: bytes     # request line and end-to-end fields, without the time left
+    head: bytes  # request line and end-to-end fields, without the time left
     body: bytes
-    upload: Upload | None = None    # in place of the body, where that is too large to hold
+    upload: Upload | None = None  # in place of the body, where that is too large to hold
 
     def render(self, left: float) -> bytes:
         """The bytes for a backend that is waited for this many seconds."""
@@ -77,13 +77,13 @@
 
     id: int
     asked: Asked
-    client: Client | None   # none once it is answered or gone
+    client: Client | None  # none once it is answered or gone
     deadline: float
     timer: asyncio.TimerHandle | None = None
     attempts: int = 0
     out: dict[int, Exchange] = field(default_factory=dict)
     passing: Passing | None = None  # its large answer, on the way to the client
-    coming: bool = False    # its body is on its way still
+    coming: bool = False  # its body is on its way still
 
 
 @dataclass(slots=True, eq=False)
@@ -95,14 +95,14 @@
     number: int
     backend: str
     sent_at: float
-    timer: asyncio.TimerHandle | None = None    # of the attempt
-    latency: float = 0.0    # of the first bytes
+    timer: asyncio.TimerHandle | None = None  # of the attempt
+    latency: float = 0.0  # of the first bytes
     head: Answer | None = None
 
     def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None:
         self.latency, self.ticket.passing = self.host.clock() - self.sent_at, self
         self.head = Answer(answer.status, answer.headers, b"")
-        for timer in (self.timer, self.ticket.timer):   # what was to come in time has
+        for timer in (self.timer, self.ticket.timer):  # what was to come in time has
             if timer is not None:
                 timer.cancel()
         self.ticket.client.begin(answer, length, source)
@@ -116,27 +116,40 @@
 class Host:
     """Drives the module from socket events and its actions back to the sockets."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: api.Settings, seed: int,
-                 backends: Backends, counter: Counter | None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        settings: api.Settings,
+        seed: int,
+        backends: Backends,
+        counter: Counter | None,
+    ) -> None:
         self.loop, self.settings, self.backends, self.counter = loop, settings, backends, counter
         self.clock = Clock()
         self.figures = Figures(c.name for c in settings.classes)
         self.tickets: dict[int, Ticket] = {}
-        self.open_ids: set[bytes] = set()   # of the tickets, as the clients named them
-        self.waiting = 0        # requests without an answer yet
-        self.coming = 0         # those among them that have not come whole
+        self.open_ids: set[bytes] = set()  # of the tickets, as the clients named them
+        self.waiting = 0  # requests without an answer yet
+        self.coming = 0  # those among them that have not come whole
         self.last_id = 0
-        self.part = 1.0         # of the ingress's allowances that this process may use
-        self.ready = False      # whether there is a list to go by
+        self.part = 1.0  # of the ingress's allowances that this process may use
+        self.ready = False  # whether there is a list to go by
         self._events: deque[api.Event] = deque()
         self._delivering = False
         self._do: dict[type, Callable] = {
-            api.Send: self._send, api.Refuse: self._refuse, api.Fail: self._fail,
-            api.CancelAttempt: self._cancel, api.SetTimer: self._set_timer, api.Probe: self._probe,
-            api.Count: self._count, api.CloseIdle: lambda a: self.backends.close_idle(a.backend),
+            api.Send: self._send,
+            api.Refuse: self._refuse,
+            api.Fail: self._fail,
+            api.CancelAttempt: self._cancel,
+            api.SetTimer: self._set_timer,
+            api.Probe: self._probe,
+            api.Count: self._count,
+            api.CloseIdle: lambda a: self.backends.close_idle(a.backend),
             api.Log: lambda a: log.info("%s", a.text),
             # The watch on discovery never ends and asks for the whole list after a gap by itself.
-            api.Subscribe: lambda a: None, api.FetchRoster: lambda a: None}
+            api.Subscribe: lambda a: None,
+            api.FetchRoster: lambda a: None,
+        }
         self.controller = Controller(settings, seed, self.clock())
         self._carry_out(self.controller.start(self.clock()))
 
@@ -219,8 +232,21 @@
             asked.upload.on_whole = lambda: self._whole(ticket)
         else:
             self._time(ticket)
-        self.post(api.Request(ticket.id, asked.cls, asked.plan, asked.customer, asked.time_left, asked.units,
-                              asked.width, asked.first, asked.is_repeat, asked.is_write, coming))
+        self.post(
+            api.Request(
+                ticket.id,
+                asked.cls,
+                asked.plan,
+                asked.customer,
+                asked.time_left,
+                asked.units,
+                asked.width,
+                asked.first,
+                asked.is_repeat,
+                asked.is_write,
+                coming,
+            )
+        )
         return ticket.id
 
     def _time(self, ticket: Ticket) -> None:
@@ -273,8 +299,11 @@
 
     def _finish_failed(self, ticket: Ticket) -> None:
         # What has begun to go out can only be broken off: another answer would look like a part of it.
-        self._finish(ticket, self.figures.errored,
-                     lambda client: client.broken() if ticket.passing else client.failed())
+        self._finish(
+            ticket,
+            self.figures.errored,
+            lambda client: client.broken() if ticket.passing else client.failed(),
+        )
 
     def _forget(self, ticket: Ticket) -> None:
         if ticket.client is None and not ticket.out and self.tickets.pop(ticket.id, None) is not None:
@@ -302,10 +331,25 @@
         ticket, now = self.tickets.get(send.request), self.clock()
         number = ticket.attempts if ticket is not None else 0
         upload = ticket.asked.upload if ticket is not None else None
-        if (ticket is None or ticket.client is None or now >= ticket.deadline or send.timeout < 0.0
-                or number >= self.settings.max_attempts or upload is not None and upload.held is None):
-            return self.post(api.Outcome(send.request, number, send.backend, api.Status.MOOT, 0.0,
-                                         ticket is None or ticket.client is None))
+        if (
+            ticket is None
+            or ticket.client is None
+            or now >= ticket.deadline
+            or send.timeout < 0.0
+            or number >= self.settings.max_attempts
+            or upload is not None
+            and upload.held is None
+        ):
+            return self.post(
+                api.Outcome(
+                    send.request,
+                    number,
+                    send.backend,
+                    api.Status.MOOT,
+                    0.0,
+                    ticket is None or ticket.client is None,
+                )
+            )
         ticket.attempts += 1
         until = min(ticket.deadline, now + send.timeout) if send.timeout else ticket.deadline
         asked, passing = ticket.asked, Passing(self, ticket, number, send.backend, now)
@@ -324,9 +368,18 @@
             elif status is api.Status.OK:
                 self._finish(ticket, self.figures.answered, lambda client: client.served(answer))
             self._forget(ticket)
-            self.post(api.Outcome(send.request, number, send.backend, status, latency, ticket.client is None,
-                                  report=self._report(answer or passing.head),
-                                  is_held=upload is None or upload.held is not None))
+            self.post(
+                api.Outcome(
+                    send.request,
+                    number,
+                    send.backend,
+                    status,
+                    latency,
+                    ticket.client is None,
+                    report=self._report(answer or passing.head),
+                    is_held=upload is None or upload.held is not None,
+                )
+            )
 
         def sent() -> None:
             self.figures.sends[asked.cls] += 1
@@ -338,7 +391,7 @@
 
         exchange = Exchange(render, done, sent, upload, passing)
         ticket.out[number] = exchange
-        if until < ticket.deadline:     # else the request's own timer ends it
+        if until < ticket.deadline:  # else the request's own timer ends it
             passing.timer = self.loop.call_later(until - now, exchange.give_up, api.Status.TIMEOUT)
         self.backends.begin(exchange, send.backend)
 
@@ -365,7 +418,7 @@
         self.loop.call_later(timer.delay, self._ring, self.clock() + timer.delay, timer.token)
 
     def _ring(self, at: float, token: int) -> None:
-        if (left := at - self.clock()) > EARLY:     # the loop counts in whole milliseconds
+        if (left := at - self.clock()) > EARLY:  # the loop counts in whole milliseconds
             self.loop.call_later(left, self._ring, at, token)
         else:
             self.post(api.TimerDue(token))
@@ -375,8 +428,11 @@
 
         def done(status: api.Status, answer: Answer | None) -> None:
             timer.cancel()
-            report = load_report(answer.body, self.settings.report_fields) if (
-                status is api.Status.OK and self.settings.report_via != "none") else []
+            report = (
+                load_report(answer.body, self.settings.report_fields)
+                if (status is api.Status.OK and self.settings.report_via != "none")
+                else []
+            )
             self.post(api.ProbeResult(probe.backend, status, self.clock() - sent, report))
 
         exchange = Exchange(lambda: b"GET /status/load HTTP/1.1\r\nHost: app.svc\r\n\r\n", done)
--- a/fennelpoint/net/notice.py
+++ b/fennelpoint/net/notice.py
@@ -8,7 +8,7 @@
 from logging.handlers import QueueHandler, QueueListener
 from queue import Full, Queue
 
-EVERY = 1.0     # s between complaints of one part; what comes sooner is only counted
+EVERY = 1.0  # s between complaints of one part; what comes sooner is only counted
 WAITING = 1000  # lines that may wait for a slow reader; what comes on top is dropped
 
 log = logging.getLogger("fennelpoint")
--- a/fennelpoint/net/operators.py
+++ b/fennelpoint/net/operators.py
@@ -14,13 +14,21 @@
 from fennelpoint.net import figures
 from fennelpoint.net.notice import log
 
-MOST_CALLERS = 16       # connections at a time; those that say nothing stay for seconds
-CALL_TIMEOUT = 2.0      # s for a call to come whole, and for its caller to leave after the answer
-MOST_CALL = 16 * 1024   # bytes of a call
+MOST_CALLERS = 16  # connections at a time; those that say nothing stay for seconds
+CALL_TIMEOUT = 2.0  # s for a call to come whole, and for its caller to leave after the answer
+MOST_CALL = 16 * 1024  # bytes of a call
 SERVERS = "/v1/menu-servers/"
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed", 408: "Request Timeout",
-           409: "Conflict", 413: "Content Too Large", 500: "Internal Server Error",
-           503: "Service Unavailable"}
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    409: "Conflict",
+    413: "Content Too Large",
+    500: "Internal Server Error",
+    503: "Service Unavailable",
+}
 
 Reply = tuple[int, str]
 
@@ -54,7 +62,7 @@
 
     def data_received(self, data: bytes) -> None:
         if self.answered:
-            return      # one call for each connection
+            return  # one call for each connection
         self.size += len(data)
         try:
             self.parser.feed_data(data)
@@ -80,8 +88,11 @@
             return
         self.answered = True
         body = text if isinstance(text, bytes) else text.encode()
-        self.transport.write(f"HTTP/1.1 {status} {REASONS[status]}\r\n{fields}Content-Length: {len(body)}\r\n"
-                             "Connection: close\r\n\r\n".encode() + body)
+        self.transport.write(
+            f"HTTP/1.1 {status} {REASONS[status]}\r\n{fields}Content-Length: {len(body)}\r\n"
+            "Connection: close\r\n\r\n".encode()
+            + body
+        )
         self.transport.write_eof()
 
     def _late(self) -> None:
@@ -97,7 +108,7 @@
         self.timer.cancel()
         self.operators.callers.pop(self, None)
         self.answered = True
-        self.parser = None      # parser and protocol hold each other, and collections are rare
+        self.parser = None  # parser and protocol hold each other, and collections are rare
 
 
 class Operators:
@@ -107,14 +118,18 @@
         self.loop, self.calls = loop, calls
         self.callers: dict[Caller, None] = {}
         self.listener: asyncio.Server | None = None
-        self.fixed = {"/v1/readyz": ("GET", self._readyz), "/v1/metrics": ("GET", self._metrics),
-                      "/v1/ingress/drain": ("POST", lambda: self._order(calls.drain(), "drain")),
-                      "/v1/ingress/activate": ("POST", lambda: self._order(calls.activate(), "activate"))}
+        self.fixed = {
+            "/v1/readyz": ("GET", self._readyz),
+            "/v1/metrics": ("GET", self._metrics),
+            "/v1/ingress/drain": ("POST", lambda: self._order(calls.drain(), "drain")),
+            "/v1/ingress/activate": ("POST", lambda: self._order(calls.activate(), "activate")),
+        }
         self.of_servers = {"suspend": calls.suspend, "resume": calls.resume}
 
     async def listen(self, address: tuple[str, int]) -> None:
         self.listener = await self.loop.create_server(
-            lambda: Caller(self), *address, backlog=128, reuse_address=True)
+            lambda: Caller(self), *address, backlog=128, reuse_address=True
+        )
 
     def stand(self, caller: Caller) -> None:
         """Take one in; beyond the cap the oldest goes, as only those that say nothing stand for long."""
--- a/fennelpoint/net/reader.py
+++ b/fennelpoint/net/reader.py
@@ -14,11 +14,23 @@
 
 MOST_LEFT_MS = 600_000  # ms; a longer wait is not meant
 MOST_CUSTOMER = 1 << 33
-MOST_TERMS = 128        # bytes
+MOST_TERMS = 128  # bytes
 ID = re.compile(rb"[!-~]{1,128}")
 ACCOUNT = re.compile(rb"account=[0-9a-f]{16}")
-ROUTING = frozenset((b"x-txn", b"x-lane", b"api-plan", b"x-remaining-ms", b"api-terms", b"cookie", b"host",
-                     b"content-length", b"transfer-encoding", b"x-resent"))
+ROUTING = frozenset(
+    (
+        b"x-txn",
+        b"x-lane",
+        b"api-plan",
+        b"x-remaining-ms",
+        b"api-terms",
+        b"cookie",
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+        b"x-resent",
+    )
+)
 NOT_PASSED_ON = HOP_BY_HOP | {b"expect", b"x-remaining-ms"}
 
 
@@ -31,12 +43,18 @@
         self.settings = settings
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): i for i, p in enumerate(settings.plans)}
-        self.terms = lru_cache(1024)(self._terms)   # few are ever told apart
+        self.terms = lru_cache(1024)(self._terms)  # few are ever told apart
 
-    def read(self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]],
-             body: bytes | Upload) -> Asked:
-        found, lines = sort_fields(method + b" " + url + b" HTTP/1.1", headers, ROUTING, NOT_PASSED_ON,
-                                   frozenset((b"x-txn", b"host")))
+    def read(
+        self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes | Upload
+    ) -> Asked:
+        found, lines = sort_fields(
+            method + b" " + url + b" HTTP/1.1",
+            headers,
+            ROUTING,
+            NOT_PASSED_ON,
+            frozenset((b"x-txn", b"host")),
+        )
         self._needed(found, b"host")
         txn = self._needed(found, b"x-txn")
         if ID.fullmatch(txn) is None:
@@ -58,12 +76,25 @@
         upload = body if isinstance(body, Upload) else None
         length = len(body) if upload is None else upload.length
         if not safe:
-            lines.append(b"content-length: %d" % length if length is not None else
-                         b"transfer-encoding: chunked")
+            lines.append(
+                b"content-length: %d" % length if length is not None else b"transfer-encoding: chunked"
+            )
         customer = self._customer(self._needed(found, b"cookie"))
-        return Asked(txn, cls, plan, customer, int(left) / 1000.0, units, width, first,
-                     found.get(b"x-resent") == b"1", not safe, b"\r\n".join(lines) + b"\r\n",
-                     body if upload is None else b"", upload)
+        return Asked(
+            txn,
+            cls,
+            plan,
+            customer,
+            int(left) / 1000.0,
+            units,
+            width,
+            first,
+            found.get(b"x-resent") == b"1",
+            not safe,
+            b"\r\n".join(lines) + b"\r\n",
+            body if upload is None else b"",
+            upload,
+        )
 
     def _needed(self, found: dict[bytes, bytes], name: bytes) -> bytes:
         if not (value := found.get(name)):
@@ -77,7 +108,7 @@
 
     def _customer(self, cookie: bytes) -> int:
         if ACCOUNT.fullmatch(cookie) is not None and (customer := int(cookie[8:], 16)) < MOST_CUSTOMER:
-            return customer     # the usual form
+            return customer  # the usual form
         pairs = (part.strip().partition(b"=") for part in cookie.split(b";"))
         values = [value for name, _, value in pairs if name == b"account"]
         try:
@@ -101,7 +132,11 @@
             raise BadRequest("api-terms can't be read") from None
         most = self.settings.most_units or math.inf
         whole = width == width // 1 and first == first // 1
-        if not (0.0 < units <= most and 1 <= width <= self.settings.ingresses
-                and 0 <= first < self.settings.ingresses and whole):
+        if not (
+            0.0 < units <= most
+            and 1 <= width <= self.settings.ingresses
+            and 0 <= first < self.settings.ingresses
+            and whole
+        ):
             raise BadRequest("api-terms is out of range")
         return units, width, first
