--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -28,21 +28,21 @@
     from fennelpoint.net.host import Asked, Host
     from fennelpoint.net.reader import Reader
 
-MOST_HEAD = 16 * 1024   # bytes of request line and fields together
+MOST_HEAD = 16 * 1024  # bytes of request line and fields together
 MOST_TAKEN = 512 * 1024  # bytes of one request as it comes, beyond its body and that one's usual framing
-MOST_WAITING = 16       # requests written behind one another on one connection
+MOST_WAITING = 16  # requests written behind one another on one connection
 MOST_BEHIND = 64 * 1024  # bytes of their bodies
 MOST_UNREAD = 128 * 1024  # bytes of answers that a client leaves unread before it is served no more
-HEAD_TIMEOUT = 2.5      # s for a head to come whole, from the connect or its first byte; for a small body
+HEAD_TIMEOUT = 2.5  # s for a head to come whole, from the connect or its first byte; for a small body
 BODY_SPAN, BODY_LEAST = 2.0, 16 * 1024  # of a large body: in so many s, so many bytes
-IDLE_TIMEOUT = 5.0      # s that a connection may stand with nothing open
-LINGER = 0.5            # s to read on after an error, so that its answer is not lost with a reset
-LONG_LINGER = 3.0       # s after an answer that came before its request was whole
+IDLE_TIMEOUT = 5.0  # s that a connection may stand with nothing open
+LINGER = 0.5  # s to read on after an error, so that its answer is not lost with a reset
+LONG_LINGER = 3.0  # s after an answer that came before its request was whole
 MOST_DRAINED = 1024 * 1024  # bytes read and dropped meanwhile, of what is no request
-YOUNG = 0.25            # s that a new connection has to send its request before it may have to make room
-TURN_AWAY = 1.0         # s after a drain before unused connections are closed: the front turns away meanwhile
-DRAINED_IDLE = 0.5      # s that one has stood unused by then
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)   # as SO_LINGER
+YOUNG = 0.25  # s that a new connection has to send its request before it may have to make room
+TURN_AWAY = 1.0  # s after a drain before unused connections are closed: the front turns away meanwhile
+DRAINED_IDLE = 0.5  # s that one has stood unused by then
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # as SO_LINGER
 
 REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
 
@@ -52,9 +52,9 @@
     """What a client may send, and how long it may take over it."""
 
     head_bytes: int = MOST_HEAD
-    body_bytes: int | None = None       # none: what any body may have
-    head_time: float = HEAD_TIMEOUT     # s
-    idle_time: float = IDLE_TIMEOUT     # s
+    body_bytes: int | None = None  # none: what any body may have
+    head_time: float = HEAD_TIMEOUT  # s
+    idle_time: float = IDLE_TIMEOUT  # s
 
 
 class BadRequest(ValueError):
@@ -65,19 +65,24 @@
         self.status, self.headers = status, headers
 
 
-def sort_fields(first: bytes, headers: list[tuple[bytes, bytes]], once: frozenset[bytes],
-                dropped: frozenset[bytes], kept: frozenset[bytes]) -> tuple[dict[bytes, bytes], list[bytes]]:
+def sort_fields(
+    first: bytes,
+    headers: list[tuple[bytes, bytes]],
+    once: frozenset[bytes],
+    dropped: frozenset[bytes],
+    kept: frozenset[bytes],
+) -> tuple[dict[bytes, bytes], list[bytes]]:
     """The fields that the routing goes by, and the lines that go on, the `first` one included.
 
     A field of `once` may be given once.  What is `dropped`, or named by `Connection`, does not go on, but for
     what is `kept`.  Raises BadRequest.
     """
     found: dict[bytes, bytes] = {}
-    options: set[bytes] = set()     # fields that are for this connection only, by the client's word
+    options: set[bytes] = set()  # fields that are for this connection only, by the client's word
     lines = [first]
     for name, value in headers:
         if name in once:
-            if name in found:   # which of them counts would be anybody's guess
+            if name in found:  # which of them counts would be anybody's guess
                 raise BadRequest(f"{name.decode()} is given twice")
             found[name] = value
         elif name == b"connection":
@@ -95,38 +100,70 @@
     """What is to be answered in its turn: a request, a fault, or the path that asks whether we are ready."""
 
     what: Asked | BadRequest | bytes
-    keep: bool              # the connection stays after it
-    old: bool = False       # its client knows no chunks
+    keep: bool  # the connection stays after it
+    old: bool = False  # its client knows no chunks
 
 
 class ClientConnection(asyncio.BufferedProtocol):
     """One connection of a client or front."""
 
-    __slots__ = ("server", "budget", "transport", "parser", "waiting", "open", "deaf", "turn", "since",
-                 "head_size", "taken", "fresh", "method_url", "headers", "length", "body", "body_size",
-                 "upload", "uploading", "expects", "in_head", "in_body", "lost", "choked", "reading", "place",
-                 "patience", "source", "passing", "chunked", "framed", "moved", "moved_size", "__weakref__")
+    __slots__ = (
+        "server",
+        "budget",
+        "transport",
+        "parser",
+        "waiting",
+        "open",
+        "deaf",
+        "turn",
+        "since",
+        "head_size",
+        "taken",
+        "fresh",
+        "method_url",
+        "headers",
+        "length",
+        "body",
+        "body_size",
+        "upload",
+        "uploading",
+        "expects",
+        "in_head",
+        "in_body",
+        "lost",
+        "choked",
+        "reading",
+        "place",
+        "patience",
+        "source",
+        "passing",
+        "chunked",
+        "framed",
+        "moved",
+        "moved_size",
+        "__weakref__",
+    )
 
     def __init__(self, server: Server) -> None:
         self.server, self.budget = server, server.host.backends.budget
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
         self.waiting: deque[Turn] = deque()
-        self.open: int | None = None    # the id of the request that is being served
-        self.deaf = False               # nothing more is read: an error was found, or the end announced
-        self.turn: Turn | None = None   # the request at hand
+        self.open: int | None = None  # the id of the request that is being served
+        self.deaf = False  # nothing more is read: an error was found, or the end announced
+        self.turn: Turn | None = None  # the request at hand
         self.uploading: Turn | None = None  # the one whose large body is on its way
         self.lost = False
-        self.choked = False             # the client does not read what it was sent
+        self.choked = False  # the client does not read what it was sent
         self.reading = True
-        self.source: UpstreamConnection | None = None   # of a large answer
-        self.passing: Waiting | None = None     # what waits here of it
-        self.chunked = False            # it goes out in chunks
-        self.framed = True              # its end is told apart from the connection's
-        self.moved, self.moved_size = 0.0, 0    # when a large body last got on, and how far
-        self.patience = LINGER          # s that it is read on once it is told that it is closed
+        self.source: UpstreamConnection | None = None  # of a large answer
+        self.passing: Waiting | None = None  # what waits here of it
+        self.chunked = False  # it goes out in chunks
+        self.framed = True  # its end is told apart from the connection's
+        self.moved, self.moved_size = 0.0, 0  # when a large body last got on, and how far
+        self.patience = LINGER  # s that it is read on once it is told that it is closed
         self.place: dict[ClientConnection, None] | None = None  # the server's line that it stands in
-        self.since = time.monotonic()   # when it fell idle, or the request at hand began
+        self.since = time.monotonic()  # when it fell idle, or the request at hand began
         self.in_head = self.in_body = False
         self._begin()
 
@@ -134,7 +171,7 @@
         self.head_size = self.body_size = self.taken = 0
         self.length: int | None = None
         self.upload: Upload | None = None
-        self.expects = False            # the client waits to be told to go on
+        self.expects = False  # the client waits to be told to go on
         self.method_url = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
@@ -167,7 +204,7 @@
     def get_buffer(self, sizehint: int) -> memoryview:
         size = self.budget.piece()
         if self.in_body and self.upload is None:
-            size = min(size, max(1, flow.HELD + 1 - self.body_size))    # no more of it is held
+            size = min(size, max(1, flow.HELD + 1 - self.body_size))  # no more of it is held
         return self.budget.buffer[:size]
 
     def buffer_updated(self, count: int) -> None:
@@ -187,9 +224,11 @@
     def data_received(self, data: bytes) -> None:
         if self.deaf:
             self.taken += len(data)
-            if (self.taken > (MOST_DRAINED if self.patience == LINGER else flow.MOST_LARGE)
-                    and self.place is self.server.leaving):
-                self.transport.abort()      # the answer is written; the rest is not worth the reading
+            if (
+                self.taken > (MOST_DRAINED if self.patience == LINGER else flow.MOST_LARGE)
+                and self.place is self.server.leaving
+            ):
+                self.transport.abort()  # the answer is written; the rest is not worth the reading
             return
         self.fresh = False
         try:
@@ -198,10 +237,10 @@
             # Only this protocol is spoken here, and whoever offers another has to do with that.
             if not self.deaf:
                 self.parser = httptools.HttpRequestParser(self)
-                return self.data_received(data[upgrade.args[0]:])
+                return self.data_received(data[upgrade.args[0] :])
         except httptools.HttpParserError as error:
             self._fault(BadRequest(f"it can't be read: {error}"))
-        if (self.in_head or self.in_body) and not self.fresh:   # a fresh one began within these bytes
+        if (self.in_head or self.in_body) and not self.fresh:  # a fresh one began within these bytes
             # Guards the memory: a field or trailer without an end is gathered by the parser, unseen here.
             self.taken += len(data)
             if self.in_head and self.taken > self.server.bounds.head_bytes:
@@ -209,7 +248,7 @@
             elif self.taken > MOST_TAKEN + flow.FRAMING * self.body_size:
                 self._fault(BadRequest("it has no end", 413))
         if (self.in_head or self.in_body) and self.place is self.server.idle:
-            self._stand(self.server.coming)     # its time to come whole runs from now
+            self._stand(self.server.coming)  # its time to come whole runs from now
         self._next()
 
     # What the parser reads.  A fault found here ends the reading, but not before earlier requests' turn.
@@ -223,7 +262,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self.in_body or self.deaf:
-            return      # a trailer: too late to count
+            return  # a trailer: too late to count
         self.head_size += len(name) + len(value)
         self.headers.append((name.lower(), value))
 
@@ -244,8 +283,9 @@
         if (coding is not None or length is not None) and self.parser.should_upgrade():
             # Guards the body: the parser would take none, and what follows for another protocol's bytes.
             return self._fault(BadRequest("its body comes with the wish for another protocol"))
-        if coding is not None and (length is not None or coding.lower() != b"chunked"
-                                   or self.parser.get_http_version() != "1.1"):
+        if coding is not None and (
+            length is not None or coding.lower() != b"chunked" or self.parser.get_http_version() != "1.1"
+        ):
             # Guards against a second request hidden in a body whose end others see elsewhere.
             return self._fault(BadRequest("its framing is ambiguous"))
         if length is not None and (not length.isdigit() or len(length) > 18):
@@ -254,7 +294,7 @@
         if self.length is not None and self.length > self.server.most_body:
             return self._fault(BadRequest("its body is too large", 413))
         if self.place is self.server.coming:
-            self._stand(self.server.coming)     # its body has a time of its own
+            self._stand(self.server.coming)  # its body has a time of its own
         self._continue()
 
     def _continue(self) -> None:
@@ -282,8 +322,9 @@
         self.upload = Upload(self.budget, self.length, self.read_on, self.body)
         self.body = []
         try:
-            asked = self.server.reader.read(self.parser.get_method(), self.method_url, self.headers,
-                                            self.upload)
+            asked = self.server.reader.read(
+                self.parser.get_method(), self.method_url, self.headers, self.upload
+            )
         except BadRequest as fault:
             self.upload.drop()
             self.read_on(True)
@@ -300,7 +341,7 @@
         keep, method = self.parser.should_keep_alive(), self.parser.get_method()
         if self.upload is not None:
             turn, self.uploading = self.uploading, None
-            turn.keep = keep    # until now an answer would have been the last
+            turn.keep = keep  # until now an answer would have been the last
             self.server.flowing.discard(self)
             self.upload.end()
         elif self.method_url == self.server.reader.ready_path and method == b"GET":
@@ -316,7 +357,7 @@
         """It is served in its turn."""
         self.waiting.append(turn)
         if self.open is None and len(self.waiting) <= 1:
-            return turn     # the usual client: one at a time
+            return turn  # the usual client: one at a time
         behind = sum(len(t.what.body) for t in self.waiting if not isinstance(t.what, BadRequest | bytes))
         if len(self.waiting) > MOST_WAITING or behind > MOST_BEHIND:
             self.waiting.pop()
@@ -362,7 +403,7 @@
                 if self.turn is self.uploading:
                     self.server.flowing.add(self)
                     self._mark()
-                self.open = -1      # in case the answer comes before the id is known
+                self.open = -1  # in case the answer comes before the id is known
                 request = self.server.host.admit(self, what)
                 self.open = request if self.open == -1 else self.open
         self._continue()
@@ -400,7 +441,7 @@
         self.chunked = length is None and not self.turn.old
         self.framed = self.chunked or length is not None
         if self.server.draining or not self.framed:
-            self.turn.keep = False      # where no length can be told, the end is the connection's
+            self.turn.keep = False  # where no length can be told, the end is the connection's
         lines = [b"HTTP/1.1 %d %b" % (answer.status, REASONS.get(answer.status, b"Answer"))]
         lines += [name + b": " + value for name, value in answer.headers if name not in HOP_BY_HOP]
         if self.chunked:
@@ -411,7 +452,7 @@
             lines.append(b"connection: close")
         self.server.flowing.add(self)
         self._mark()
-        self.transport.set_write_buffer_limits(high=0)      # what waits is counted to the byte
+        self.transport.set_write_buffer_limits(high=0)  # what waits is counted to the byte
         self.transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
         self.piece(answer.body)
 
@@ -443,7 +484,8 @@
             if not self.framed:
                 # A close alone might be the end of it: only a reset tells that it is not.
                 self.transport.get_extra_info("socket").setsockopt(
-                    socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+                    socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
+                )
                 return self.transport.abort()
             self.deaf = True
             self._drop_waiting()
@@ -481,7 +523,7 @@
         Guards the answer: closing with unread bytes would reset the connection and take it along.
         """
         self.deaf, self.taken = True, 0
-        if self.uploading is not None:      # what it still sends is dropped
+        if self.uploading is not None:  # what it still sends is dropped
             self.uploading, self.patience = None, LONG_LINGER
             self.server.flowing.discard(self)
         self.read_on(True)
@@ -535,14 +577,13 @@
         if self.place is self.server.leaving and time.monotonic() - self.since < self.patience:
             return
         if self.choked or self.deaf:
-            self.transport.abort()      # it does not read, so there is no telling it
+            self.transport.abort()  # it does not read, so there is no telling it
         elif not (self.in_head or self.in_body):
             self.transport.close()
         else:
             self._fault(BadRequest("it has not come whole in time", 408))
             self._next()
 
-
     def check(self, now: float) -> None:
         """A large body that does not get on: its peer is given up, unless it is we who don't read."""
         if self.passing is not None:
@@ -560,18 +601,24 @@
 class Server:
     """The listening socket and its connections."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, host: Host, most: int, reader: Reader,
-                 bounds: Bounds | None = None) -> None:
+    def __init__(
+        self,
+        loop: asyncio.AbstractEventLoop,
+        host: Host,
+        most: int,
+        reader: Reader,
+        bounds: Bounds | None = None,
+    ) -> None:
         self.loop, self.host, self.most = loop, host, most
         self.reader, self.bounds = reader, bounds or Bounds()
         self.connections: set[ClientConnection] = set()
         # Those without a request that is open, in three lines, the oldest first; the others stand in none.
-        self.coming: dict[ClientConnection, None] = {}   # new, or a request has begun to come
-        self.idle: dict[ClientConnection, None] = {}     # answered, and kept
+        self.coming: dict[ClientConnection, None] = {}  # new, or a request has begun to come
+        self.idle: dict[ClientConnection, None] = {}  # answered, and kept
         self.leaving: dict[ClientConnection, None] = {}  # told that they are closed
-        self.flowing: set[ClientConnection] = set()     # with a large body on its way
-        self.stopping = False   # the process is about to end
-        self.drained_at: float | None = None    # when operators sent the clients away
+        self.flowing: set[ClientConnection] = set()  # with a large body on its way
+        self.stopping = False  # the process is about to end
+        self.drained_at: float | None = None  # when operators sent the clients away
         self.listener: asyncio.Server | None = None
 
     @property
@@ -589,8 +636,11 @@
 
     async def listen(self, where: tuple[str, int] | socket.socket) -> None:
         """Accept at an address, or on a socket that listens already."""
-        at = {"sock": where} if isinstance(where, socket.socket) else {
-            "host": where[0], "port": where[1], "reuse_address": True}
+        at = (
+            {"sock": where}
+            if isinstance(where, socket.socket)
+            else {"host": where[0], "port": where[1], "reuse_address": True}
+        )
         self.listener = await self.loop.create_server(lambda: ClientConnection(self), backlog=1024, **at)
 
     def make_room(self) -> None:
@@ -613,8 +663,11 @@
         now = time.monotonic()
         for connection in list(self.flowing):
             connection.check(now)
-        for line, most in ((self.coming, self.bounds.head_time), (self.idle, self.bounds.idle_time),
-                           (self.leaving, LINGER)):
+        for line, most in (
+            (self.coming, self.bounds.head_time),
+            (self.idle, self.bounds.idle_time),
+            (self.leaving, LINGER),
+        ):
             for connection in list(takewhile(lambda c: c.since < now - most, line)):  # noqa: B023
                 connection.overdue()
         if self.drained_at is not None and now - self.drained_at >= TURN_AWAY:
--- a/fennelpoint/quota.py
+++ b/fennelpoint/quota.py
@@ -10,19 +10,19 @@
 from fennelpoint.upkeep import fill, forget, new_total
 from fennelpoint.window import LEARN, TARGET
 
-COUNT_PERIOD = 1.0      # s; a counter call has a price
+COUNT_PERIOD = 1.0  # s; a counter call has a price
 SILENT_AFTER, FORGET_COUNT = 1.0, 60.0  # s: the counter is silent; a count's longest life
 BACK_OFF, BACK_OFF_MOST = 0.25, 8.0  # s of pause after a lost call, half of the first; at most
 SHORT_FOR, READ_LEAST = 6.0, 0.15  # s after units were missing; s between two reads
 READ_PART, LOW_PART = 0.25, 0.1  # of the s in which a store fills, between reads: while short; when low
 OTHERS, DEBT, REPAY = 1.5, 0.1, 0.5  # what others may take over the expected; of the burst; paid at a read
 LOW, KEPT = 0.5, 0.35  # of what a read granted: read anew below; of the even part of a burst, kept at a read
-SPARED = 1 << 40    # over all keys; a key and this is the counter's name for what was asked and not taken
+SPARED = 1 << 40  # over all keys; a key and this is the counter's name for what was asked and not taken
 ASKED_HALF, SPARSE = 2.0, 10.0  # s: asks count half in a share; to fill one request: past it each try asks
 WINDOW, CROWDED = 1.0, 0.6  # burst spans that its asks are counted over; of the time-out: stood in line
-SPARE_ASKS = 4.0    # times as soon as first tries, repeats and what costs nothing are asked less
+SPARE_ASKS = 4.0  # times as soon as first tries, repeats and what costs nothing are asked less
 ASK_GAIN, ASK_EASE, ASK_LOSS, LEAST_ASKING = 0.05, 0.9, 0.6, 0.1  # asking share: quick, crowded, none; least
-KEPT_BACK = 0.5         # of the ceiling: beyond quotas nothing is sent past this
+KEPT_BACK = 0.5  # of the ceiling: beyond quotas nothing is sent past this
 FORGET, SWEEP = 15.0, 2  # s after which an idle customer is forgotten, and how many are looked at a try
 
 
@@ -35,12 +35,12 @@
     def __init__(self, settings: api.Settings, random: Random, now: float) -> None:
         self.settings, self.random = settings, random
         self.customers: dict[int, Customer] = {}  # the longest unseen first
-        self.heard_at = -inf    # when the counter last answered a sparse try
-        self.asking = 1.0       # share of sparse tries that ask
+        self.heard_at = -inf  # when the counter last answered a sparse try
+        self.asking = 1.0  # share of sparse tries that ask
         # That a sparse try has room: a customer's first one here for a while, another one, a repeat.
         self.odds = [[1.0, 1.0, 0.3] for _ in settings.plans]
-        self.began = now    # its parts of ceilings are its own from then on
-        self.part = 1.0     # of this ingress's allowances; the rest is with another process of it
+        self.began = now  # its parts of ceilings are its own from then on
+        self.part = 1.0  # of this ingress's allowances; the rest is with another process of it
 
     def take_part(self, part: float, now: float) -> None:
         """Share the allowances with another process as if each customer's set were so much wider.
@@ -58,9 +58,17 @@
         plan, whole = self.settings.plans[ask.plan], max(1.0, ask.width)
         width = whole / self.part
         if (c := self.customers.pop(ask.customer, None)) is None:
-            c = Customer(ask.customer, ask.plan, width, 1.0 / width, max(plan.burst / width, ask.units),
-                         store=plan.burst, filled=now, total_at=now,
-                         count_at=now + self.random.uniform(0.3, 1.0) * COUNT_PERIOD)
+            c = Customer(
+                ask.customer,
+                ask.plan,
+                width,
+                1.0 / width,
+                max(plan.burst / width, ask.units),
+                store=plan.burst,
+                filled=now,
+                total_at=now,
+                count_at=now + self.random.uniform(0.3, 1.0) * COUNT_PERIOD,
+            )
             # What its part gave while no more than this process can have used it: guards the ceiling after a
             # restart, which does not fill it, and where a customer was forgotten for a while.
             c.ceiling = min(plan.ceiling_burst, plan.ceiling_rate * min(now - self.began, FORGET)) / width
@@ -83,8 +91,9 @@
         """Whether an uncharged try would be inside its quota now; None where it may not be sent at all."""
         c, units, plan = t.customer, t.ask.units, self.settings.plans[t.ask.plan]
         self.fill(c, now)
-        if (plan.ceiling_rate and c.ceiling < units) or (c.cap is not None and c.cap_level < min(
-                units, max(c.cap, self.settings.most_units))):
+        if (plan.ceiling_rate and c.ceiling < units) or (
+            c.cap is not None and c.cap_level < min(units, max(c.cap, self.settings.most_units))
+        ):
             return None
         room = not plan.rate or (c.level >= units if t.inside is None else t.inside)
         inside = room and not (plan.open_limit and c.open >= max(1, round(plan.open_limit * c.share)))
@@ -156,7 +165,7 @@
         """Go on by what all ingresses took, or by the even share while the counter is silent."""
         added, c.calling, c.fails = c.calling or 0.0, None, 0 if ok else c.fails + 1
         if not ok:
-            c.count_at = now + self.random.uniform(0.5, 1.0) * min(BACK_OFF_MOST, BACK_OFF * 2 ** c.fails)
+            c.count_at = now + self.random.uniform(0.5, 1.0) * min(BACK_OFF_MOST, BACK_OFF * 2**c.fails)
             c.fresh += added if reply.status is not api.Status.TIMEOUT else 0.0  # it may have been added
             if now - c.total_at > SILENT_AFTER:  # the even share while the counter is silent
                 c.share, c.ours, c.alls, c.spans = 1.0 / c.width, 0.0, 0.0, 0.0
@@ -164,7 +173,7 @@
         counted = c.total is not None
         plan, (own, everyone, span) = self.settings.plans[c.plan], new_total(c, reply.total, added, now)
         self.fill(c, now)
-        if everyone is None:    # the first total, or the counter lost its count
+        if everyone is None:  # the first total, or the counter lost its count
             # Guards against a store that looks full after an outage: what the others took can't be seen then.
             everyone = own / max(c.share, 1.0 / c.width) if counted else min(reply.total, own * c.width)
             c.share, c.ours, c.alls, c.spans = 1.0 / c.width, 0.0, 0.0, 0.0
@@ -203,7 +212,7 @@
         """What may be taken of the store until the next read: the share, or what others hardly need."""
         if not c.spans:
             return c.store * c.share
-        span = max(READ_LEAST, c.count_at - c.total_at)     # the total may have come late
+        span = max(READ_LEAST, c.count_at - c.total_at)  # the total may have come late
         return max(c.store * c.share, c.store - OTHERS * (c.alls - c.ours) / c.spans * span)
 
     def ask(self, t: Try, now: float) -> list[api.Action]:
@@ -226,7 +235,7 @@
         if odds < (1.0 - odds) * cost:
             t.inside = False
         elif now - self.heard_at < SILENT_AFTER and odds - (1.0 - odds) * cost > pressure / TARGET:
-            t.inside = True     # else by the even share: what is crowded has no room for what may be beyond
+            t.inside = True  # else by the even share: what is crowded has no room for what may be beyond
 
     def _odds(self, t: Try, now: float) -> float:
         """That an unasked try is inside: by what its customer was last told, and as that fades, its plan."""
--- a/fennelpoint/regions.py
+++ b/fennelpoint/regions.py
@@ -10,8 +10,8 @@
 from dataclasses import KW_ONLY, dataclass, field
 from math import inf
 
-PERIOD = 0.5            # s; short against bursts of seconds
-STEPS, STEP = 3, 0.05   # m, and the share of the rate sent that one constant step takes off
+PERIOD = 0.5  # s; short against bursts of seconds
+STEPS, STEP = 3, 0.05  # m, and the share of the rate sent that one constant step takes off
 MOST_CUT, RETURN = 2.0, 2.0  # most steps taken off one flow at a time; steps given back: no idle room
 CONFIDENT, FULL_STEP, CHANGE = 2.0, 3.0, 2.0  # 1 / S_p (1 / aims) trusted; most steps it is worth; the 2x
 FIT_MEMORY, FIT_LEAST = 0.98, 2.0  # past's weight a period (about 25 s); points that a line must pass
@@ -25,14 +25,14 @@
 
     key: int | str
     _: KW_ONLY
-    seen: float = -1e9      # when it last asked
-    sent: float = 0.0       # units this period
-    rate: float = 0.0       # average units a second sent
-    ratio: float = 0.0      # average latency over aim
+    seen: float = -1e9  # when it last asked
+    sent: float = 0.0  # units this period
+    rate: float = 0.0  # average units a second sent
+    ratio: float = 0.0  # average latency over aim
     ratios: list[float] = field(default_factory=list)  # latencies over aim this period
     worth: float = 0.0
-    cap: float | None = None    # units a second while it is cut
-    cap_level: float = 0.0      # units that the cut lets through now
+    cap: float | None = None  # units a second while it is cut
+    cap_level: float = 0.0  # units that the cut lets through now
 
     def fill_cap(self, depth: float, span: float) -> None:
         """Let `span` seconds fill what the cut lets through, up to `depth` units."""
@@ -72,7 +72,7 @@
         if n <= FIT_LEAST or spread <= 1e-9:
             return self.y / n + slope * (x - mean), 0.0
         error = residue / (n - 2.0) * (1.0 + 1.0 / n + (x - mean) ** 2 / spread)
-        return self.y / n + slope * (x - mean), error ** -0.5
+        return self.y / n + slope * (x - mean), error**-0.5
 
 
 class Regulator:
@@ -82,13 +82,14 @@
     that meet both quota and aim, and gives the ones of the latter that may be cut, in their order.
     """
 
-    def __init__(self, quota: Callable[[Flow], float],
-                 may_cut: Callable[[list[Flow], list[Flow]], list[Flow]]) -> None:
+    def __init__(
+        self, quota: Callable[[Flow], float], may_cut: Callable[[list[Flow], list[Flow]], list[Flow]]
+    ) -> None:
         self.quota, self.may_cut = quota, may_cut
         self.active: dict[int | str, Flow] = {}  # those that the period looks at
         self.fit, self.work = Fit(), 0.0
         self.cut: Cut | None = None
-        self.pressed = False    # whether one fails
+        self.pressed = False  # whether one fails
 
     def sent(self, flow: Flow, units: float, work: float) -> None:
         """Units of a flow were sent (0 for a further attempt), with that much work for the back end."""
@@ -104,7 +105,7 @@
     def rest(self, before: float) -> None:
         """Look no more at flows that are idle, nor at cut ones that have not asked since `before`."""
         for c in [c for c in self.active.values() if c.cap is not None and c.seen < before]:
-            c.cap = None    # guards the memory: one that is cut is not forgotten, and this one is gone
+            c.cap = None  # guards the memory: one that is cut is not forgotten, and this one is gone
         self.active = {k: c for k, c in self.active.items() if c.cap is not None or c.rate > IDLE_RATE}
 
     def regulate(self, span: float) -> None:
@@ -141,8 +142,11 @@
         """The paper's four reasons to leave a decision after m steps."""
         cut, active = self.cut, [c for group in regions.values() for c in group]
         changes = [(c.rate, cut.rates[c.key]) for c in active if c.key in cut.rates] + [(seen, cut.predicted)]
-        return (worst > cut.worst or any(c.key not in cut.lucky for c in regions["lucky"])
-                or any(not 1 / CHANGE <= (a + 0.01) / (b + 0.01) <= CHANGE for a, b in changes))
+        return (
+            worst > cut.worst
+            or any(c.key not in cut.lucky for c in regions["lucky"])
+            or any(not 1 / CHANGE <= (a + 0.01) / (b + 0.01) <= CHANGE for a, b in changes)
+        )
 
     def _decide(self, regions: dict[str, list[Flow]], worst: float, rate: float, step: float) -> Cut:
         """Whom to cut: lucky, then exceeded, then meet as far as may be; the least worth first."""
@@ -154,8 +158,13 @@
             takes.append((c, take))
             if missing <= 0.0:
                 break
-        return Cut(takes, worst, {c.key: c.rate for c in self.active.values()},
-                   {c.key for c in regions["lucky"]}, self.fit.at(rate * (1.0 - step))[0])
+        return Cut(
+            takes,
+            worst,
+            {c.key: c.rate for c in self.active.values()},
+            {c.key for c in regions["lucky"]},
+            self.fit.at(rate * (1.0 - step))[0],
+        )
 
     def _return(self, step: float) -> None:
         """Give unused room back by worth; no rate falls below its average."""
--- a/fennelpoint/settings.py
+++ b/fennelpoint/settings.py
@@ -59,34 +59,66 @@
 Table = dict[str, tuple[str, Callable]]
 
 NEEDED: Table = {
-    "me": ("me", _whole), "ingresses": ("balancers", _whole), "zone": ("zone", _whole),
-    "max_attempts": ("bounds.max_attempts", _whole), "drain_grace": ("rules.drain_grace_s", _number),
-    "cold_share": ("rules.cold_share", _number), "ramp_time": ("rules.ramp_time_s", _number),
-    "tip_multiple": ("rules.tip_multiple", _number), "fall_span": ("rules.fall_s", _number),
-    "answer_slack": ("rules.answer_slack_s", _number), "tick": ("tick_s", _number),
+    "me": ("me", _whole),
+    "ingresses": ("balancers", _whole),
+    "zone": ("zone", _whole),
+    "max_attempts": ("bounds.max_attempts", _whole),
+    "drain_grace": ("rules.drain_grace_s", _number),
+    "cold_share": ("rules.cold_share", _number),
+    "ramp_time": ("rules.ramp_time_s", _number),
+    "tip_multiple": ("rules.tip_multiple", _number),
+    "fall_span": ("rules.fall_s", _number),
+    "answer_slack": ("rules.answer_slack_s", _number),
+    "tick": ("tick_s", _number),
 }
 OPTIONAL: Table = {
-    "report_fields": ("report.fields", _words), "report_via": ("report.via", _text),
-    "discovery": ("discovery", _text), "ask_every": ("rules.ask_every_s", _number),
-    "weights": ("weights", _text), "zones": ("zones", _words), "kinds": ("shapes", _words),
-    "has_counter": ("extra.has_counter", _flag), "counter_timeout": ("extra.count_wait_s", _number),
-    "counter_fee": ("extra.count_fee", _number), "meter_period": ("extra.metering_s", _number),
-    "trued_up": ("extra.trued_up", _flag), "most_units": ("extra.units_top", _number),
-    "may_probe": ("bounds.probes", _flag), "may_message": ("bounds.peer_messages", _flag),
-    "may_cancel": ("bounds.cancel", _flag), "may_copy": ("bounds.second_copies", _flag),
-    "may_advise": ("bounds.retry_after", _flag), "max_advice": ("bounds.max_retry_after_s", _number),
-    "connect_timeout": ("bounds.connect_timeout_s", _number), "idle_close": ("bounds.idle_close_s", _number),
+    "report_fields": ("report.fields", _words),
+    "report_via": ("report.via", _text),
+    "discovery": ("discovery", _text),
+    "ask_every": ("rules.ask_every_s", _number),
+    "weights": ("weights", _text),
+    "zones": ("zones", _words),
+    "kinds": ("shapes", _words),
+    "has_counter": ("extra.has_counter", _flag),
+    "counter_timeout": ("extra.count_wait_s", _number),
+    "counter_fee": ("extra.count_fee", _number),
+    "meter_period": ("extra.metering_s", _number),
+    "trued_up": ("extra.trued_up", _flag),
+    "most_units": ("extra.units_top", _number),
+    "may_probe": ("bounds.probes", _flag),
+    "may_message": ("bounds.peer_messages", _flag),
+    "may_cancel": ("bounds.cancel", _flag),
+    "may_copy": ("bounds.second_copies", _flag),
+    "may_advise": ("bounds.retry_after", _flag),
+    "max_advice": ("bounds.max_retry_after_s", _number),
+    "connect_timeout": ("bounds.connect_timeout_s", _number),
+    "idle_close": ("bounds.idle_close_s", _number),
+}
+CLASS_NEEDED: Table = {
+    "name": ("name", _text),
+    "aim": ("aim_s", _number),
+    "deadline": ("give_up_s", _number),
+    "worth": ("worth", _number),
+    "effect": ("repeat", _effect),
+}
+CLASS_OPTIONAL: Table = {
+    "group": ("group", api.Group),
+    "window": ("window_s", _number),
+    "late_worth": ("late_worth", _number),
+    "aim_stretch": ("aim_stretch", _number),
+    "streamed": ("stream", _flag),
 }
-CLASS_NEEDED: Table = {"name": ("name", _text), "aim": ("aim_s", _number), "deadline": ("give_up_s", _number),
-                       "worth": ("worth", _number), "effect": ("repeat", _effect)}
-CLASS_OPTIONAL: Table = {"group": ("group", api.Group), "window": ("window_s", _number),
-                         "late_worth": ("late_worth", _number), "aim_stretch": ("aim_stretch", _number),
-                         "streamed": ("stream", _flag)}
 PLAN_NEEDED: Table = {"name": ("name", _text), "price": ("pays", _number)}
-PLAN_OPTIONAL: Table = {"rate": ("quota_rate", _number), "burst": ("store_size", _number),
-                        "open_limit": ("concurrency", _whole), "over_worth": ("extra_worth", _number),
-                        "over_cost": ("overrun_cost", _number), "ceiling_rate": ("ceiling_rate", _number),
-                        "ceiling_burst": ("cap_depth", _number), "ceiling_slack": ("cap_slack", _number)}
+PLAN_OPTIONAL: Table = {
+    "rate": ("quota_rate", _number),
+    "burst": ("store_size", _number),
+    "open_limit": ("concurrency", _whole),
+    "over_worth": ("extra_worth", _number),
+    "over_cost": ("overrun_cost", _number),
+    "ceiling_rate": ("ceiling_rate", _number),
+    "ceiling_burst": ("cap_depth", _number),
+    "ceiling_slack": ("cap_slack", _number),
+}
 
 
 def _fields(values: Mapping[str, object], prefix: str, needed: Table, optional: Table) -> dict:
@@ -115,7 +147,8 @@
     return api.Settings(
         classes=_objects(values, "grades", CLASS_NEEDED, CLASS_OPTIONAL, api.RequestClass),
         plans=_objects(values, "contracts", PLAN_NEEDED, PLAN_OPTIONAL, api.Plan),
-        **_fields(values, "", NEEDED, OPTIONAL))
+        **_fields(values, "", NEEDED, OPTIONAL),
+    )
 
 
 def from_lines(text: str) -> api.Settings:
--- a/fennelpoint/upkeep.py
+++ b/fennelpoint/upkeep.py
@@ -12,7 +12,7 @@
 from fennelpoint import interface as api
 from fennelpoint.state import Backend, Customer, Try
 
-MOST_NAMED = 10_000     # ids of backends that are remembered after they are gone
+MOST_NAMED = 10_000  # ids of backends that are remembered after they are gone
 
 
 class Timers:
@@ -70,11 +70,11 @@
     def __init__(self, me: int, ingresses: int) -> None:
         self.me, self.ingresses = me, ingresses
         self.known: dict[object, Backend] = {}
-        self.ready: list[Backend] = []          # those that something may be sent to, in an order of our own
-        self.busy: dict[object, Backend] = {}   # those with attempts out
-        self.out = 0                            # attempts out at all of them
+        self.ready: list[Backend] = []  # those that something may be sent to, in an order of our own
+        self.busy: dict[object, Backend] = {}  # those with attempts out
+        self.out = 0  # attempts out at all of them
         self.probing: dict[object, list[Try]] = {}  # tries that wait for a backend's own word
-        self.named: dict[object, None] = {}     # ids of all lists so far, the last named last
+        self.named: dict[object, None] = {}  # ids of all lists so far, the last named last
         self.withdrawn: dict[object, float] = {}  # ids that operators took out, in the list or not, and when
         self.restored: dict[object, float] = {}  # and when they put one back
 
@@ -90,8 +90,12 @@
             old = self.known.get(e.backend)
             if old is None or (e.state is api.BackendState.READY and e.started_at != old.entry.started_at):
                 new = self.known[e.backend] = Backend(
-                    e, place(e.backend, self.me, self.ingresses), now, withdrawn=e.backend in self.withdrawn,
-                    restored_at=self.restored.get(e.backend, 0.0))
+                    e,
+                    place(e.backend, self.me, self.ingresses),
+                    now,
+                    withdrawn=e.backend in self.withdrawn,
+                    restored_at=self.restored.get(e.backend, 0.0),
+                )
                 if old is not None:  # what was out there before its restart may still be answered
                     new.rank, new.out, new.load = old.rank, old.out, old.load
                     self.busy.update({e.backend: new} if new.out else {})
@@ -166,8 +170,9 @@
 
     def ages(self, now: float) -> list[float]:
         """How long each attempt is out, over its class's aim."""
-        return [(now - sent) / aim for b in self.busy.values() for _, sent, aim, _ in b.out.values()
-                if sent < inf]
+        return [
+            (now - sent) / aim for b in self.busy.values() for _, sent, aim, _ in b.out.values() if sent < inf
+        ]
 
 
 def fill(c: Customer, plan: api.Plan, depth: float, cap_depth: float, now: float) -> None:
@@ -212,4 +217,4 @@
             return
         del customers[c.key]
         if c.open or c.held or c.cap is not None:
-            customers[c.key] = c    # to the end: guards the memory, as it would hide all those behind it
+            customers[c.key] = c  # to the end: guards the memory, as it would hide all those behind it
--- a/fennelpoint/window.py
+++ b/fennelpoint/window.py
@@ -4,7 +4,7 @@
 
 from fennelpoint.upkeep import Fleet
 
-LEARN = 0.2             # weight of an answer in an average
+LEARN = 0.2  # weight of an answer in an average
 TARGET, REST_MOST = 0.25, 3.0  # of the aim, used behind: the rest to wait in; s, longest rest
 FIRST_OUT, WINDOW_CUT, LEAST_OUT = 12.0, 0.85, 0.1  # own attempts out: a backend at first, of all; cut; least
 
@@ -15,7 +15,7 @@
     def __init__(self, fleet: Fleet, now: float) -> None:
         self.fleet = fleet
         self.size, self.pressure, self.cut_at, self.rest_until = 0.0, 0.0, now, now
-        self.part = 1.0     # of it; the rest is with another process of this ingress
+        self.part = 1.0  # of it; the rest is with another process of this ingress
 
     def open(self, ingresses: int) -> None:
         """Start with this ingress's part of what the backends can take at once."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -16,20 +16,45 @@
 
 def make_settings(**changes) -> api.Settings:
     values = dict(
-        me=0, ingresses=2, zone=0, max_attempts=4, drain_grace=1.0, cold_share=0.2, ramp_time=10.0,
-        tip_multiple=2.0, fall_span=2.0, answer_slack=0.016, tick=0.004, most_units=2.0, has_counter=True,
-        counter_timeout=0.05, may_advise=True, max_advice=0.5,
+        me=0,
+        ingresses=2,
+        zone=0,
+        max_attempts=4,
+        drain_grace=1.0,
+        cold_share=0.2,
+        ramp_time=10.0,
+        tip_multiple=2.0,
+        fall_span=2.0,
+        answer_slack=0.016,
+        tick=0.004,
+        most_units=2.0,
+        has_counter=True,
+        counter_timeout=0.05,
+        may_advise=True,
+        max_advice=0.5,
         classes=[
             api.RequestClass("read", aim=1.0, deadline=4.0, worth=1.0, effect=api.Effect.SAFE),
             api.RequestClass("book", aim=2.0, deadline=6.0, worth=3.0, effect=api.Effect.UNSAFE),
-            api.RequestClass("open", aim=2.0, deadline=6.0, worth=2.0, effect=api.Effect.KEYED,
-                             group=api.Group.CELL, window=3.0)],
+            api.RequestClass(
+                "open", aim=2.0, deadline=6.0, worth=2.0, effect=api.Effect.KEYED, group=api.Group.CELL, window=3.0
+            ),
+        ],
         plans=[
             api.Plan("hard", price=1.0, rate=4.0, burst=8.0, over_cost=1.0),
             api.Plan("soft", price=2.0, rate=4.0, burst=8.0, over_worth=0.2),
-            api.Plan("capped", price=3.0, rate=10.0, burst=20.0, over_worth=0.3, ceiling_rate=10.0,
-                     ceiling_burst=20.0, ceiling_slack=2.0),
-            api.Plan("slots", price=1.5, open_limit=2, over_cost=1.0)])
+            api.Plan(
+                "capped",
+                price=3.0,
+                rate=10.0,
+                burst=20.0,
+                over_worth=0.3,
+                ceiling_rate=10.0,
+                ceiling_burst=20.0,
+                ceiling_slack=2.0,
+            ),
+            api.Plan("slots", price=1.5, open_limit=2, over_cost=1.0),
+        ],
+    )
     values.update(changes)
     return api.Settings(**values)
 
@@ -64,13 +89,21 @@
     def backends(self, *names: str, **values) -> list:
         return self.roster(*(api.BackendEntry(name, READY, **values) for name in names))
 
-    def ask(self, cls: int = SAFE, plan: int = HARD, customer: int = 1, units: float = 1.0, left: float = 4.0,
-            width: float = 2.0) -> list:
+    def ask(
+        self,
+        cls: int = SAFE,
+        plan: int = HARD,
+        customer: int = 1,
+        units: float = 1.0,
+        left: float = 4.0,
+        width: float = 2.0,
+    ) -> list:
         self.ids += 1
         return self.give(api.Request(self.ids, cls, plan, customer, left, units, width, 0.0))
 
-    def answer(self, request: int, backend: str, status: api.Status = api.Status.OK, latency: float = 0.1,
-               attempt: int = 0) -> list:
+    def answer(
+        self, request: int, backend: str, status: api.Status = api.Status.OK, latency: float = 0.1, attempt: int = 0
+    ) -> list:
         ended = status is api.Status.OK
         return self.give(api.Outcome(request, attempt, backend, status, latency, ended))
 
@@ -84,8 +117,9 @@
         self.now = end
         return out
 
-    def count_replies(self, status: api.Status = api.Status.OK, others: float = 0.0,
-                      totals: dict | None = None) -> None:
+    def count_replies(
+        self, status: api.Status = api.Status.OK, others: float = 0.0, totals: dict | None = None
+    ) -> None:
         """Answer the calls that are out; `others` is what other ingresses add to every name."""
         calls, self.counts = self.counts, []
         for call in calls:
--- a/tests/crowseam/test_admission.py
+++ b/tests/crowseam/test_admission.py
@@ -65,8 +65,11 @@
 class TestRegions(unittest.TestCase):
     # The burst lets `lucky` and `exceeded` be over their rates of 2 for some seconds.
     TERMS = {
-        "failed": TenantTerms(20.0, 20.0, 1), "lucky": TenantTerms(2.0, 100.0, 0),
-        "exceeded": TenantTerms(2.0, 100.0, 3), "meet": TenantTerms(20.0, 20.0, 4)}
+        "failed": TenantTerms(20.0, 20.0, 1),
+        "lucky": TenantTerms(2.0, 100.0, 0),
+        "exceeded": TenantTerms(2.0, 100.0, 3),
+        "meet": TenantTerms(20.0, 20.0, 4),
+    }
 
     def test_nobody_is_cut_while_nobody_fails_inside_its_quota(self):
         line = Timeline(ingress(self.TERMS)).play("""
@@ -80,18 +83,23 @@
     def test_cuts_go_lucky_then_exceeded_then_meet(self):
         """At most MOST_CUT steps are taken off one at a time: what is missing then goes to the next."""
         for failing, exceeded, order in (
-                ("20", "4", ["lucky"]), ("2", "200", ["lucky", "exceeded"]),
-                ("300", "4", ["lucky", "exceeded", "meet"])):
+            ("20", "4", ["lucky"]),
+            ("2", "200", ["lucky", "exceeded"]),
+            ("300", "4", ["lucky", "exceeded", "meet"]),
+        ):
             with self.subTest(order):
-                terms = dict(self.TERMS, failed=TenantTerms(400.0, 400.0, 1),
-                             exceeded=TenantTerms(1.0, 600.0, 3))
+                terms = dict(self.TERMS, failed=TenantTerms(400.0, 400.0, 1), exceeded=TenantTerms(1.0, 600.0, 3))
                 line = f"{failing} slow | 40 quick | {exceeded} slow | 4 quick\n"
                 played = Timeline(ingress(terms)).play("failed | lucky | exceeded | meet\n" + line * 2)
                 self.assertEqual(played.cut_keys(), order)
 
     def test_meet_is_cut_last_and_below_the_worth_of_what_fails(self):
-        terms = {"failed": TenantTerms(400.0, 400.0, 1), "dear": TenantTerms(40.0, 40.0, 0),
-                 "cheap": TenantTerms(40.0, 40.0, 5), "cheaper": TenantTerms(40.0, 40.0, 6)}
+        terms = {
+            "failed": TenantTerms(400.0, 400.0, 1),
+            "dear": TenantTerms(40.0, 40.0, 0),
+            "cheap": TenantTerms(40.0, 40.0, 5),
+            "cheaper": TenantTerms(40.0, 40.0, 6),
+        }
         line = Timeline(ingress(terms)).play("""
             failed   | dear     | cheap    | cheaper
             100 slow | 20 quick | 20 quick | 20 quick
@@ -143,7 +151,7 @@
 
     def test_steps_scale_with_the_confidence_in_the_fit(self):
         line = Timeline(ingress(self.TERMS))
-        for i in range(40):     # latency follows the rate to a hair
+        for i in range(40):  # latency follows the rate to a hair
             line.made.regulator.fit.add(1.0 + i % 5, 0.2 + 0.01 * (i % 5), 0.98)
         line.play("""
             failed  | lucky
@@ -152,8 +160,10 @@
         """)
         flows = line.made.regulator.active
         total = sum(flow.rate for flow in flows.values())
-        self.assertAlmostEqual(flows["lucky"].rate - line.caps()["lucky"],
-                               FULL_STEP * min(STEP * total, MOST_CUT * STEP * flows["lucky"].rate))
+        self.assertAlmostEqual(
+            flows["lucky"].rate - line.caps()["lucky"],
+            FULL_STEP * min(STEP * total, MOST_CUT * STEP * flows["lucky"].rate),
+        )
 
     def test_a_decision_stands_for_m_steps_and_falls_when_the_failing_latency_rises(self):
         line = Timeline(ingress(self.TERMS)).play("""
@@ -169,14 +179,14 @@
 
     def test_a_decision_holds_while_what_is_seen_is_as_predicted(self):
         line = Timeline(ingress(self.TERMS))
-        line.play("failed | lucky\n" + "10 slow | 20 quick\n" * 12)   # averages have settled
+        line.play("failed | lucky\n" + "10 slow | 20 quick\n" * 12)  # averages have settled
         made = line.made.regulator.cut
         made.worst, made.predicted = 2.5, 1.0
         made.rates.update({key: flow.rate for key, flow in line.made.regulator.active.items()})
         made.steps = STEPS
         line.play("failed | lucky\n10 slow | 20 quick")
         self.assertIs(line.made.regulator.cut, made)
-        made.predicted = 0.2    # seen is more than twice that
+        made.predicted = 0.2  # seen is more than twice that
         line.play("failed | lucky\n10 slow | 20 quick")
         self.assertIsNot(line.made.regulator.cut, made)
 
@@ -241,8 +251,14 @@
         return max(sum(at - 5.0 < other <= at for other in passed) for at in passed), len(passed)
 
     def test_summed_over_ingresses_a_flood_passes_no_more_than_the_quota(self):
-        for gateways, rate, burst, extra in ((1, 20.0, 20.0, 1.0), (14, 81.0, 81.0, 1.0), (14, 20.0, 10.0, 1.0),
-                                          (14, 8.0, 0.0, 1.0), (96, 40.0, 40.0, 0.1), (96, 10.0, 10.0, 0.1)):
+        for gateways, rate, burst, extra in (
+            (1, 20.0, 20.0, 1.0),
+            (14, 81.0, 81.0, 1.0),
+            (14, 20.0, 10.0, 1.0),
+            (14, 8.0, 0.0, 1.0),
+            (96, 40.0, 40.0, 0.1),
+            (96, 10.0, 10.0, 0.1),
+        ):
             for shift in (False, True):
                 with self.subTest(gateways=gateways, rate=rate, burst=burst, shift=shift):
                     most, total = self.flood(gateways, rate, burst, extra, seed=gateways, shift=shift)
@@ -255,7 +271,7 @@
         made.configure({"t": TenantTerms(4.0, 4.0, 0)}, 0.0)
         made.slice_of("t", 0.05, 0.0, roomy=True)
         self.assertTrue(all(made.admit("t", 1.0, 10.0 * i).ok for i in range(1, 20)))
-        made.slice_of("t", 0.05, 200.0)     # not any more: what was saved up is gone
+        made.slice_of("t", 0.05, 200.0)  # not any more: what was saved up is gone
         self.assertLess(made.held(200.0)["t"].level, 0.21)
 
     def test_the_wait_told_is_when_it_passes(self):
@@ -265,7 +281,7 @@
         self.assertEqual((verdicts[2].reason, verdicts[2].wait), ("quota", 0.25))
         self.assertFalse(made.admit("t", 1.0, START + 0.24, again=True).ok)
         self.assertTrue(made.admit("t", 1.0, START + 0.25, again=True).ok)
-        self.assertAlmostEqual(made.asks(START + 0.25)["t"], 3 * 0.3466, delta=0.1)    # held ones count once
+        self.assertAlmostEqual(made.asks(START + 0.25)["t"], 3 * 0.3466, delta=0.1)  # held ones count once
 
     def test_without_a_lease_only_the_floor_passes(self):
         made = ingress({"t": TenantTerms(100.0, 100.0, 0)})
@@ -309,8 +325,7 @@
     @staticmethod
     def hot(made: list[Admission], now: float = START, span: float = 5.0, asks: int = 5) -> int:
         """How many pass of a tenant that begins to ask everywhere, this often a second at each."""
-        return sum(each.admit("a", 1.0, now + i / asks).ok
-                   for i in range(int(span * asks) + 1) for each in made)
+        return sum(each.admit("a", 1.0, now + i / asks).ok for i in range(int(span * asks) + 1) for each in made)
 
     def test_a_bucket_falls_to_the_floor_as_its_lease_ends_though_nobody_looked(self):
         """Else a gateway that stood still passes what others have been lent since."""
@@ -343,6 +358,5 @@
         extra = 96 * beside_slices(20.0, 20.0, 5.0, 0.1, 20.0, 96)[1]
         for seed in range(12):
             passed.append(self.hot(self.fleet(96, terms, 0.65, seed)))
-            self.assertLessEqual(abs(passed[-1] - (78.0 + extra)), 3.0 * 96 ** 0.5 / 2)
-        self.assertLess(pstdev(passed), 5.0)   # about 10 where each ask is drawn for by itself
-
+            self.assertLessEqual(abs(passed[-1] - (78.0 + extra)), 3.0 * 96**0.5 / 2)
+        self.assertLess(pstdev(passed), 5.0)  # about 10 where each ask is drawn for by itself
--- a/tests/crowseam/test_capacity.py
+++ b/tests/crowseam/test_capacity.py
@@ -23,8 +23,13 @@
 
 class LoadTest(unittest.TestCase):
     def test_a_bad_load_is_told_by_its_field(self):
-        for text, field in ((b"gateways = [0]", "gateways[0]"), (b'heartbeat = "x"', "heartbeat"), (b"heartbeat = =", "FILE"),
-                            (b"servres = 3", "servres"), (b"services = 9\nroutes = 5", "services")):
+        for text, field in (
+            (b"gateways = [0]", "gateways[0]"),
+            (b'heartbeat = "x"', "heartbeat"),
+            (b"heartbeat = =", "FILE"),
+            (b"servres = 3", "servres"),
+            (b"services = 9\nroutes = 5", "services"),
+        ):
             with self.assertRaises(BadInputError) as told:
                 loads.parse(text)
             self.assertEqual(told.exception.field, field)
@@ -80,8 +85,9 @@
         link.data_received(data[9:])
         self.assertEqual(heard, [m.Quiet([]), m.Bye()])
         told = traffic.told()
-        self.assertEqual({what: count for what, (count, _) in told.items()},
-                         {"in Quiet": 1, "in newer": 1, "in Bye": 1})
+        self.assertEqual(
+            {what: count for what, (count, _) in told.items()}, {"in Quiet": 1, "in newer": 1, "in Bye": 1}
+        )
         self.assertEqual(sum(size for _, size in told.values()), len(data))
 
     def test_the_answers_of_controllers_are_read_in_order(self):
@@ -121,11 +127,12 @@
             self.assertIsNone(procfs.usage(8, Path(folder)))
 
     def test_quantiles_are_of_the_values(self):
-        self.assertEqual(scale_run.spread([0.001 * n for n in range(1, 101)]),
-                         {"count": 100, "p50": 50.0, "p99": 99.0, "worst": 100.0})
+        self.assertEqual(
+            scale_run.spread([0.001 * n for n in range(1, 101)]),
+            {"count": 100, "p50": 50.0, "p99": 99.0, "worst": 100.0},
+        )
         self.assertEqual(scale_run.spread([])["worst"], None)
-        self.assertEqual(scale_run.summed([{"a": [1, 2]}, {"a": [3, 4], "b": [1, 1]}]),
-                         {"a": [4, 6], "b": [1, 1]})
+        self.assertEqual(scale_run.summed([{"a": [1, 2]}, {"a": [3, 4], "b": [1, 1]}]), {"a": [4, 6], "b": [1, 1]})
 
 
 class FitTest(unittest.TestCase):
@@ -156,8 +163,11 @@
     def test_tables_go_between_their_markers_and_nothing_else_changes(self):
         text = "a\n<!-- capacity runs begin -->\nold\n<!-- capacity runs end -->\nb\n"
         told = fill(text, {"runs": page.markdown([{"x": 1, "y": "a|b"}])})
-        self.assertEqual(told, "a\n<!-- capacity runs begin -->\n| x | y |\n| --- | --- |\n| 1 | a/b |\n"
-                               "<!-- capacity runs end -->\nb\n")
+        self.assertEqual(
+            told,
+            "a\n<!-- capacity runs begin -->\n| x | y |\n| --- | --- |\n| 1 | a/b |\n"
+            "<!-- capacity runs end -->\nb\n",
+        )
         self.assertEqual(fill(told, {}), told)
         with self.assertRaises(BadInputError):
             fill(text, {"gateway": ""})
@@ -165,16 +175,20 @@
     def test_sweeps_and_goals_make_rows(self):
         with tempfile.TemporaryDirectory() as folder:
             Path(folder, "goals.toml").write_text(
-                '[size]\ngateways = 510\n[[rows]]\nrow = "gateway: cores"\nmost = 0.01\nmechanism = "one loop"\n')
+                '[size]\ngateways = 510\n[[rows]]\nrow = "gateway: cores"\nmost = 0.01\nmechanism = "one loop"\n'
+            )
             Path(folder, "sweep-bench.toml").write_text(
                 'name = "bench"\nsource = "journal"\nby = "gateways"\n[[rows]]\nrole = "gateway"\n'
                 'quantity = "cores"\nunit = "cores"\nvalues = { 10 = 0.01, 20 = 0.02, 60 = 0.06 }\n'
                 '[[rows]]\nrole = "gateway"\nquantity = "MB"\nunit = "MB"\n'
-                'values = { 10 = 80, 20 = 82, 50 = 79 }\n'
-                '[[rows]]\nrole = "gateway"\nquantity = "files"\nunit = "files"\nvalues = { 10 = 1, 20 = 2 }\n')
+                "values = { 10 = 80, 20 = 82, 50 = 79 }\n"
+                '[[rows]]\nrole = "gateway"\nquantity = "files"\nunit = "files"\nvalues = { 10 = 1, 20 = 2 }\n'
+            )
             rows = page.tables(*page.read(Path(folder)))["gateway"]
-            self.assertEqual([row["at the size to come"] for row in rows],
-                             ["0.51 (beyond)", "80.3, far: measured to 50", "not carried on from 2 sizes"])
+            self.assertEqual(
+                [row["at the size to come"] for row in rows],
+                ["0.51 (beyond)", "80.3, far: measured to 50", "not carried on from 2 sizes"],
+            )
             self.assertEqual(rows[0]["how"], "bench")
             Path(folder, "sweep-bad.toml").write_text("name = 3")
             with contextlib.redirect_stderr(io.StringIO()) as told:
@@ -193,20 +207,26 @@
 class HollowTest(unittest.TestCase):
     def test_hollow_gateways_open_sessions_report_and_follow(self):
         """Real sockets: a stand-in controller on loopback that answers the first report and ends the test."""
+
         async def play():
             loop, opened, reported, done = asyncio.get_running_loop(), [], [], asyncio.Event()
 
             def heard(link, message):
                 if isinstance(message, m.Open):
                     opened.append(message)
-                    link.send(m.Welcome("127.0.0.1:8407", []), m.Servers("r", 1, True, []),
-                              m.State(3, b"-"), m.Pulse(2, 3, True))
+                    link.send(
+                        m.Welcome("127.0.0.1:8407", []),
+                        m.Servers("r", 1, True, []),
+                        m.State(3, b"-"),
+                        m.Pulse(2, 3, True),
+                    )
                 elif isinstance(message, m.Report):
                     reported.append(message)
                     if len(reported) > 6:
                         done.set()
 
             from crowseam.transport.links import Link
+
             server = await loop.create_server(lambda: Link(heard, lambda link: None), "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             crowd = hollow_peers.Gateways(loop, hollow_peers.Job(SMALL, ["127.0.0.1:8407"], port, 0, 2))
--- a/tests/crowseam/test_check_agreement.py
+++ b/tests/crowseam/test_check_agreement.py
@@ -16,11 +16,20 @@
     def test_a_fixed_set_has_every_climate_and_no_violation(self):
         report = run(range(40))
         self.assertEqual(report.violations, [])
-        self.assertEqual({name.removeprefix("climate ") for name in report.outcomes if "climate" in name},
-                         CLIMATES)
-        for fault in ("one_way_cut inward", "one_way_cut outward", "flapping links", "frozen, messages lost",
-                      "frozen, messages wait", "disk hangs", "rows damaged", "eight at once", "answer lost",
-                      "sent again restart", "crash amid a ballot"):
+        self.assertEqual({name.removeprefix("climate ") for name in report.outcomes if "climate" in name}, CLIMATES)
+        for fault in (
+            "one_way_cut inward",
+            "one_way_cut outward",
+            "flapping links",
+            "frozen, messages lost",
+            "frozen, messages wait",
+            "disk hangs",
+            "rows damaged",
+            "eight at once",
+            "answer lost",
+            "sent again restart",
+            "crash amid a ballot",
+        ):
             self.assertGreater(report.outcomes[f"fault {fault}"], 0, fault)
 
     def test_each_known_mutant_is_found_at_its_seed(self):
--- a/tests/crowseam/test_check_callers.py
+++ b/tests/crowseam/test_check_callers.py
@@ -47,8 +47,23 @@
     def test_a_fixed_set_breaks_nothing_and_answers_many(self):
         report = check.run(range(64))
         self.assertEqual(report.violations, [])
-        for outcome in ("200", "429", "500", "502", "503", "504", "no answer", "drain 200", "leave 200",
-                        "retire 200", "look 200", "read 200", "change 200", "change 412", "unknown 404"):
+        for outcome in (
+            "200",
+            "429",
+            "500",
+            "502",
+            "503",
+            "504",
+            "no answer",
+            "drain 200",
+            "leave 200",
+            "retire 200",
+            "look 200",
+            "read 200",
+            "change 200",
+            "change 412",
+            "unknown 404",
+        ):
             self.assertGreater(report.outcomes[outcome], 0, outcome)
 
     def test_a_seed_plays_the_same_each_time(self):
--- a/tests/crowseam/test_check_cutoff.py
+++ b/tests/crowseam/test_check_cutoff.py
@@ -41,10 +41,12 @@
                 self.part(way)
                 cut_at = self.system.world.now
                 for method, path, body in (
-                        ("GET", "/-/config", b""), ("DELETE", "/-/backends/i-9", b""),
-                        ("PUT", "/-/backends/i-1", heartbeat("i-1", "draining", 2)),
-                        ("POST", "/-/retire", b'{"id": "never-heard-of"}'),
-                        ("POST", "/-/retire", b'{"id": "i-1"}')):
+                    ("GET", "/-/config", b""),
+                    ("DELETE", "/-/backends/i-9", b""),
+                    ("PUT", "/-/backends/i-1", heartbeat("i-1", "draining", 2)),
+                    ("POST", "/-/retire", b'{"id": "never-heard-of"}'),
+                    ("POST", "/-/retire", b'{"id": "i-1"}'),
+                ):
                     answer = self.call("r1", method, path, body)
                     self.assertEqual(answer.status, 503, path)
                     self.assertIn(b"retry-after", answer.headers, path)
@@ -60,7 +62,7 @@
     def test_a_refusal_waits_for_a_majority_in_touch_since_the_call(self):
         self.assertEqual(self.call("r1", "POST", "/-/retire", b'{"id": "never-heard-of"}').status, 404)
         self.assertEqual(self.call("r1", "POST", "/-/retire", b'{"id": "i-1"}').status, 409)
-        self.part()     # its detector has yet to notice
+        self.part()  # its detector has yet to notice
         self.assertEqual(self.call("r1", "POST", "/-/retire", b'{"id": "never-heard-of"}').status, 503)
 
     def test_a_server_heartbeats_elsewhere_before_it_is_taken_for_silent(self):
@@ -86,13 +88,14 @@
                 self.system.heal()
         self.assertEqual(quiet, [])
         self.system.world.run(self.system.world.now + 5.0)
-        self.assertEqual(quiet, [["i-1"]])      # it has really fallen silent
+        self.assertEqual(quiet, [["i-1"]])  # it has really fallen silent
 
 
 class WhereTo(unittest.TestCase):
     def test_two_controllers_of_the_own_zone_that_answer_nothing_are_not_tried_in_turns_for_ever(self):
-        settings = Settings("edge-1", "10.1.0.9", "z", (7660, 7675),
-                    ["10.1.0.1:8407", "10.1.0.2:8407", "10.2.0.1:8407"], Bind())
+        settings = Settings(
+            "edge-1", "10.1.0.9", "z", (7660, 7675), ["10.1.0.1:8407", "10.1.0.2:8407", "10.2.0.1:8407"], Bind()
+        )
         controller_session = ControllerSession(mock.Mock(), settings, Random(1), None, None, None, dict)
         now, tried = 0.0, []
         with mock.patch.object(clock, "monotonic", lambda: now):
--- a/tests/crowseam/test_check_handover.py
+++ b/tests/crowseam/test_check_handover.py
@@ -7,8 +7,8 @@
 from crowseam.discovery.service_registry import Heartbeat, ServiceRegistry
 from crowseam.model_checks.handover.check import run
 
-OLD = {"a": "1", "b": "2", "c": "3"}    # ids by address
-NEW = {"a": "1", "b": "2", "n": "9"}    # the newcomer has taken the place of c
+OLD = {"a": "1", "b": "2", "c": "3"}  # ids by address
+NEW = {"a": "1", "b": "2", "n": "9"}  # the newcomer has taken the place of c
 
 
 class CheckTest(unittest.TestCase):
@@ -61,7 +61,7 @@
         self.assertEqual((handover.ready, handover.counts, handover.learning), (True, False, False))
         handover.seat(NEW, 1.0)
         self.assertEqual((handover.ready, handover.learning), (False, True))
-        self.assertEqual(self.answer(handover, learn, "1", "2"), [False, False])    # late, of before
+        self.assertEqual(self.answer(handover, learn, "1", "2"), [False, False])  # late, of before
         again = self.asked(handover, 1.0)
         self.assertEqual(list(again), ["a", "b", "c"])
         self.assertEqual(self.answer(handover, again["a"], "1", "3"), [False, True])
@@ -94,11 +94,10 @@
         voter = Handover("1", True)
         voter.seat(OLD, 0.0)
         told = voter.answer(Learn(4, 7, 6), registry, {"k": 3}, 7, 6, 0.1)
-        self.assertEqual((told.number, told.by, [r.id for r in told.records], told.fences),
-                         (4, "1", ["out"], {"k": 3}))
-        self.assertIsNone(voter.answer(Learn(4, 5, 2), registry, {}, 7, 6, 0.1))    # asker behind
-        self.assertIsNone(voter.answer(Learn(4, 9, 8), registry, {}, 7, 6, 0.1))    # voter behind
-        voter.seat({"b": "2", "c": "3", "n": "9"}, 1.0)     # it was replaced, and knows what it confirmed
+        self.assertEqual((told.number, told.by, [r.id for r in told.records], told.fences), (4, "1", ["out"], {"k": 3}))
+        self.assertIsNone(voter.answer(Learn(4, 5, 2), registry, {}, 7, 6, 0.1))  # asker behind
+        self.assertIsNone(voter.answer(Learn(4, 9, 8), registry, {}, 7, 6, 0.1))  # voter behind
+        voter.seat({"b": "2", "c": "3", "n": "9"}, 1.0)  # it was replaced, and knows what it confirmed
         self.assertIsNotNone(voter.answer(Learn(4, 8, 8), registry, {}, 8, 8, 1.0))
         newcomer = Handover("9", False)
         newcomer.seat(OLD, 0.0)
--- a/tests/crowseam/test_check_membership.py
+++ b/tests/crowseam/test_check_membership.py
@@ -59,8 +59,7 @@
             world.run_until(world.now + 0.001)
         self.assertFalse(node.leaving)
         self.assertLess(world.now, 3.0)
-        struck = next(slot for slot, entry in sorted(world.chosen.items(), reverse=True)
-                      if isinstance(entry, Voters))
+        struck = next(slot for slot, entry in sorted(world.chosen.items(), reverse=True) if isinstance(entry, Voters))
         self.assertEqual(voting(world), ["m1", "m2", "m3"])
         knowing = [a for a in ("m1", "m2", "m3") if struck in world.hosts[a].disk.content.chosen]
         self.assertGreaterEqual(len(knowing), 2)
@@ -118,8 +117,16 @@
         silence = {"b": 1.0}
 
         def wanted() -> list[Voter] | None:
-            return propose(voters, [Voter("f", "f")], {"a"}, lambda addr: silence.get(addr, 0.0), survive=2,
-                           sure=0.75, replace_after=1.2, evict_after=2.0)
+            return propose(
+                voters,
+                [Voter("f", "f")],
+                {"a"},
+                lambda addr: silence.get(addr, 0.0),
+                survive=2,
+                sure=0.75,
+                replace_after=1.2,
+                evict_after=2.0,
+            )
 
         self.assertIsNone(wanted())
         silence["b"] = 1.3
--- a/tests/crowseam/test_check_orders.py
+++ b/tests/crowseam/test_check_orders.py
@@ -41,14 +41,14 @@
     def told(self, machine, *orders):
         letters = {Again: "A", Forgotten: "F", Entry: "taken"}
         verdicts = [machine.verdict(one, "t") for one in orders]
-        return " ".join(str(one.status) if isinstance(one, ConfigurationError) else letters[type(one)]
-                        for one in verdicts)
+        return " ".join(
+            str(one.status) if isinstance(one, ConfigurationError) else letters[type(one)] for one in verdicts
+        )
 
     def test_an_order_taken_hundreds_of_changes_ago_is_acknowledged_again(self):
         machine = taking(Machine(), 600)
         self.assertEqual(self.told(machine, order(1, 0), order(300, 299), order(600, 599)), "A A A")
-        self.assertEqual(self.told(machine, order(300, 299, "b"), order(600, 600), order(601, 600)),
-                         "412 400 taken")
+        self.assertEqual(self.told(machine, order(300, 299, "b"), order(600, 600), order(601, 600)), "412 400 taken")
 
     def test_the_memory_goes_with_the_state(self):
         after = Machine()
@@ -59,16 +59,16 @@
         machine = taking(Machine(recent=2, kept=3), 10)
         self.assertEqual(machine.forgotten, 5)
         self.assertEqual(self.told(machine, *(order(ver, ver - 1) for ver in (1, 5, 6, 10))), "F F A A")
-        self.assertEqual(self.told(machine, order(5, 4, "b"), order(6, 5, "b"), order(5, 10), order(5, 5)),
-                         "F 412 400 412")
+        self.assertEqual(
+            self.told(machine, order(5, 4, "b"), order(6, 5, "b"), order(5, 10), order(5, 5)), "F 412 400 412"
+        )
 
     def test_the_memory_is_bounded(self):
         machine = Machine()
         for ver in range(1, RECENT + EARLIER + 11):
             one = order(ver, ver - 1)
             machine.apply(ver, Entry("t", ver, ver - 1, True, one.body, one.digest))
-        self.assertEqual((len(machine.taken), len(machine.earlier), machine.forgotten),
-                         (RECENT, EARLIER, 10))
+        self.assertEqual((len(machine.taken), len(machine.earlier), machine.forgotten), (RECENT, EARLIER, 10))
         self.assertLess(len(machine.take()), RECENT * 90 + EARLIER * 20 + 200)
 
     def test_a_state_of_the_version_before_is_read_and_the_other_way_round(self):
--- a/tests/crowseam/test_cli.py
+++ b/tests/crowseam/test_cli.py
@@ -64,7 +64,6 @@
 
 
 class Calls(unittest.TestCase):
-
     def test_a_put_goes_unchanged_from_one_to_the_next_until_a_clear_answer(self):
         played = Played("""
             a    b    c
@@ -122,7 +121,6 @@
 
 
 class Commands(unittest.TestCase):
-
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -145,9 +143,13 @@
             return control_client.Answer(status, "", data if isinstance(data, bytes) else json.dumps(data).encode())
 
         out, err = io.StringIO(), io.StringIO()
-        with (contextlib.redirect_stdout(out), contextlib.redirect_stderr(err),
-              mock.patch.object(control_client, "send", send), mock.patch("time.sleep", lambda _: None),
-              mock.patch.dict(os.environ)):
+        with (
+            contextlib.redirect_stdout(out),
+            contextlib.redirect_stderr(err),
+            mock.patch.object(control_client, "send", send),
+            mock.patch("time.sleep", lambda _: None),
+            mock.patch.dict(os.environ),
+        ):
             os.environ.pop("CROWSEAM_BOOT", None)
             code = run(list(words))
         return code, out.getvalue(), err.getvalue()
@@ -156,8 +158,11 @@
         config = self.file("c.json", demo_files.configuration())
         broken = self.file("b.json", demo_files.configuration() | {"ver": "1"})
         cases = [
-            (["frobnicate"], "arguments"), ([], "arguments"), (["config", "put"], "arguments"),
-            (["servers"], "--at"), (["servers", "--at", "nowhere"], "--at"),
+            (["frobnicate"], "arguments"),
+            ([], "arguments"),
+            (["config", "put"], "arguments"),
+            (["servers"], "--at"),
+            (["servers", "--at", "nowhere"], "--at"),
             (["servers", "--at", ","], "--at"),
             (["servers", "--at", "h:1", "--within", "soon"], "--within"),
             (["servers", "--at", "h:1", "--within", "-1"], "--within"),
@@ -189,17 +194,21 @@
             code, out, _ = self.crowseam("config", "put", self.file("c", body), "--at", "h:1", answer=(200, {}))
             self.assertEqual((code, self.calls.pop()), (0, ("h:1", method, "/-/config", body)))
             self.assertIn("taken", out)
-        code, out, err = self.crowseam("config", "put", self.file("c", whole), "--at", "h:1",
-                                    answer=(412, b"version 00000009 is current"))
+        code, out, err = self.crowseam(
+            "config", "put", self.file("c", whole), "--at", "h:1", answer=(412, b"version 00000009 is current")
+        )
         self.assertEqual((code, out, err), (3, "", "refused with 412: version 00000009 is current\n"))
-        self.assertEqual(self.crowseam("config", "put", self.file("c", whole), "--at", "h:1",
-                                    "--within", "0.001")[0], 1)
+        self.assertEqual(
+            self.crowseam("config", "put", self.file("c", whole), "--at", "h:1", "--within", "0.001")[0], 1
+        )
 
     def test_the_addresses_come_from_the_settings_file(self):
         told = self.file("node.json", demo_files.settings(0, "controller", self.folder))
-        with mock.patch.object(control_client, "send", lambda *_: control_client.Answer(200, "", b"[]")) as _, \
-                mock.patch.dict(os.environ, {"CROWSEAM_BOOT": told}), \
-                contextlib.redirect_stdout(io.StringIO()) as out:
+        with (
+            mock.patch.object(control_client, "send", lambda *_: control_client.Answer(200, "", b"[]")) as _,
+            mock.patch.dict(os.environ, {"CROWSEAM_BOOT": told}),
+            contextlib.redirect_stdout(io.StringIO()) as out,
+        ):
             self.assertEqual(run(["servers"]), 0)
         self.assertEqual(out.getvalue(), "none\n")
 
@@ -207,34 +216,50 @@
         def two_of_three(address):
             if address == "c:1":
                 raise control_client.NoAnswerError("timed out")
-            return 200, {"ver": "0000000c", "in_touch": True, "voter": True} if address == "a:1" else \
-                {"ver": "0000000b", "in_touch": False, "disk_late_s": 2.0, "silent": ["i-1"], "gateways": 0}
+            return 200, {"ver": "0000000c", "in_touch": True, "voter": True} if address == "a:1" else {
+                "ver": "0000000b",
+                "in_touch": False,
+                "disk_late_s": 2.0,
+                "silent": ["i-1"],
+                "gateways": 0,
+            }
 
         code, out, _ = self.crowseam("status", "--at", "a:1,b:1,c:1", answer=two_of_three)
         self.assertEqual(code, 1)
-        self.assertEqual([line for line in out.splitlines() if line.startswith("WRONG")], [
-            "WRONG b:1: reaches no majority of the voters",
-            "WRONG b:1: its disk has not written for 2.0 s",
-            "WRONG b:1: servers that give no sign of life: i-1",
-            "WRONG b:1: knows of no gateways",
-            "WRONG c:1 does not answer: timed out",
-            "WRONG versions differ: 0000000b at b:1; 0000000c at a:1"])
+        self.assertEqual(
+            [line for line in out.splitlines() if line.startswith("WRONG")],
+            [
+                "WRONG b:1: reaches no majority of the voters",
+                "WRONG b:1: its disk has not written for 2.0 s",
+                "WRONG b:1: servers that give no sign of life: i-1",
+                "WRONG b:1: knows of no gateways",
+                "WRONG c:1 does not answer: timed out",
+                "WRONG versions differ: 0000000b at b:1; 0000000c at a:1",
+            ],
+        )
         code, out, _ = self.crowseam("status", "--at", "a:1", answer=(200, {"ver": "0000000c", "servers": 3}))
         self.assertEqual((code, out.splitlines()[0]), (0, "nothing is wrong"))
 
     def test_the_demonstration_says_what_did_not_hold(self):
         seen = demo.Seen(
             tenants={"kitchen": demo.Count(100, 96, 4), "pantry": demo.Count(60, 20, 40)},
-            served_at={"pantry": [0.3 * number for number in range(20)]}, runs=Counter(["a", "b"]),
-            served_while_down=9, versions=["00000002"] * 3, new_route=[200] * 3)
+            served_at={"pantry": [0.3 * number for number in range(20)]},
+            runs=Counter(["a", "b"]),
+            served_while_down=9,
+            versions=["00000002"] * 3,
+            new_route=[200] * 3,
+        )
         self.assertEqual([ok for ok, _ in demo.verdict(seen)], [True] * 7)
         worse = demo.Seen(
             tenants={"kitchen": demo.Count(100, 94, 6), "pantry": demo.Count(60, 40, 20)},
-            served_at={"pantry": [0.12 * number for number in range(40)]}, runs=Counter(["a", "b", "a"]),
-            versions=["00000002", "00000001", "none"], new_route=[200, 404, 200], late_at_left=1)
+            served_at={"pantry": [0.12 * number for number in range(40)]},
+            runs=Counter(["a", "b", "a"]),
+            versions=["00000002", "00000001", "none"],
+            new_route=[200, 404, 200],
+            late_at_left=1,
+        )
         self.assertEqual([ok for ok, _ in demo.verdict(worse)], [False] * 7)
-        self.assertEqual([demo.most_within(times, 5.0) for times in ([], [0, 5], [9, 0, 4, 4.9])],
-                         [0, 1, 3])
+        self.assertEqual([demo.most_within(times, 5.0) for times in ([], [0, 5], [9, 0, 4, 4.9])], [0, 1, 3])
 
     def test_the_files_of_the_demonstration_pass_the_checks(self):
         for _, file in demo_files.write(self.folder / "cell"):
@@ -245,23 +270,23 @@
         self.assertEqual((code, err), (2, "--seconds: 3 is under 10\n"))
 
     def test_tables_and_json(self):
-        data = {"servers": {"i-2": {"svc": "menu", "slots": 4, "draining": True},
-                            "i-10": {"svc": "x\x1b[2J"}}}
+        data = {"servers": {"i-2": {"svc": "menu", "slots": 4, "draining": True}, "i-10": {"svc": "x\x1b[2J"}}}
         code, out, _ = self.crowseam("servers", "--at", "h:1", answer=(200, data))
-        self.assertEqual((code, out), (0, "ID    SVC    SLOTS  DRAINING\n"
-                                          "i-2   menu   4      yes\n"
-                                          "i-10  x?[2J  -      -\n"))
+        self.assertEqual(
+            (code, out), (0, "ID    SVC    SLOTS  DRAINING\n" "i-2   menu   4      yes\n" "i-10  x?[2J  -      -\n")
+        )
         out = self.crowseam("servers", "--at", "h:1", "--json", answer=(200, data))[1]
         self.assertEqual(json.loads(out), data)
         self.assertEqual(self.crowseam("servers", "--at", "h:1", answer=(200, b"<html>"))[0], 1)
-        self.assertEqual(table(rows([{"a": 0.25, "b": [1, 2]}, {"a": None}], "x")),
-                         "A     B\n0.25  1,2\n-     -\n")
+        self.assertEqual(table(rows([{"a": 0.25, "b": [1, 2]}, {"a": None}], "x")), "A     B\n0.25  1,2\n-     -\n")
 
     def test_retire_says_what_and_whether_to_undo(self):
         self.crowseam("retire", "--version", "v2", "--svc", "menu", "--at", "h:1", answer=(200, {"servers": 3}))
         self.crowseam("retire", "--zone", "a", "--undo", "--at", "h:1", answer=(200, b""))
-        self.assertEqual([json.loads(call[3]) for call in self.calls],
-                         [{"undo": False, "ver": "v2", "svc": "menu"}, {"undo": True, "az": "a"}])
+        self.assertEqual(
+            [json.loads(call[3]) for call in self.calls],
+            [{"undo": False, "ver": "v2", "svc": "menu"}, {"undo": True, "az": "a"}],
+        )
 
     def test_a_difference_can_be_sent_as_a_change(self):
         old = demo_files.configuration()
@@ -272,22 +297,34 @@
         new["objs"].append({"type": "svcs", "meta": {"name": "orders"}, "spec": {"hc_path": "/h"}})
         files = self.file("old", old), self.file("new", new)
         out = self.crowseam("config", "diff", *files)[1]
-        self.assertEqual(out.splitlines(), [
-            "00000001 -> 00000009", "~ routes menu-lookup", '    spec.timeout: "2500ms" -> "3s"',
-            "    spec.note: (none) -> null", "- tenants kitchen", "+ svcs orders"])
-        out = self.crowseam("config", "diff", files[1], "--at", "h:1", "--as-patch", "0000000a",
-                         answer=(200, old))[1]
+        self.assertEqual(
+            out.splitlines(),
+            [
+                "00000001 -> 00000009",
+                "~ routes menu-lookup",
+                '    spec.timeout: "2500ms" -> "3s"',
+                "    spec.note: (none) -> null",
+                "- tenants kitchen",
+                "+ svcs orders",
+            ],
+        )
+        out = self.crowseam("config", "diff", files[1], "--at", "h:1", "--as-patch", "0000000a", answer=(200, old))[1]
         made = Configuration.from_put(json.dumps(old).encode()).patched(out.encode())
         aim = Configuration.from_put(json.dumps(new).encode())
         self.assertEqual((made.ver, configuration_diff.differences(made, aim)), (10, []))
 
     def test_one_request_through_many_logs(self):
-        one = self.file("one.log", b"t=10.5 event=arrived id=9c41 path=/a\nt=11.5 event=arrived id=9c412\n"
-                                   b"t=12.5 event=answered id=9c41 status=200\n")
+        one = self.file(
+            "one.log",
+            b"t=10.5 event=arrived id=9c41 path=/a\nt=11.5 event=arrived id=9c412\n"
+            b"t=12.5 event=answered id=9c41 status=200\n",
+        )
         two = self.file("two.log", b'noise 9c41\nt=11.0 event=sent try="9c41" why="slow \\"peer\\""\n')
         code, out, _ = self.crowseam("trace", "9c41", two, one)
-        self.assertEqual((code, [line.split("event=")[1].split()[0] for line in out.splitlines()]),
-                         (0, ["arrived", "sent", "answered"]))
+        self.assertEqual(
+            (code, [line.split("event=")[1].split()[0] for line in out.splitlines()]),
+            (0, ["arrived", "sent", "answered"]),
+        )
         events = json.loads(self.crowseam("trace", "9c41", "--json", two, one)[1])
         self.assertEqual((events[1]["why"], events[1]["line"], events[1]["log"]), ('slow "peer"', 2, two))
         self.assertEqual(self.crowseam("trace", "ffff", one)[0], 1)
@@ -302,8 +339,14 @@
         body = json.dumps(demo_files.configuration()).encode()
         store = Store(self.folder / "old.db")
         store.open()
-        store.write([Identity("genesis/a"), Saved(0, b"", [Voter("genesis/a", "1.1.1.1:1")], 1),
-                     Learned(1, Change("t", 1, 0, True, body, "d")), Promised(2, (3, "b"))])
+        store.write(
+            [
+                Identity("genesis/a"),
+                Saved(0, b"", [Voter("genesis/a", "1.1.1.1:1")], 1),
+                Learned(1, Change("t", 1, 0, True, body, "d")),
+                Promised(2, (3, "b")),
+            ]
+        )
         copy = str(self.folder / "copy")
         code, _, err = self.crowseam("snapshot", str(store.path), copy)
         self.assertEqual(code, 1)
@@ -329,7 +372,6 @@
 
 
 class Checks(unittest.TestCase):
-
     def test_settings(self):
         good = demo_files.settings(1, "gateway", Path("/x"))
         self.assertEqual(file_checks.check_settings(json.dumps(good | {"new": 1}).encode()), [])
@@ -338,9 +380,22 @@
         bad |= {"az": "moon", "seeds": ["10.0.0.1"], "port_range": [9, 3], "ip": "1.2.3", "voting": True}
         bad["bounds"] |= {"drain": "soon", "retry_ratio": -0.1}
         bad["limits"]["nofile"] = "many"
-        self.assertEqual(sorted(field for field, _ in file_checks.check_settings(json.dumps(bad).encode())), [
-            "az", "bind.readyz", "bounds.ack", "bounds.drain", "bounds.retry_ratio", "datadir", "hb", "ip",
-            "limits.nofile", "port_range", "seeds[0]"])
+        self.assertEqual(
+            sorted(field for field, _ in file_checks.check_settings(json.dumps(bad).encode())),
+            [
+                "az",
+                "bind.readyz",
+                "bounds.ack",
+                "bounds.drain",
+                "bounds.retry_ratio",
+                "datadir",
+                "hb",
+                "ip",
+                "limits.nofile",
+                "port_range",
+                "seeds[0]",
+            ],
+        )
         for body in (b"", b"[]", b"\xff"):
             self.assertTrue(file_checks.check_settings(body))
 
@@ -359,17 +414,22 @@
             serves = ["ctl"]
         """
         self.assertEqual(file_checks.check_deploy(good.encode()), [])
-        cases = [("share = 1.0", "share = 1.5", "roles.gateway.share"), ("share = 1.0", "", "roles.gateway.share"),
-                 ("count = 2", "count = 0", "roles.controller.count"),
-                 ("count = 2", "count = 2\nshare = 0.5", "roles.controller.count"),
-                 ('run = "python3 -m crowseam gateway"', 'run = "env A=1 x"', "roles.gateway.run"),
-                 ('run = "python3 -m crowseam gateway"', 'run = "x | y"', "roles.gateway.run"),
-                 ('run = "python3 -m crowseam gateway"', "", "roles.gateway.run"),
-                 ('["ctl"]', '["edge"]', "roles.controller.serves[0]"), ('["ctl"]', "[]", "roles"),
-                 ('["ctl"]', '["ctl", "dns"]', "roles.controller.serves[1]"),
-                 ("count = 2", 'count = "2"', "roles.controller.count"), ('build = "make"', "", "build"),
-                 ("count = 2", "count = 2\nports = 1", "roles.controller.ports"),
-                 ("[roles.gateway]", "[roles", "")]
+        cases = [
+            ("share = 1.0", "share = 1.5", "roles.gateway.share"),
+            ("share = 1.0", "", "roles.gateway.share"),
+            ("count = 2", "count = 0", "roles.controller.count"),
+            ("count = 2", "count = 2\nshare = 0.5", "roles.controller.count"),
+            ('run = "python3 -m crowseam gateway"', 'run = "env A=1 x"', "roles.gateway.run"),
+            ('run = "python3 -m crowseam gateway"', 'run = "x | y"', "roles.gateway.run"),
+            ('run = "python3 -m crowseam gateway"', "", "roles.gateway.run"),
+            ('["ctl"]', '["edge"]', "roles.controller.serves[0]"),
+            ('["ctl"]', "[]", "roles"),
+            ('["ctl"]', '["ctl", "dns"]', "roles.controller.serves[1]"),
+            ("count = 2", 'count = "2"', "roles.controller.count"),
+            ('build = "make"', "", "build"),
+            ("count = 2", "count = 2\nports = 1", "roles.controller.ports"),
+            ("[roles.gateway]", "[roles", ""),
+        ]
         for old, new, field in cases:
             with self.subTest(new=new):
                 found = file_checks.check_deploy(good.replace(old, new, 1).encode())
--- a/tests/crowseam/test_configuration.py
+++ b/tests/crowseam/test_configuration.py
@@ -18,13 +18,24 @@
 
 
 def svc(name, **spec):
-    return {"type": "svcs", "meta": {"name": name},
-            "spec": {"hc_path": "/healthz", "maxconn": 9, "proto": "h1", "tls": False} | spec}
+    return {
+        "type": "svcs",
+        "meta": {"name": name},
+        "spec": {"hc_path": "/healthz", "maxconn": 9, "proto": "h1", "tls": False} | spec,
+    }
 
 
 def route(name, prefix="/a/", vhost="h.example", **spec):
-    base = {"vhost": vhost, "prefix": prefix, "kind": "safe", "timeout": "1500ms", "target_time": "600ms",
-            "prio": 2, "tries": 2, "public": False}
+    base = {
+        "vhost": vhost,
+        "prefix": prefix,
+        "kind": "safe",
+        "timeout": "1500ms",
+        "target_time": "600ms",
+        "prio": 2,
+        "tries": 2,
+        "public": False,
+    }
     base |= spec if "split" in spec else {"svc": "s"} | spec
     return {"type": "routes", "meta": {"name": name}, "spec": base}
 
@@ -38,8 +49,9 @@
 
 
 def patch(ver, parent, *objs, **remove):
-    return json.dumps({"ver": f"{ver:08x}", "upsert": {"objs": objs}, "remove": remove,
-                       "parent": f"{parent:08x}"}).encode()
+    return json.dumps(
+        {"ver": f"{ver:08x}", "upsert": {"objs": objs}, "remove": remove, "parent": f"{parent:08x}"}
+    ).encode()
 
 
 def taken(current, method, body):
@@ -50,12 +62,10 @@
 
 
 class Refusals(unittest.TestCase):
-
     def refused(self, status, field, current, method, body):
         with self.assertRaises(ConfigurationError) as caught:
             taken(current, method, body)
-        self.assertEqual((caught.exception.status, caught.exception.field), (status, field),
-                         str(caught.exception))
+        self.assertEqual((caught.exception.status, caught.exception.field), (status, field), str(caught.exception))
 
     def test_each_fault_of_an_item_is_named_by_its_field(self):
         split = [{"svc": "s", "wt": 1}, {"svc": "t", "wt": -1}]
@@ -95,8 +105,7 @@
     def test_versions(self):
         cases = [("7", "ver"), (7, "ver"), ("0000000g", "ver"), ("000000007", "ver")]
         for ver, field in cases:
-            self.refused(400, field, EMPTY, "PUT",
-                         json.dumps({"ver": ver, "parent": "00000000", "objs": []}).encode())
+            self.refused(400, field, EMPTY, "PUT", json.dumps({"ver": ver, "parent": "00000000", "objs": []}).encode())
         self.refused(400, "parent", EMPTY, "PUT", b'{"ver":"00000007","objs":[]}')
         self.refused(400, "ver", BASE, "PUT", put(5, 5))
         self.refused(400, "ver", BASE, "PATCH", patch(4, 5))
@@ -119,15 +128,15 @@
 
     def test_a_checker_sees_all_faults_at_once(self):
         body = put(7, 0, svc("s", hc_path="none"), route("a", timeout="11m"), route("b", svc="x"), route("c"))
-        self.assertEqual([fault.field for fault in faults(body)],
-                         ["objs[0].spec.hc_path", "objs[1].spec.timeout", "routes.b.svc"])
+        self.assertEqual(
+            [fault.field for fault in faults(body)], ["objs[0].spec.hc_path", "objs[1].spec.timeout", "routes.b.svc"]
+        )
         self.assertEqual(faults(BASE.dump()), [])
 
 
 class Contents(unittest.TestCase):
-
     def test_what_is_read_back_is_what_was_sent(self):
-        odd = route("r", note={"π": [1.0, 1e2, 10 ** 30]}, timeout="2.5s") | {"labels": ["x"]}
+        odd = route("r", note={"π": [1.0, 1e2, 10**30]}, timeout="2.5s") | {"labels": ["x"]}
         body = put(7, 0, odd, svc("s"), {"type": "limits", "meta": {}, "spec": {"hdr": "1s"}}, origin="hand")
         config = taken(EMPTY, "PUT", body)
         self.assertEqual(json.loads(config.dump()), json.loads(body))
@@ -140,17 +149,19 @@
         self.assertEqual([obj["meta"].get("name", "") for obj in read["objs"]], ["r", "s", "", "q"])
         self.assertEqual(json.loads(config.dump()), json.loads(body), "the base has to stay as it was")
         self.assertEqual(Configuration.from_put(EMPTY.dump()).ver, 0)
-        self.assertEqual(Configuration.from_change(config, False, change).dump(),
-                         config.patched(change).dump())
+        self.assertEqual(Configuration.from_change(config, False, change).dump(), config.patched(change).dump())
 
     def test_the_same_change_is_known_again_and_no_other(self):
         body = put(7, 0, svc("s"), route("r"))
         loose = json.dumps(dict(reversed(json.loads(body).items())), indent=2).encode()
         digest = parse_change("PUT", body).digest
         self.assertEqual(parse_change("PUT", loose).digest, digest)
-        others = [parse_change("PUT", put(7, 0, svc("s"), route("r", tries=1))),
-                  parse_change("PUT", put(7, 0, svc("s"), route("r"), note=1)),
-                  parse_change("PATCH", body), parse_change("PUT", put(7, 5, svc("s"), route("r")))]
+        others = [
+            parse_change("PUT", put(7, 0, svc("s"), route("r", tries=1))),
+            parse_change("PUT", put(7, 0, svc("s"), route("r"), note=1)),
+            parse_change("PATCH", body),
+            parse_change("PUT", put(7, 5, svc("s"), route("r"))),
+        ]
         self.assertEqual(len({digest, *(other.digest for other in others)}), 5)
 
     def test_two_operators_on_one_parent(self):
@@ -184,12 +195,11 @@
         self.assertEqual(sorted(current.of("routes")), ["r", "r6", "r7", "r9"])
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
-    @given(st.integers(0, 10 ** 6),
-           st.sampled_from([b"", b'"', b"\\ud800", b"\x00", b"\xc3", b"{", b"-1", b"]"]))
+    @given(st.integers(0, 10**6), st.sampled_from([b"", b'"', b"\\ud800", b"\x00", b"\xc3", b"{", b"-1", b"]"]))
     def test_damaged_bodies_raise_no_other_error(self, at, piece):
         body = put(7, 0, svc("s"), route("r", split=[{"svc": "s", "wt": 2}]), tenant("n", "k"))
         at %= len(body)
-        damaged = body[:at] + piece + body[at + max(1, len(piece)):]
+        damaged = body[:at] + piece + body[at + max(1, len(piece)) :]
         for method in ("PUT", "PATCH"):
             try:
                 config = taken(EMPTY, method, damaged)
@@ -201,16 +211,34 @@
 
 
 class Routing(unittest.TestCase):
-
     def test_the_longest_prefix_of_the_host(self):
-        table = Table(Configuration.from_put(put(
-            7, 0, svc("s"), route("root", "/"), route("a", "/a/"), route("ab", "/a/b/"),
-            route("other", "/a/b/c/", "Other.Example:80"))))
-        cases = [("h.example", "/", "root"), ("h.example", "/a", "root"), ("h.example", "/a/", "a"),
-                 ("H.Example:8080", "/a/b", "a"), ("h.example", "/a/b/c/d", "ab"),
-                 ("h.example", "/x?y=/a/b/", "root"), ("h.example", "/a?/b/", "root"),
-                 ("other.example", "/a/b/c/", "other"), ("other.example", "/a/b/c", None),
-                 ("h.example", "*", None), ("h.example", "", None), ("none.example", "/a/", None)]
+        table = Table(
+            Configuration.from_put(
+                put(
+                    7,
+                    0,
+                    svc("s"),
+                    route("root", "/"),
+                    route("a", "/a/"),
+                    route("ab", "/a/b/"),
+                    route("other", "/a/b/c/", "Other.Example:80"),
+                )
+            )
+        )
+        cases = [
+            ("h.example", "/", "root"),
+            ("h.example", "/a", "root"),
+            ("h.example", "/a/", "a"),
+            ("H.Example:8080", "/a/b", "a"),
+            ("h.example", "/a/b/c/d", "ab"),
+            ("h.example", "/x?y=/a/b/", "root"),
+            ("h.example", "/a?/b/", "root"),
+            ("other.example", "/a/b/c/", "other"),
+            ("other.example", "/a/b/c", None),
+            ("h.example", "*", None),
+            ("h.example", "", None),
+            ("none.example", "/a/", None),
+        ]
         for host, path, name in cases:
             found = table.route(host.encode(), path.encode())
             self.assertEqual(found and found.name, name, (host, path))
@@ -227,22 +255,24 @@
 
     def test_what_a_route_says(self):
         split = [{"svc": "s", "wt": 30}, {"svc": "t", "wt": 0}, {"svc": "u", "wt": 10}]
-        table = Table(Configuration.from_put(put(
-            7, 0, svc("s"), svc("t"), svc("u"), route("r", kind="unsafe", split=split, timeout="2.5s"))))
+        table = Table(
+            Configuration.from_put(
+                put(7, 0, svc("s"), svc("t"), svc("u"), route("r", kind="unsafe", split=split, timeout="2.5s"))
+            )
+        )
         found = table.route(b"h.example", b"/a/x")
-        self.assertEqual((found.kind, found.timeout, found.target, found.prio, found.tries, found.public),
-                         ("unsafe", 2.5, 0.6, 2, 2, False))
+        self.assertEqual(
+            (found.kind, found.timeout, found.target, found.prio, found.tries, found.public),
+            ("unsafe", 2.5, 0.6, 2, 2, False),
+        )
         self.assertEqual(found.split, (("s", 30.0), ("u", 10.0)))
-        self.assertEqual([found.pick(draw) for draw in (0.0, 0.74, 0.75, 0.999999999999)],
-                         ["s", "s", "u", "u"])
+        self.assertEqual([found.pick(draw) for draw in (0.0, 0.74, 0.75, 0.999999999999)], ["s", "s", "u", "u"])
         self.assertFalse(table.keyed)
 
     def test_keys_come_and_go_and_what_stays_is_kept(self):
         first = Table(BASE)
-        self.assertEqual((first.tenant("k1").name, first.tenant("k1").rate, first.tenant("no")),
-                         ("one", 0.0, None))
-        change = patch(6, 5, tenant("one", "k2", rate_per_s=81, burst=5), tenant("two", "k3"),
-                       route("q", "/q/"))
+        self.assertEqual((first.tenant("k1").name, first.tenant("k1").rate, first.tenant("no")), ("one", 0.0, None))
+        change = patch(6, 5, tenant("one", "k2", rate_per_s=81, burst=5), tenant("two", "k3"), route("q", "/q/"))
         config = BASE.patched(change)
         second = Table(config, first)
         self.assertEqual(second.changed, {("tenants", "one"), ("tenants", "two"), ("routes", "q")})
--- a/tests/crowseam/test_consensus.py
+++ b/tests/crowseam/test_consensus.py
@@ -91,11 +91,14 @@
 
     def test_of_two_that_race_one_is_taken_and_both_hear_at_once(self):
         for seed in range(20):
-            line = Timeline("""
+            line = Timeline(
+                """
                 time  | m0      | m1 | m2
                 1.0   | put 5/0 |    | put 7/0
                 1.2   | settled |    | settled
-            """, seed)
+            """,
+                seed,
+            )
             self.assertEqual(sorted(line.world.outcomes.items()), [("stale", 1), ("taken", 1)])
 
     def test_only_the_greater_side_of_a_cut_takes_changes(self):
@@ -110,12 +113,15 @@
         """)
 
     def test_what_a_dead_proposer_left_is_finished_by_the_others(self):
-        line = Timeline("""
+        line = Timeline(
+            """
             time  | m0           | m1   | m2
             1.0   | put 1/0      |      |
             1.012 | crash        |      |
             1.7   |              |      |
-        """, seed=3)
+        """,
+            seed=3,
+        )
         for machine in ("m1", "m2"):
             self.assertEqual(line.world.hosts[machine].ledger.ver, 1)
         self.assertEqual(line.world.answers, {})
@@ -177,8 +183,9 @@
             3.0  |      | put 1/0 |    | start
             3.5  |      | taken   |    | votes
         """)
-        self.assertEqual([v.addr for v in sorted(line.world.hosts["m1"].node.voters, key=lambda v: v.addr)],
-                         ["m1", "m2", "m3"])
+        self.assertEqual(
+            [v.addr for v in sorted(line.world.hosts["m1"].node.voters, key=lambda v: v.addr)], ["m1", "m2", "m3"]
+        )
 
     def test_a_further_machine_is_added_and_a_dead_one_struck_off_again(self):
         Timeline("""
@@ -222,14 +229,17 @@
 
     def test_who_is_far_behind_gets_the_state_instead_of_the_log(self):
         puts = "\n".join(f"{2 + n / 10} | put {n}/{n - 1} | |" for n in range(1, 21))
-        line = Timeline(f"""
+        line = Timeline(
+            f"""
             time | m0 | m1 | m2
             1.0  |    |    | crash
             {puts}
             5.0  | taken | | start
             6.0  |    |    | read
             6.1  |    |    | fresh
-        """, timing=Timing(keep=4))
+        """,
+            timing=Timing(keep=4),
+        )
         self.assertEqual(line.world.hosts["m2"].ledger.ver, 20)
         self.assertLessEqual(len(line.world.hosts["m0"].node._log), 8)
 
@@ -254,9 +264,7 @@
         ]
         for name, voters, joining, silent, leaving, wanted in cases:
             with self.subTest(name):
-                got = propose(
-                    voters, joining, leaving, lambda x, s=silent: s.get(x, 0.0), 1, 0.7, 1.2, 2.0
-                )
+                got = propose(voters, joining, leaving, lambda x, s=silent: s.get(x, 0.0), 1, 0.7, 1.2, 2.0)
                 self.assertEqual(got, sorted(wanted) if wanted else None)
         five = [a, b, c, d, new]
         self.assertIsNone(propose(five, [], [], lambda x: 9.0 * (x == "d"), 2, 0.7, 1.2, 2.0))
@@ -306,9 +314,7 @@
         entry = Change("t", 1, 0, True, b"", "d")
         (lost,) = [e for e in node.handle("b", wire.Chosen(1, [entry], 1), 1.0) if isinstance(e, Persist)]
         node.failed(lost, 1.0)
-        (vote,) = [
-            e for e in node.handle("b", wire.Prepare(2, Ballot(1, "b")), 1.1) if isinstance(e, Persist)
-        ]
+        (vote,) = [e for e in node.handle("b", wire.Prepare(2, Ballot(1, "b")), 1.1) if isinstance(e, Persist)]
         self.assertEqual(vote.records[0], Learned(1, entry))
         self.assertEqual([type(send.message) for send in vote.then], [wire.Promise])
 
--- a/tests/crowseam/test_controller.py
+++ b/tests/crowseam/test_controller.py
@@ -25,20 +25,40 @@
 IPS = {"r1": "10.1.0.5", "r2": "10.2.0.5", "r3": "10.3.0.5", "gateway": "10.1.0.9"}
 REGISTRIES = ("r1", "r2", "r3")
 CTL = {name: f"{IPS[name]}:8407" for name in REGISTRIES}
-COST = 0.0002       # s of the processor for each callback
+COST = 0.0002  # s of the processor for each callback
 
 
 def config(ver, parent, prefix="/loans/"):
-    return json.dumps({"ver": f"{ver:08x}", "parent": f"{parent:08x}", "objs": [
-        {"type": "routes", "meta": {"name": "r"}, "spec": {
-            "vhost": "gateway.example", "prefix": prefix, "kind": "safe", "timeout": "1500ms", "svc": "s"}},
-        {"type": "svcs", "meta": {"name": "s"}, "spec": {"hc_path": "/healthz"}}]}).encode()
+    return json.dumps(
+        {
+            "ver": f"{ver:08x}",
+            "parent": f"{parent:08x}",
+            "objs": [
+                {
+                    "type": "routes",
+                    "meta": {"name": "r"},
+                    "spec": {
+                        "vhost": "gateway.example",
+                        "prefix": prefix,
+                        "kind": "safe",
+                        "timeout": "1500ms",
+                        "svc": "s",
+                    },
+                },
+                {"type": "svcs", "meta": {"name": "s"}, "spec": {"hc_path": "/healthz"}},
+            ],
+        }
+    ).encode()
 
 
 def heartbeat(ident, phase, seq):
-    return json.dumps({"addr": f"10.9.0.{ident[2:]}:80",
-                       "summary": {"svc": "s", "ver": "v", "az": "z", "slots": 4},
-                       "stat": {"phase": phase, "seq": int(seq), "warmup_time": "0ms"}}).encode()
+    return json.dumps(
+        {
+            "addr": f"10.9.0.{ident[2:]}:80",
+            "summary": {"svc": "s", "ver": "v", "az": "z", "slots": 4},
+            "stat": {"phase": phase, "seq": int(seq), "warmup_time": "0ms"},
+        }
+    ).encode()
 
 
 class System:
@@ -52,24 +72,42 @@
             self.start(name, True)
         process = self.network.process("gateway", IPS["gateway"], COST)
         self.table, self.servers = None, {}
-        self.controller_session = ControllerSession(process.loop, self.settings("gateway", False), Random(1), self.on_table,
-                                 self.on_servers, lambda ids: None, dict)
+        self.controller_session = ControllerSession(
+            process.loop,
+            self.settings("gateway", False),
+            Random(1),
+            self.on_table,
+            self.on_servers,
+            lambda ids: None,
+            dict,
+        )
         process.loop.call_soon(self.controller_session.start)
 
     def settings(self, name, bootstrap):
-        return settings_file.Settings(hostname=name, ip=IPS[name], az="z", port_range=(7660, 7675),
-                          seeds=list(CTL.values()), bind=settings_file.Bind(ctl=CTL.get(name, "")),
-                          bootstrap=bootstrap, voting=name in CTL, datadir="memory" if name in CTL else "")
+        return settings_file.Settings(
+            hostname=name,
+            ip=IPS[name],
+            az="z",
+            port_range=(7660, 7675),
+            seeds=list(CTL.values()),
+            bind=settings_file.Bind(ctl=CTL.get(name, "")),
+            bootstrap=bootstrap,
+            voting=name in CTL,
+            datadir="memory" if name in CTL else "",
+        )
 
     def start(self, name, bootstrap=False):
         life = self.lives[name] = self.lives.get(name, 0) + 1
-        process = self.processes[name] = self.network.process(f"{name}/{life}", IPS[name], COST,
-                                                              offset=100.0 * life + 7.0 * ord(name[1]))
+        process = self.processes[name] = self.network.process(
+            f"{name}/{life}", IPS[name], COST, offset=100.0 * life + 7.0 * ord(name[1])
+        )
 
         def begin():
-            controller = self.controllers[name] = MemoryController(process, self.settings(name, bootstrap),
-                                                              self.disk_images[name], Random(f"{name}/{life}"))
+            controller = self.controllers[name] = MemoryController(
+                process, self.settings(name, bootstrap), self.disk_images[name], Random(f"{name}/{life}")
+            )
             process.loop.create_task(controller.start())
+
         process.loop.call_soon(begin)
 
     def kill(self, name):
@@ -105,6 +143,7 @@
         def answered(answer):
             if self.asked[name] == number:
                 self.answers[name] = answer
+
         http_client.fetch(self.caller, CTL[name], http_client.request(method, CTL[name], path, [], body), 2.0, answered)
 
 
@@ -178,11 +217,14 @@
 
     def test_of_two_on_the_same_version_one_wins(self):
         for seed in range(5):
-            system = self.play("""
+            system = self.play(
+                """
                 time | events | r1        | r2        | r3         | gateway
                 2    |        | put 1 0   |           |            |
                 3    |        | put 2 1   | put 3 1   |            |
-                """, seed)
+                """,
+                seed,
+            )
             with worn(system.world, lambda event, **fields: None):
                 system.world.run(4.0)
             self.assertEqual(sorted(system.answers[name].status for name in ("r1", "r2")), [200, 412])
@@ -276,7 +318,7 @@
             """)
 
     def test_what_was_acknowledged_of_a_server_outlives_a_loss_of_power_of_all(self):
-        for after in ("3.25", "3.5", "3.75", "4.1"):      # the whole registry is written each second
+        for after in ("3.25", "3.5", "3.75", "4.1"):  # the whole registry is written each second
             with self.subTest(after=after):
                 system = self.play(f"""
                     time    | events                       | r1                  | r2            | r3
--- a/tests/crowseam/test_controller_session.py
+++ b/tests/crowseam/test_controller_session.py
@@ -38,7 +38,7 @@
                 controller_session.draw("north", 1, lambda given, wait: got.append(given))
             numbers.append([call.args[0].number for call in link.send.call_args_list])
         self.assertEqual(set(numbers[0]) & set(numbers[1]), set())
-        for number in (*numbers[0], numbers[1][0], numbers[1][0]):      # late, then its own, then that again
+        for number in (*numbers[0], numbers[1][0], numbers[1][0]):  # late, then its own, then that again
             controller_session._heard(link, m.Drawn("edge-1", number, 1, 0.0))
         self.assertEqual(got, [1])
 
@@ -47,8 +47,9 @@
     def test_a_version_is_acted_on_once_whatever_slot_it_comes_under(self):
         settings = Settings("edge-1", "10.1.0.1", "z", (7660, 7675), ["10.1.0.1:8407"], Bind())
         acted = []
-        controller_session = ControllerSession(mock.Mock(), settings, random.Random(1), lambda table: acted.append(table.ver),
-                            None, None, dict)
+        controller_session = ControllerSession(
+            mock.Mock(), settings, random.Random(1), lambda table: acted.append(table.ver), None, None, dict
+        )
         controller_session.link = link = mock.Mock()
 
         def state(slot, ver):
--- a/tests/crowseam/test_dialect.py
+++ b/tests/crowseam/test_dialect.py
@@ -18,8 +18,14 @@
 
 def answer(status=200, txn=b"one", body=BODY, fields=b"", seal=True, framing=None):
     framing = b"Content-Length: %d\r\n" % len(body) if framing is None else framing
-    return (b"HTTP/1.1 %d Answer\r\nX-Attempt-Id: %b\r\n%b%b%b\r\n%b" % (
-        status, txn, b"X-Server-Seal: s.1\r\n" if seal else b"", fields, framing, body))
+    return b"HTTP/1.1 %d Answer\r\nX-Attempt-Id: %b\r\n%b%b%b\r\n%b" % (
+        status,
+        txn,
+        b"X-Server-Seal: s.1\r\n" if seal else b"",
+        fields,
+        framing,
+        body,
+    )
 
 
 class Transport:
@@ -98,7 +104,7 @@
         for patch in (mock.patch.object(backends, "time", clock), mock.patch.object(backends, "complain")):
             patch.start()
             self.addCleanup(patch.stop)
-        self.said, self.say = os.pipe()     # stands for the socket where its readiness is looked at
+        self.said, self.say = os.pipe()  # stands for the socket where its readiness is looked at
         self.addCleanup(os.close, self.said)
         self.addCleanup(os.close, self.say)
         self.loop = Loop()
@@ -110,9 +116,14 @@
         self.pool.follow(Roster(RosterKind.CHANGES, 0, [BackendEntry("s", state)]), {"s": ("10.0.0.1", 80)})
 
     def begin(self, txn=b"one", unsafe=False, receiver=None, upload=None):
-        exchange = Exchange(lambda: b"GET / HTTP/1.1\r\n\r\n", lambda *ended: self.ended.append(ended),
-                            upload=upload, receiver=receiver, echo=txn,
-                            idle=UNSAFE_IDLE if unsafe else None)
+        exchange = Exchange(
+            lambda: b"GET / HTTP/1.1\r\n\r\n",
+            lambda *ended: self.ended.append(ended),
+            upload=upload,
+            receiver=receiver,
+            echo=txn,
+            idle=UNSAFE_IDLE if unsafe else None,
+        )
         self.pool.begin(exchange, "s")
         return exchange
 
@@ -129,7 +140,7 @@
         for data in pieces:
             if connection.transport.closed:
                 return
-            connection.get_buffer(-1)[:len(data)] = data
+            connection.get_buffer(-1)[: len(data)] = data
             connection.buffer_updated(len(data))
 
     def asked(self, *pieces, **told):
@@ -161,6 +172,7 @@
     def test_what_an_answer_proves(self):
         def coded(status, fields=b""):
             return answer(status, fields=fields, seal=False, body=b"x")
+
         cases = [
             (answer(), Status.OK, BODY),
             (answer(201, body=b""), Status.OK, b""),
@@ -183,13 +195,16 @@
         ]
         for data, status, body in cases:
             with self.subTest(data[:90]):
-                self.asked(*(data[at:at + 50_000] for at in range(0, len(data), 50_000)))
+                self.asked(*(data[at : at + 50_000] for at in range(0, len(data), 50_000)))
                 self.assertEqual(self.outcome(), (status, body))
 
     def test_an_answer_before_the_request_is_written_is_no_success(self):
-        for data, status in ((answer(), Status.RESET), (answer(500), Status.ERROR),
-                             (answer(503, fields=b"X-Not-Run: 1\r\n"), Status.FULL),
-                             (b"noise\r\n\r\n", Status.CONNECT_FAILED)):
+        for data, status in (
+            (answer(), Status.RESET),
+            (answer(500), Status.ERROR),
+            (answer(503, fields=b"X-Not-Run: 1\r\n"), Status.FULL),
+            (b"noise\r\n\r\n", Status.CONNECT_FAILED),
+        ):
             with self.subTest(data[:40]):
                 self.begin()
                 connection = self.connect(slow=True)
@@ -226,9 +241,16 @@
         self.assertEqual((self.outcome()[0], connection.transport.closed), (Status.TIMEOUT, True))
 
     def test_load(self):
-        for told, load in ((b"3,0,8", (3, 0, 8)), (b" 3 , 1 , 8 ", (3, 1, 8)), (b"3,0", None),
-                           (b"3,-1,8", None), (b"3,0,8,1", None), (b"a,b,c", None),
-                           (b"1,2,99999999999", None), (b"", None)):
+        for told, load in (
+            (b"3,0,8", (3, 0, 8)),
+            (b" 3 , 1 , 8 ", (3, 1, 8)),
+            (b"3,0", None),
+            (b"3,-1,8", None),
+            (b"3,0,8,1", None),
+            (b"a,b,c", None),
+            (b"1,2,99999999999", None),
+            (b"", None),
+        ):
             self.assertEqual(load_of(backends.Answer(200, [(b"x-server-load", told)], b"")), load, told)
         self.assertIsNone(load_of(backends.Answer(200, [], b"")))
 
@@ -236,17 +258,25 @@
 class OtherBytes(Case):
     def test_the_answer_to_a_request_that_was_over_is_skipped(self):
         chunked = answer(txn=b"old", framing=CHUNKED, body=b"3\r\nold\r\n0\r\n\r\n")
-        for old in (answer(txn=b"old", body=b"old"), answer(500, b"old"), chunked,
-                    answer(503, b"old", fields=b"X-Not-Run: 1\r\n"), answer(204, b"old", b"", framing=b"")):
+        for old in (
+            answer(txn=b"old", body=b"old"),
+            answer(500, b"old"),
+            chunked,
+            answer(503, b"old", fields=b"X-Not-Run: 1\r\n"),
+            answer(204, b"old", b"", framing=b""),
+        ):
             data = old + answer()
             for at in range(1, len(data), 3):
                 connection = self.asked(data[:at], data[at:])
                 self.assertEqual(self.outcome(), (Status.OK, BODY), (old, at))
-                self.assertTrue(connection.transport.closed)    # out of step once, it is not trusted again
+                self.assertTrue(connection.transport.closed)  # out of step once, it is not trusted again
 
     def test_one_that_names_nobody_counts_only_where_nobody_else_was_asked(self):
-        for data, status in ((answer(500), Status.ERROR), (answer(421), Status.FULL),
-                             (answer(503, fields=b"X-Not-Run: 1\r\n"), Status.FULL)):
+        for data, status in (
+            (answer(500), Status.ERROR),
+            (answer(421), Status.FULL),
+            (answer(503, fields=b"X-Not-Run: 1\r\n"), Status.FULL),
+        ):
             data = data.replace(b"X-Attempt-Id: one\r\n", b"")
             with self.subTest(data[:30]):
                 self.asked(data)
@@ -260,8 +290,11 @@
                 self.assertEqual(self.outcome(), (Status.ERROR, None))
 
     def test_one_that_names_two_counts_for_neither(self):
-        for data in (answer(fields=b"X-Attempt-Id: two\r\n"), answer(fields=b"X-Server-Seal: s.2\r\n"),
-                     answer(503, fields=b"X-Not-Run: 1\r\nX-Attempt-Id: two\r\n")):
+        for data in (
+            answer(fields=b"X-Attempt-Id: two\r\n"),
+            answer(fields=b"X-Server-Seal: s.2\r\n"),
+            answer(503, fields=b"X-Not-Run: 1\r\nX-Attempt-Id: two\r\n"),
+        ):
             self.asked(data)
             self.assertEqual(self.outcome(), (Status.ERROR, None), data)
 
@@ -295,13 +328,22 @@
 
     def test_any_bytes_have_one_outcome_and_a_success_is_the_whole_body(self):
         rng = random.Random(5)
-        parts = [answer(), answer(txn=b"old"), answer(500), answer(503, fields=b"X-Not-Run: 1\r\n"), b"\r\n",
-                 b"HTTP/1.1 100 Continue\r\n\r\n", b"\x00\xff", answer(seal=False), answer()[:70],
-                 answer(framing=CHUNKED, body=b"12\r\n" + BODY + b"\r\n0\r\nX: y\r\n\r\n")]
+        parts = [
+            answer(),
+            answer(txn=b"old"),
+            answer(500),
+            answer(503, fields=b"X-Not-Run: 1\r\n"),
+            b"\r\n",
+            b"HTTP/1.1 100 Continue\r\n\r\n",
+            b"\x00\xff",
+            answer(seal=False),
+            answer()[:70],
+            answer(framing=CHUNKED, body=b"12\r\n" + BODY + b"\r\n0\r\nX: y\r\n\r\n"),
+        ]
         for _ in range(1500):
             data = b"".join(rng.choices(parts, k=rng.randint(1, 4)))
             if rng.random() < 0.5:
-                data = data[:rng.randrange(len(data))]
+                data = data[: rng.randrange(len(data))]
             pieces = []
             while data:
                 size = rng.choice([1, 3, 40, 1000])
@@ -321,18 +363,18 @@
         for cut, status in ((len(body), Status.OK), (len(body) - 1, Status.RESET)):
             with self.subTest(cut):
                 got = []
-                receiver = SimpleNamespace(begin=lambda told, length, source, got=got: got.append(told.body),
-                                           piece=got.append)
+                receiver = SimpleNamespace(
+                    begin=lambda told, length, source, got=got: got.append(told.body), piece=got.append
+                )
                 connection = self.asked(receiver=receiver)
                 data = answer(body=body[:cut], framing=b"Content-Length: %d\r\n" % len(body))
-                self.feed(connection, *(data[at:at + 4096] for at in range(0, len(data), 4096)))
+                self.feed(connection, *(data[at : at + 4096] for at in range(0, len(data), 4096)))
                 if status is not Status.OK:
                     self.assertEqual(self.ended, [])
                     self.lose(connection)
                 self.assertEqual((self.outcome(), b"".join(got)), ((status, None), body[:cut]))
                 self.assertEqual(self.pool.budget.used, 0)
 
-
     def test_a_body_goes_on_in_the_framing_it_came_in(self):
         for length, sent in ((None, b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"), (5, b"abcde")):
             upload = flow.Upload(self.pool.budget, length, lambda on: None, [b"abc"])
@@ -369,16 +411,21 @@
     def test_how_long_one_is_kept(self):
         used, left, closed = (True, False), (False, False), (False, True)
         for idle, unsafe, fields, expected in (
-                (0.0, False, b"", used), (3.9, False, b"", used), (4.1, False, b"", closed),
-                (0.4, False, b"Keep-Alive: timeout=1\r\n", used),
-                (0.6, False, b"Keep-Alive: timeout=1\r\n", closed),
-                (0.6, False, b"Keep-Alive: max=9, timeout=5\r\n", used),
-                (0.1, False, b"Keep-Alive: timeout=0\r\n", closed),
-                (0.0, False, b"Connection: close\r\n", closed),
-                # What may run once only: neither a connection that may be closed, nor one so fresh that a
-                # second answer could still be on its way.
-                (0.01, True, b"", left), (0.5, True, b"", used), (1.2, True, b"", left),
-                (0.6, True, b"Keep-Alive: timeout=1\r\n", closed)):
+            (0.0, False, b"", used),
+            (3.9, False, b"", used),
+            (4.1, False, b"", closed),
+            (0.4, False, b"Keep-Alive: timeout=1\r\n", used),
+            (0.6, False, b"Keep-Alive: timeout=1\r\n", closed),
+            (0.6, False, b"Keep-Alive: max=9, timeout=5\r\n", used),
+            (0.1, False, b"Keep-Alive: timeout=0\r\n", closed),
+            (0.0, False, b"Connection: close\r\n", closed),
+            # What may run once only: neither a connection that may be closed, nor one so fresh that a
+            # second answer could still be on its way.
+            (0.01, True, b"", left),
+            (0.5, True, b"", used),
+            (1.2, True, b"", left),
+            (0.6, True, b"Keep-Alive: timeout=1\r\n", closed),
+        ):
             with self.subTest(idle=idle, unsafe=unsafe, fields=fields):
                 self.assertEqual(self.used_again(idle, unsafe, fields=fields), expected)
 
--- a/tests/crowseam/test_discovery.py
+++ b/tests/crowseam/test_discovery.py
@@ -197,7 +197,9 @@
 
 class Timelines(unittest.TestCase):
     def test_late_reports_change_nothing(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                          | r2
             0    | heartbeat a 4 10.0.0.1:80        | heartbeat a 3 10.0.0.1:80
             1    | heartbeat a 6 10.0.0.1:80 draining
@@ -206,28 +208,37 @@
             3    |                             | heartbeat a 9 10.0.0.1:80; ?a draining; leave a; ?a gone
             4    | heartbeat a 10 10.0.0.1:80       | heartbeat a 11 10.0.0.1:80; ?a gone
             5    | repair r2; ?a gone
-            """)
+            """,
+        )
 
     def test_a_farewell_nobody_can_place_is_kept(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                          | r2
             0    | leave a                     | heartbeat a 8 10.0.0.1:80
             1    | heartbeat a 7 10.0.0.1:80; ?a gone
             2    |                             | repair r1; ?a gone; ?usable
-            """)
+            """,
+        )
 
     def test_an_address_passes_to_its_newer_server(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                              | r2
             0    | heartbeat old 1 10.0.0.1:80
             1    | heartbeat old 2 10.0.0.1:80          | repair r1
             4    |                                 | heartbeat new 1 10.0.0.1:80; ?old gone; ?usable new
             5    | ?usable old; repair r2; ?usable new
-            """)
+            """,
+        )
 
     def test_a_report_held_up_does_not_end_the_living(self):
         # Both controllers have lost their memory; the old server's last report arrives after the new one's.
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                                          | r2
             0    | heartbeat new 1 10.0.0.1:80
             0.5  |                                             | heartbeat old 9 10.0.0.1:80
@@ -236,28 +247,37 @@
             2.6  | heartbeat new 3 10.0.0.1:80; ?new up
             9.1  | heartbeat new 8 10.0.0.1:80; ?old up
             12   | heartbeat new 9 10.0.0.1:80; ?old gone; ?new up  | repair r1; ?usable new
-            """)
+            """,
+        )
 
     def test_a_ghost_does_not_end_a_server_that_reports(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1
             0    | heartbeat live 1 10.0.0.1:80
             1.3  | heartbeat live 2 10.0.0.1:80
             1.9  | heartbeat ghost 9 10.0.0.1:80; ?live up
             2.6  | heartbeat live 3 10.0.0.1:80; ?live up
-            """)
+            """,
+        )
 
     def test_retirement_follows_the_operators_latest_word(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                             | r2
             0    | heartbeat a 1 10.0.0.1:80; retire a
             1    | ?usable                        | repair r1; ?usable; back a; ?usable a
             2    | heartbeat a 2 10.0.0.1:80; ?usable  | heartbeat a 3 10.0.0.1:80
             3    | repair r2; ?usable a
-            """)
+            """,
+        )
 
     def test_the_silent_are_forgotten_and_no_copy_brings_them_back(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                              | r2
             0    | heartbeat a 1 10.0.0.1:80            | heartbeat hum 0 10.0.0.99:80
             1    | hum 0                           | repair r1; hum 1; heard r1
@@ -266,10 +286,13 @@
             31.1 | repair r2; ?a -                 | ?a up; expire; ?a -
             32   | repair r2; ?a -                 | heartbeat a 2 10.0.0.1:80; ?a up
             33   | repair r2; ?a up
-            """)
+            """,
+        )
 
     def test_news_of_the_living_goes_round_without_keeping_the_dead(self):
-        timeline = Timeline(self, """
+        timeline = Timeline(
+            self,
+            """
             time | r1                    | r2                   | r3
             0    | heartbeat a 1 10.0.0.1:80; heartbeat b 1 10.0.0.2:80
             0.1  |                       | repair r1            | repair r1
@@ -278,20 +301,24 @@
             3    | heard r3              | heartbeat a 3 10.0.0.1:80 | heard r2
             4    | heard r3              | heard r3             | heard r2
             5    | heard r3              | heard r3             | heard r2
-            """)
+            """,
+        )
         for registry in timeline.registries.values():
             self.assertEqual(registry.silent(6.0, 4.0), ["b"])
             self.assertEqual(registry.silent(8.0, 4.0), ["a", "b"])
 
     def test_a_controller_that_was_cut_off_forgets_nobody(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1
             0    | heartbeat a 1 10.0.0.1:80; heartbeat b 1 10.0.0.2:80
             60   | expire; ?forgot
             60.5 | heartbeat a 40 10.0.0.1:80; expire; ?forgot; ?usable a b
             85   | hum 61; expire; ?forgot
             91   | hum 86; expire; ?forgot a b
-            """)
+            """,
+        )
 
 
 class Followers(unittest.TestCase):
@@ -406,7 +433,7 @@
         voters = {"r1": "x", "r2": "y", "r3": "z"}
         self.pending.begin("t", self.record, voters, 0.0)
         self.pending.confirmed("r2", "a", "draining", by="y")
-        self.pending.seat(voters | {"r2": "new"}, 7)    # r2 has lost its disk and was let in again
+        self.pending.seat(voters | {"r2": "new"}, 7)  # r2 has lost its disk and was let in again
         self.assertEqual(self.pending.confirmed("r1", "a", "draining", by="x"), [])
         self.assertEqual(self.pending.confirmed("r2", "a", "draining", by="y"), [])
         self.assertEqual(self.pending.confirmed("r2", "a", "draining", by="new"), ["t"])
--- a/tests/crowseam/test_duties.py
+++ b/tests/crowseam/test_duties.py
@@ -68,9 +68,7 @@
     def check(self):
         """At most one controller holds the key, and hands have fences of their own."""
         holders = {
-            name: fence
-            for name, node in self.nodes.items()
-            if (fence := node.holds(KEY, self.clock(name))) is not None
+            name: fence for name, node in self.nodes.items() if (fence := node.holds(KEY, self.clock(name))) is not None
         }
         assert len(holders) <= 1, f"{self.now}: {holders}"
         for name, fence in holders.items():
@@ -273,18 +271,18 @@
         self.voter.tick(0.0, {"v"}, {"v", "a", "b"})
 
     def test_a_voter_grants_nothing_in_its_first_term(self):
-        (_, answer), = self.voter.handle("a", Seek(KEY, 1, 0, 2.0), 1.9)
+        ((_, answer),) = self.voter.handle("a", Seek(KEY, 1, 0, 2.0), 1.9)
         self.assertIsInstance(answer, Refused)
-        (_, answer), = self.voter.handle("a", Seek(KEY, 1, 0, 2.0), 2.2)
+        ((_, answer),) = self.voter.handle("a", Seek(KEY, 1, 0, 2.0), 2.2)
         self.assertIsInstance(answer, Granted)
 
     def test_a_late_release_of_an_earlier_process_frees_nothing(self):
         self.voter.handle("a", Seek(KEY, (7 << 32) + 3, 0, 2.0), 3.0)
         self.voter.handle("a", Release(KEY, (6 << 32) + 9), 3.1)
-        (_, answer), = self.voter.handle("b", Seek(KEY, 1, 0, 2.0), 3.2)
+        ((_, answer),) = self.voter.handle("b", Seek(KEY, 1, 0, 2.0), 3.2)
         self.assertEqual(answer.holder, "a")
         self.voter.handle("a", Release(KEY, (7 << 32) + 3), 3.3)
-        (_, answer), = self.voter.handle("b", Seek(KEY, 1, 0, 2.0), 3.4)
+        ((_, answer),) = self.voter.handle("b", Seek(KEY, 1, 0, 2.0), 3.4)
         self.assertIsInstance(answer, Granted)
 
     def test_keys_spread_and_move_only_with_their_controller(self):
@@ -306,12 +304,12 @@
         self.voter.seat(frozenset("vab"), 0.0, slot=7, since=3)
 
     def seek(self, now, slot=7):
-        (_, answer), = self.voter.handle("a", Seek(KEY, 1, 0, 2.0, slot), now)
+        ((_, answer),) = self.voter.handle("a", Seek(KEY, 1, 0, 2.0, slot), now)
         return type(answer)
 
     def test_a_newcomer_is_silent_from_the_message_on_that_lets_it_in(self):
         self.voter.seat(frozenset("zab"), 10.0, slot=8, since=8)
-        self.assertIs(self.seek(20.0, 8), Refused)      # it does not vote
+        self.assertIs(self.seek(20.0, 8), Refused)  # it does not vote
         self.voter.seat(frozenset("vab"), 30.0, slot=9, since=9)
         self.assertIs(self.seek(30.0, 9), Refused)
         self.assertIs(self.seek(32.0, 9), Refused)
@@ -326,14 +324,14 @@
     def test_who_may_not_know_the_voters_is_refused(self):
         self.assertIs(self.seek(5.0, 2), Refused)
         self.assertIs(self.seek(5.1, 3), Granted)
-        self.assertIs(self.seek(5.2, -1), Granted)      # a version before does not tell
+        self.assertIs(self.seek(5.2, -1), Granted)  # a version before does not tell
 
     def test_a_newcomer_grants_nothing_before_it_has_been_told_the_fences(self):
         self.voter.learning = True
         self.assertIs(self.seek(5.0), Refused)
         self.voter.learn({KEY: 9 << 20})
         self.voter.learning = False
-        (_, answer), = self.voter.handle("a", Seek(KEY, 1, 0, 2.0, 7), 5.1)
+        ((_, answer),) = self.voter.handle("a", Seek(KEY, 1, 0, 2.0, 7), 5.1)
         self.assertEqual(answer.seen, 9 << 20)
 
 
@@ -358,7 +356,7 @@
 
     def test_a_note_of_a_version_before_names_the_holder_alone(self):
         node = Duties("v", Random(1), 0.0, [KEY], TERMS, remembered={KEY: "10.1.0.2:1"})
-        (_, answer), = node.handle("10.1.0.2:1", Seek(KEY, 7, 0, 2.0), 0.1)
+        ((_, answer),) = node.handle("10.1.0.2:1", Seek(KEY, 7, 0, 2.0), 0.1)
         self.assertEqual((type(answer), answer.seen), (Granted, 0))
 
 
@@ -386,7 +384,7 @@
                 self.carry(name, self.nodes[name].tick(self.now, live, set(self.names)))
 
     def holder(self):
-        name, = (n for n in self.names if n not in self.lost and self.nodes[n].holds(KEY, self.now))
+        (name,) = (n for n in self.names if n not in self.lost and self.nodes[n].holds(KEY, self.now))
         return name, self.nodes[name]
 
     def begin(self):
@@ -402,9 +400,9 @@
         self.carry(name, node.name(KEY, ["d1"], self.now))
         self.assertFalse(node.named(KEY, "d1"))
         self.lost = {self.names[2]}
-        self.run_for(0.6)       # with the next renewal
+        self.run_for(0.6)  # with the next renewal
         self.assertTrue(node.named(KEY, "d1"))
-        self.carry(name, node.name(KEY, ["d2"], self.now))      # at once
+        self.carry(name, node.name(KEY, ["d2"], self.now))  # at once
         self.assertTrue(node.named(KEY, "d2"))
         self.lost = {name}
         self.run_for(6.0)
@@ -444,16 +442,19 @@
         self.run_for(5.0)
         self.assertIsNone(self.begin()[2])
         self.run_for(9.0)
-        for other in others:    # nothing of it can be in use any more
-            self.assertIsNotNone(self.nodes[other]._list(self.nodes[other]._votes[KEY], Seek(
-                KEY, 1, 1 << 60, 2.0, listing=0), self.now + 9.5)[1])
+        for other in others:  # nothing of it can be in use any more
+            self.assertIsNotNone(
+                self.nodes[other]._list(
+                    self.nodes[other]._votes[KEY], Seek(KEY, 1, 1 << 60, 2.0, listing=0), self.now + 9.5
+                )[1]
+            )
 
     def test_a_version_that_names_nobody_leaves_voters_blind_and_counts_as_having_all(self):
         voter = self.nodes[self.names[2]]
         voter.handle("old", Seek(KEY, 1, 1 << 61, 2.0), 50.0)
-        (_, answer), = voter.handle("new", Seek(KEY, 1, 1 << 62, 2.0, listing=0), 55.0)
+        ((_, answer),) = voter.handle("new", Seek(KEY, 1, 1 << 62, 2.0, listing=0), 55.0)
         self.assertIsNone(answer.borrowers)
-        (_, answer), = voter.handle("new", Seek(KEY, 2, 1 << 62, 2.0, listing=0), 60.0)
+        ((_, answer),) = voter.handle("new", Seek(KEY, 2, 1 << 62, 2.0, listing=0), 60.0)
         self.assertEqual(answer.borrowers, [])
 
 
--- a/tests/crowseam/test_first_slices.py
+++ b/tests/crowseam/test_first_slices.py
@@ -51,9 +51,10 @@
             gateway.reserve = lambda tenant, count, done: done(0, 0.1)
             tenant = TenantTerms(50.0, 50.0, 1)
             gateway.configure(mock.Mock(tenants={"t": tenant}, routes={}, svcs={}))
-            gateway.balancer._send = lambda t, now: []     # a server is always there
-            route = types.SimpleNamespace(name="r", target=AIM, split=(("a", 1.0),), safe=True, prio=0,
-                                          tries=1, pick=lambda draw: "a")
+            gateway.balancer._send = lambda t, now: []  # a server is always there
+            route = types.SimpleNamespace(
+                name="r", target=AIM, split=(("a", 1.0),), safe=True, prio=0, tries=1, pick=lambda draw: "a"
+            )
             clients = []
             for line in filter(None, map(str.strip, timeline.splitlines())):
                 at, what, *wanted = line.split()
@@ -62,8 +63,10 @@
                 loop.run(self.now)
                 if what == "ask":
                     clients.append(mock.Mock())
-                    gateway.admit(clients[-1], mock.Mock(txn=b"%d" % len(clients), route=route, tenant="t",
-                                                      time_left=2.0, upload=None))
+                    gateway.admit(
+                        clients[-1],
+                        mock.Mock(txn=b"%d" % len(clients), route=route, tenant="t", time_left=2.0, upload=None),
+                    )
                 elif what == "lent":
                     self.share = 0.5
                     gateway.lent()
@@ -116,7 +119,9 @@
             gateways[0].relent = lambda now: [name for each in holdings.values() for name in each.news(now)]
             slice_of = gateways[0].admission.slice_of
             gateways[0].admission.slice_of = lambda name, *args, **kwargs: (
-                looked.append(name), slice_of(name, *args, **kwargs))
+                looked.append(name),
+                slice_of(name, *args, **kwargs),
+            )
             tenants = {f"t{n}": TenantTerms(rng.choice([0.0, 5.0, 80.0]), 20.0, 1) for n in range(40)}
             for step in range(600):
                 at[0] = now = 100.0 + step * 0.1
@@ -128,17 +133,18 @@
                 if step == 450:
                     for gateway in gateways:
                         gateway.members = 40
-                if step % 5 == 0 and not 200 < step < 300:     # a time without leases lies between
+                if step % 5 == 0 and not 200 < step < 300:  # a time without leases lies between
                     key = rng.choice(KEYS)
-                    shares = {name: rng.randrange(PARTS) for name in rng.sample(sorted(tenants), 6)
-                              if duty_of(name) == key}
+                    shares = {
+                        name: rng.randrange(PARTS) for name in rng.sample(sorted(tenants), 6) if duty_of(name) == key
+                    }
                     holdings[key].take(Lease(1, now, 1, step + 1, 4.0, shares), now)
                 for gateway in gateways:
                     gateway.slices(now)
                 for name in rng.sample(sorted(tenants), 3):
                     self.assertEqual(*(gateway.admission.admit(name, 1.0, now).ok for gateway in gateways), name)
                 if step % 37:
-                    continue    # to look at what is held fills the buckets
+                    continue  # to look at what is held fills the buckets
                 for one, other in zip(*(gateway.admission.held(now).values() for gateway in gateways), strict=True):
                     self.assertEqual(one.share, other.share)
                     self.assertAlmostEqual(one.level, other.level, places=6)
--- a/tests/crowseam/test_guards.py
+++ b/tests/crowseam/test_guards.py
@@ -14,8 +14,11 @@
 
 class Guards(unittest.TestCase):
     def test_the_page_has_the_rows_of_the_code(self):
-        told = [line for line in PAGE.read_text().splitlines() if line.split("|")[1:2]
-                and line.split("|")[1].strip() in PARTS]
+        told = [
+            line
+            for line in PAGE.read_text().splitlines()
+            if line.split("|")[1:2] and line.split("|")[1].strip() in PARTS
+        ]
         self.assertEqual(told, [row for part in PARTS for row in guards(part)])
 
     def test_each_has_a_seed_or_a_reason(self):
--- a/tests/crowseam/test_known_red.py
+++ b/tests/crowseam/test_known_red.py
@@ -46,17 +46,16 @@
         with tempfile.TemporaryDirectory() as folder:
             root = Path(folder)
             (root / "tests/crowseam").mkdir(parents=True)
-            (root / "tests/crowseam/__init__.py").write_text("")     # and none in tests, as here
+            (root / "tests/crowseam/__init__.py").write_text("")  # and none in tests, as here
             (root / "tests/crowseam/test_one.py").write_text(
-                "import unittest\nclass T(unittest.TestCase):\n"
-                f"    def test_x(self): self.assertTrue({passes})\n")
+                "import unittest\nclass T(unittest.TestCase):\n" f"    def test_x(self): self.assertTrue({passes})\n"
+            )
             (root / "tests/test_two.py").write_text("def test_y(): pass\n")
             if listed:
                 (root / "KNOWN-RED.txt").write_text(listed)
             (root / ".ci").mkdir()
             (root / ".ci/run_tests.py").write_text(PATH.read_text())
-            done = subprocess.run([sys.executable, ".ci/run_tests.py"], cwd=root, capture_output=True,
-                                  text=True)
+            done = subprocess.run([sys.executable, ".ci/run_tests.py"], cwd=root, capture_output=True, text=True)
             return done.returncode, done.stdout
 
     def test_a_listed_one_may_fail_and_has_to(self):
--- a/tests/crowseam/test_large_states.py
+++ b/tests/crowseam/test_large_states.py
@@ -20,7 +20,7 @@
 from crowseam.simulator.world.patches import worn
 from crowseam.transport import messages as m
 
-BODY = configuration(430, 1700, 23)     # 340 kB, packed 85
+BODY = configuration(430, 1700, 23)  # 340 kB, packed 85
 
 
 def quiet(event, **fields):
@@ -59,7 +59,11 @@
             thin.change()
             thin.world.run(4.0)
             thin.start_gateway()
-            while not (thin.controller_session and thin.controller_session.fetch and len(thin.controller_session.fetch.parts) >= 4):
+            while not (
+                thin.controller_session
+                and thin.controller_session.fetch
+                and len(thin.controller_session.fetch.parts) >= 4
+            ):
                 thin.world.run(thin.world.now + 0.05)
             first, parts = thin.controller_session.at, thin.heard["SnapshotPart"]
             ip = first.partition(":")[0]
@@ -82,7 +86,7 @@
         link = controller_session.link
         controller_session._heard(link, SnapshotOffer(7))
         for offset in range(0, len(body), 32 << 10):
-            part = body[offset:offset + (32 << 10)]
+            part = body[offset : offset + (32 << 10)]
             controller_session._heard(link, SnapshotPart(7, digest, len(body), offset, part))
         return [call.args[-1] for call in link.send.call_args_list]
 
@@ -147,6 +151,7 @@
         def make():
             made.append(sealed(7 + len(made), b"state" * 10, 0.0))
             return made[-1]
+
         first = source.sealed_for(wire.PartRequest(0, b"", 0, 4), 1, 7, make, 0.0)
         self.assertIs(source.sealed_for(wire.PartRequest(0, b"", 0, 4), 1, 9, make, 5.0), first)
         self.assertIs(source.sealed_for(wire.PartRequest(7, first.digest, 4, 4), 1, 9, make, 6.0), first)
@@ -174,6 +179,7 @@
                     effects += node.handle("a", effect.message, float(ver))
                 else:
                     effects += getattr(effect, "then", [])
+
         for ver in range(1, 70):
             change(ver)
         self.assertGreater(node.first, 20)
--- a/tests/crowseam/test_load_balancer.py
+++ b/tests/crowseam/test_load_balancer.py
@@ -20,8 +20,15 @@
 
 PROMISES = (429, 503, 408, 421)
 MAY_HAVE_RUN = (Status.ERROR, Status.RESET, Status.TIMEOUT)
-OUTCOMES = {"ok": Status.OK, "error": Status.ERROR, "full": Status.FULL, "reset": Status.RESET,
-            "timeout": Status.TIMEOUT, "refused": Status.CONNECT_FAILED, "moot": Status.MOOT}
+OUTCOMES = {
+    "ok": Status.OK,
+    "error": Status.ERROR,
+    "full": Status.FULL,
+    "reset": Status.RESET,
+    "timeout": Status.TIMEOUT,
+    "refused": Status.CONNECT_FAILED,
+    "moot": Status.MOOT,
+}
 STATES = {"up": {}, "draining": {"phase": "draining"}, "gone": {"phase": "gone"}, "retired": {"retired": 1}}
 
 
@@ -29,8 +36,10 @@
     return Route(name, b"gateway.example", b"/", safe, 5.0, 0.5, 0, (("s", 1.0),), tries, False, (1.0,))
 
 
-ROUTES = {name: route(name, name.startswith("safe"), tries) for name, tries in (
-    ("safe", 2), ("safe3", 3), ("unsafe", 2), ("unsafe3", 3), ("once", 1))}
+ROUTES = {
+    name: route(name, name.startswith("safe"), tries)
+    for name, tries in (("safe", 2), ("safe3", 3), ("unsafe", 2), ("unsafe3", 3), ("once", 1))
+}
 
 
 class Still(random.Random):
@@ -74,8 +83,11 @@
         if status not in (Status.CONNECT_FAILED, Status.MOOT):
             self.offered.add(number)
         answer = Answer(200 if status is Status.OK else code, [], b"")
-        self.do(self.balancer.outcome(number, attempt, status,
-                                   answer if status in (Status.OK, Status.ERROR) else None, now, load))
+        self.do(
+            self.balancer.outcome(
+                number, attempt, status, answer if status in (Status.OK, Status.ERROR) else None, now, load
+            )
+        )
 
     def do(self, actions):
         for action in actions:
@@ -88,8 +100,7 @@
                     self.case.assertFalse(number in self.ran or self.out[number], "it may run twice")
                 self.sent[number].append(name)
                 # To be moved from one that has left, before any server had it, is no try.
-                tries = [each for each in self.sent[number]
-                         if number in self.offered or self.state[each] == "up"]
+                tries = [each for each in self.sent[number] if number in self.offered or self.state[each] == "up"]
                 self.case.assertLessEqual(len(tries), self.routes[number].tries)
                 self.out[number][action.number] = name
             elif isinstance(action, Give):
@@ -107,8 +118,7 @@
     def check_held(self):
         """A server's count of our requests is that of those without an answer."""
         for server in self.balancer.servers.values():
-            held = sum(server.id in out.values() for number, out in self.out.items()
-                       if number not in self.given)
+            held = sum(server.id in out.values() for number, out in self.out.items() if number not in self.given)
             self.case.assertEqual(server.out, held, f"held at {server.id}")
 
 
@@ -119,8 +129,7 @@
     checked, sends = set(), {}
     for time, *cells in lines[1:]:
         now, line = float(time), " | ".join([time, *cells])
-        steps = [(place, step.strip()) for place, cell in enumerate(cells) for step in cell.split(";")
-                 if step.strip()]
+        steps = [(place, step.strip()) for place, cell in enumerate(cells) for step in cell.split(";") if step.strip()]
         # What happens comes before what is expected of it, whatever the column.
         for place, step in sorted(steps, key=lambda each: each[1][0] in "?<"):
             verb, *args = step.split()
@@ -150,7 +159,7 @@
             elif verb.startswith("<"):
                 number = verb[1:]
                 place = sends[number] = sends.get(number, 0) + 1
-                case.assertEqual(world.sent[number][place - 1:place], [name], line)
+                case.assertEqual(world.sent[number][place - 1 : place], [name], line)
             else:
                 raise ValueError(line)
         case.assertEqual({n: len(s) for n, s in world.sent.items() if s}, sends, line)
@@ -161,44 +170,64 @@
 
 class FurtherTries(unittest.TestCase):
     def test_what_was_not_run_is_tried_elsewhere(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway        | a       | b          | c
             0    | ask 1 unsafe3 | <1    |            |
             0.01 |             | full 1  | <1         |
             0.02 |             |         | refused 1  | <1
             0.10 | ?give 1 200 |         |            | ok 1
-            """)
+            """,
+        )
 
     def test_unsafe_that_may_have_run_is_not_sent_again_and_no_promise_is_made(self):
-        for ended, told in (("reset 1", 502), ("timeout 1", 502), ("error 1", 500), ("error 1 503", 502),
-                            ("error 1 429", 502), ("error 1 408", 502)):
+        for ended, told in (
+            ("reset 1", 502),
+            ("timeout 1", 502),
+            ("error 1", 500),
+            ("error 1 503", 502),
+            ("error 1 429", 502),
+            ("error 1 408", 502),
+        ):
             with self.subTest(ended):
-                play(self, f"""
+                play(
+                    self,
+                    f"""
                     time | gateway           | a       | b
                     0    | ask 1 unsafe   | <1      |
                     0.1  | ?give 1 {told} | {ended} |
-                    """)
+                    """,
+                )
 
     def test_a_refusal_before_does_not_turn_a_reset_into_one(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway          | a       | b
             0    | ask 1 unsafe3 | <1      |
             0.01 |               | full 1  | <1
             0.02 | ?give 1 502   |         | reset 1
-            """)
+            """,
+        )
 
     def test_tries_bound_it_and_what_never_ran_is_told_to_come_back(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a         | b       | c
             0    | ask 1 unsafe | <1        |         |
             0.01 |              | refused 1 | <1      |
             0.02 | ?give 1 503  |           | full 1  |
             0.03 | ask 2 once   |           |         | <2
             0.04 | ?give 2 503  |           |         | full 2
-            """)
+            """,
+        )
 
     def test_without_budget_only_what_never_came_to_a_server_goes_elsewhere(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a         | b
             0    | ask 1 safe   | <1        |
             0.01 |              | refused 1 | <1
@@ -207,11 +236,15 @@
             0.31 | ?give 2 503  |           | full 2
             0.6  | ask 3 safe   | <3        |
             0.61 | ?give 3 502  | reset 3   |
-            """, slack=0.0)
+            """,
+            slack=0.0,
+        )
 
     def test_the_budget_is_spent_by_each_further_send(self):
         # A slack of 2, of which 0.7 are used: one further try in ten seconds.
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a        | b
             0    | ask 1 safe   | <1       |
             0.01 |              | full 1   | <1
@@ -221,69 +254,92 @@
             12   | ask 3 safe   |          | <3
             12.01 |             | <3       | full 3
             12.1 | ?give 3 200  | ok 3     |
-            """, slack=2.0)
+            """,
+            slack=2.0,
+        )
 
     def test_the_last_failure_of_a_server_is_passed_on(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a           | b
             0    | ask 1 safe   | <1          |
             0.1  |              | error 1 500 | <1
             0.2  | ?give 1 500  |             | reset 1
-            """)
+            """,
+        )
 
     def test_no_further_try_when_the_time_is_nearly_up(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway             | a         | b
             0    | ask 1 safe 0.5   | <1        |
             0.49 | ?give 1 504      | reset 1   |
             1    | ask 2 unsafe 0.5 | <2        |
             1.49 | ?give 2 503      | full 2    |
-            """)
+            """,
+        )
 
 
 class Hedges(unittest.TestCase):
     def test_a_late_safe_request_is_sent_once_more_and_the_first_answer_counts(self):
-        world = play(self, """
+        world = play(
+            self,
+            """
             time | gateway         | a       | b     | c
             0    | ask 1 safe3  | <1      |       |
             0.3  | late 1       |         |       |
             0.6  | late 1       |         | <1    |
             0.7  | ?give 1 200  |         | ok 1  |
             0.8  |              | ok 1    |       |
-            """)
+            """,
+        )
         self.assertAlmostEqual(world.wakes["1"], 0.5625 + 0.6, 3)
 
     def test_an_attempt_that_fails_beside_another_ends_nothing(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a       | b     | c
             0    | ask 1 safe3  | <1      |       |
             0.6  | late 1       |         | <1    |
             0.7  |              | reset 1 |       |
             0.8  |              |         | full 1 | <1
             0.9  | ?give 1 200  |         |       | ok 1
-            """)
+            """,
+        )
 
     def test_unsafe_is_never_hedged(self):
-        world = play(self, """
+        world = play(
+            self,
+            """
             time | gateway          | a       | b
             0    | ask 1 unsafe3 | <1      |
             4    | late 1        |         |
             4.9  | ?give 1 200   | ok 1    |
-            """)
+            """,
+        )
         self.assertEqual(world.wakes, {})
 
     def test_a_hedge_needs_budget(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway          | a       | b
             0    | ask 1 safe    | <1      |
             0.6  | late 1        |         |
             0.7  | ?give 1 200   | ok 1    |
-            """, slack=0.0)
+            """,
+            slack=0.0,
+        )
 
 
 class Servers(unittest.TestCase):
     def test_those_that_leave_get_nothing_new_and_finish_what_they_have(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a          | b        | c        | d
             0    | ask 1 unsafe | <1         |          |          |
             0.1  |              | draining   | retired  | gone     |
@@ -294,27 +350,36 @@
             0.4  | ?give 3 503  |            | full 3   |          |
             0.5  |              |            | gone     |          |
             0.51 | ask 4 safe; ?give 4 503 | |          |          |
-            """)
+            """,
+        )
 
     def test_one_that_left_in_between_is_not_the_second_choice(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a          | b        | c
             0    | ask 1 safe   | <1         |          |
             0.1  |              |            | draining |
             0.2  |              | reset 1    |          | <1
             0.3  | ?give 1 200  |            |          | ok 1
-            """)
+            """,
+        )
 
     def test_the_answer_of_one_that_is_gone_still_counts(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a          | b
             0    | ask 1 unsafe | <1         |
             0.1  |              | gone       |
             0.2  | ?give 1 200  | ok 1       |
-            """)
+            """,
+        )
 
     def test_one_that_failed_rests(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a          | b        | c
             0    | ask 1 safe   | <1         |          |
             0.01 |              | reset 1    | <1       |
@@ -323,10 +388,13 @@
             0.11 | ask 2 safe   |            |          | <2
             0.3  | ask 3 safe   | <3         |          |
             0.4  | ?give 2 200; ?give 3 200 | ok 3 |    | ok 2
-            """)
+            """,
+        )
 
     def test_one_that_is_silent_is_the_last_choice(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway         | a          | b
             0    |              | quiet      |
             0.01 | ask 1 safe   |            | <1
@@ -336,10 +404,13 @@
             0.2  |              |            | draining
             0.21 | ask 3 safe   | <3         |
             0.3  | ?give 3 200  | ok 3       |
-            """)
+            """,
+        )
 
     def test_where_all_rest_requests_still_find_out_whether_one_is_back(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway           | a          | b
             0    | ask 1 safe     | <1         |
             0.01 |                | refused 1  | <1
@@ -347,10 +418,13 @@
             0.03 | ask 2 safe     | <2         |
             0.04 | ask 3 unsafe   |            | <3
             0.1  | ?give 2 200; ?give 3 200 | ok 2 | ok 3
-            """)
+            """,
+        )
 
     def test_one_that_is_full_is_left_alone_for_a_moment(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway                     | a          | b
             0    | ask 1 safe               | <1         |
             0.01 |                          | full 1     | <1
@@ -359,10 +433,13 @@
             0.4  |                          |            | draining
             0.41 | ask 4 safe               | <4         |
             0.5  | ?give 4 200              | ok 4       |
-            """)
+            """,
+        )
 
     def test_one_that_holds_all_it_may_by_its_own_word_is_sent_nothing(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway                     | a
             0    | ask 1 once               | <1
             0.01 | ?give 1 200              | ok 1 4,6,4
@@ -371,19 +448,25 @@
             0.04 | ask 3 once; ?give 3 503  |
             1    | ask 4 once               | <4
             1.1  | ?give 4 200              | ok 4
-            """)
+            """,
+        )
 
     def test_none_at_all_is_no_room(self):
-        play(self, """
+        play(
+            self,
+            """
             time | gateway                     | a
             0    |                          | gone
             0.1  | ask 1 unsafe; ?give 1 503 |
-            """)
+            """,
+        )
 
 
 class Ends(unittest.TestCase):
     def test_the_deadline_promises_nothing_and_leaves_the_server_behind(self):
-        world = play(self, """
+        world = play(
+            self,
+            """
             time | gateway                    | a       | b
             0    | ask 1 unsafe 2          | <1      |
             2    | over 1; ?give 1 504     |         |
@@ -391,12 +474,18 @@
             2.2  | ask 2 safe              |         | <2
             2.3  | gone 2                  |         |
             2.4  |                         |         | ok 2
-            """)
+            """,
+        )
         self.assertEqual(world.balancer.tries, {})
 
     def test_the_quota_is_given_back_only_for_what_never_ran(self):
-        for ended, told, level in (("full 1", 503, 5), ("refused 1", 503, 5), ("reset 1", 502, 4),
-                                   ("ok 1", 200, 4), ("error 1", 500, 4)):
+        for ended, told, level in (
+            ("full 1", 503, 5),
+            ("refused 1", 503, 5),
+            ("reset 1", 502, 4),
+            ("ok 1", 200, 4),
+            ("error 1", 500, 4),
+        ):
             with self.subTest(ended):
                 world = World(self, ["a"])
                 world.admission.configure({"t": TenantTerms(0.001, 5.0)}, 0.0)
@@ -418,7 +507,7 @@
         self.assertEqual((world.sent["1"], world.given), (["a"], {}))
         world.ask("2", "unsafe", 0.02, tenant="t")
         world.ask("2", "unsafe", 0.03, tenant="t", drawn=0.5)
-        world.ask("3", "unsafe", 0.1, tenant="t")   # it said that none would be there so soon
+        world.ask("3", "unsafe", 0.1, tenant="t")  # it said that none would be there so soon
         self.assertEqual((world.given, len(world.draws)), ({"2": 429, "3": 429}, 2))
         world.ask("4", "unsafe", 0.6, tenant="t")
         self.assertEqual(len(world.draws), 3)
--- a/tests/crowseam/test_logs.py
+++ b/tests/crowseam/test_logs.py
@@ -20,9 +20,13 @@
     for package, roles in PACKAGES.items():
         for path in sorted((ROOT / "crowseam" / package).glob("*.py")):
             for node in ast.walk(ast.parse(path.read_text())):
-                if not (isinstance(node, ast.Call) and isinstance(node.func, ast.Attribute)
-                        and isinstance(node.func.value, ast.Name) and node.func.value.id == "logs"
-                        and node.func.attr in ("say", "failure")):
+                if not (
+                    isinstance(node, ast.Call)
+                    and isinstance(node.func, ast.Attribute)
+                    and isinstance(node.func.value, ast.Name)
+                    and node.func.value.id == "logs"
+                    and node.func.attr in ("say", "failure")
+                ):
                     continue
                 event = node.args[0]
                 events = [event.body, event.orelse] if isinstance(event, ast.IfExp) else [event]
@@ -45,8 +49,7 @@
             assert meaning, line
             always, _, at_times = fields.partition("(")
             for each in ROLES[role]:
-                found[each, event.strip("`")] = tuple(set(re.findall(r"`(\w+)`", part))
-                                                      for part in (always, at_times))
+                found[each, event.strip("`")] = tuple(set(re.findall(r"`(\w+)`", part)) for part in (always, at_times))
     return found
 
 
@@ -62,21 +65,21 @@
 class Lines(unittest.TestCase):
     def setUp(self):
         self.now, self.lines = 50.0, []
-        for patch in (mock.patch.object(clock, "monotonic", lambda: self.now),
-                      mock.patch.object(clock, "time", lambda: 1000.0 + self.now),
-                      mock.patch.object(logs, "_seen", {}),
-                      mock.patch.object(logs, "_log", SimpleNamespace(info=self.lines.append))):
+        for patch in (
+            mock.patch.object(clock, "monotonic", lambda: self.now),
+            mock.patch.object(clock, "time", lambda: 1000.0 + self.now),
+            mock.patch.object(logs, "_seen", {}),
+            mock.patch.object(logs, "_log", SimpleNamespace(info=self.lines.append)),
+        ):
             patch.start()
             self.addCleanup(patch.stop)
 
     def test_one_line_of_pairs(self):
         logs.say("refused", id="a", wait=0.123456, reason="two words", rest="x=1")
-        self.assertEqual(self.lines,
-                         ['t=1050.000 event=refused id=a wait=0.1235 reason="two words" rest="x=1"'])
+        self.assertEqual(self.lines, ['t=1050.000 event=refused id=a wait=0.1235 reason="two words" rest="x=1"'])
 
     def test_whatever_is_told_it_stays_one_line_that_can_be_taken_apart(self):
-        for text in ('he said "no"', "a\nb", "a\r\n level=INFO", "", "tab\there", "\\", 'x"y', "\x00",
-                     "\u2028z"):
+        for text in ('he said "no"', "a\nb", "a\r\n level=INFO", "", "tab\there", "\\", 'x"y', "\x00", "\u2028z"):
             self.lines.clear()
             self.now += 2.0
             logs.say("e", text=text, last=1)
--- a/tests/crowseam/test_metrics.py
+++ b/tests/crowseam/test_metrics.py
@@ -58,8 +58,9 @@
 
 def route(name="loans", *services, target=0.1):
     split = tuple((each, 1.0) for each in services or ("a",))
-    return types.SimpleNamespace(name=name, target=target, split=split, safe=True, prio=0, tries=1,
-                                 pick=lambda draw: split[0][0])
+    return types.SimpleNamespace(
+        name=name, target=target, split=split, safe=True, prio=0, tries=1, pick=lambda draw: split[0][0]
+    )
 
 
 def recorder(*routes, make=MAKE):
@@ -71,18 +72,27 @@
 
 
 def samples(text):
-    return {(sample.name, *(value for _, value in sorted(sample.labels.items()))): sample.value
-            for family in text_string_to_metric_families(text.decode()) for sample in family.samples}
+    return {
+        (sample.name, *(value for _, value in sorted(sample.labels.items()))): sample.value
+        for family in text_string_to_metric_families(text.decode())
+        for sample in family.samples
+    }
 
 
 class Recorded(unittest.TestCase):
     def test_outcomes_reasons_and_classes(self):
         made = recorder(loans := route())
         for status, reason, span, outcome in (
-                (200, "", 0.1, "served"), (201, "", 0.11, "late"), (404, "", 0.01, "served"),
-                (500, "", 0.01, "failed"), (429, "quota", 0.0, "refused"), (503, "no_room", 0.0, "refused"),
-                (401, "key", 0.0, "refused"), (504, "deadline", 9.0, "failed"),
-                (200, "broken", 900.0, "failed")):
+            (200, "", 0.1, "served"),
+            (201, "", 0.11, "late"),
+            (404, "", 0.01, "served"),
+            (500, "", 0.01, "failed"),
+            (429, "quota", 0.0, "refused"),
+            (503, "no_room", 0.0, "refused"),
+            (401, "key", 0.0, "refused"),
+            (504, "deadline", 9.0, "failed"),
+            (200, "broken", 900.0, "failed"),
+        ):
             before = made.series[key].count if (key := ("loans", "a", outcome)) in made.series else 0
             made.ended(loans, "" if outcome == "refused" else "a", status, reason, span)
             self.assertEqual(made.series[key].count, before + 1, (status, reason))
@@ -119,8 +129,10 @@
             found = told["crowseam_answer_quantile_seconds", name, "loans", "a"]
             self.assertAlmostEqual(found / spans[place], 1.0, delta=0.011)
         for bound in latency.BOUNDS:
-            count = sum(told["crowseam_request_seconds_bucket", str(bound), outcome, "loans", "a"]
-                        for outcome in ("served", "late"))
+            count = sum(
+                told["crowseam_request_seconds_bucket", str(bound), outcome, "loans", "a"]
+                for outcome in ("served", "late")
+            )
             self.assertLessEqual(sum(span <= bound for span in spans), count)
             self.assertGreaterEqual(sum(span <= 1.0203 * bound for span in spans), count)
 
@@ -136,9 +148,11 @@
             gateway.configure(mock.Mock(routes={"loans": (loans := route())}, tenants={}, svcs={}))
 
             def ask():
-                return gateway.admit(mock.Mock(), mock.Mock(txn=b"1", route=loans, tenant="", time_left=2.0,
-                                                         upload=None))
-            ask()       # there is no server
+                return gateway.admit(
+                    mock.Mock(), mock.Mock(txn=b"1", route=loans, tenant="", time_left=2.0, upload=None)
+                )
+
+            ask()  # there is no server
             gateway.follow([Record("i-1", "a", "10.9.0.1:80", "z", "v", 9)], True)
             gateway.backends.begin = lambda exchange, ident: sent.append(exchange)
             sent = []
@@ -146,14 +160,30 @@
             sent[0].end(Status.OK, Answer(200, [], b""))
             sent[1].end(Status.RESET)
             gateway.gone(numbers[2])
-            told = samples(exposition.render(families.of_gateway(types.SimpleNamespace(
-                gateway=gateway, ready=lambda: True, server=mock.Mock(connections=[1]), reader=Reader(),
-                controller_session=mock.Mock(slot=3, link=None)))))
+            told = samples(
+                exposition.render(
+                    families.of_gateway(
+                        types.SimpleNamespace(
+                            gateway=gateway,
+                            ready=lambda: True,
+                            server=mock.Mock(connections=[1]),
+                            reader=Reader(),
+                            controller_session=mock.Mock(slot=3, link=None),
+                        )
+                    )
+                )
+            )
         for name, labels, value in (
-                ("request_seconds_count", ("served", "loans", "a"), 1), ("refused_total", ("no_room",), 1),
-                ("request_seconds_count", ("refused", "loans", "a"), 1), ("failed_total", ("reset",), 1),
-                ("request_seconds_count", ("failed", "loans", "a"), 1), ("gone_total", (), 1),
-                ("under_way", (), 0), ("slot", (), 3), ("answers_total", ("5xx",), 2)):
+            ("request_seconds_count", ("served", "loans", "a"), 1),
+            ("refused_total", ("no_room",), 1),
+            ("request_seconds_count", ("refused", "loans", "a"), 1),
+            ("failed_total", ("reset",), 1),
+            ("request_seconds_count", ("failed", "loans", "a"), 1),
+            ("gone_total", (), 1),
+            ("under_way", (), 0),
+            ("slot", (), 3),
+            ("answers_total", ("5xx",), 2),
+        ):
             self.assertEqual(told[f"crowseam_{name}", *labels], value, (name, labels))
 
     def test_a_controller_tells_its_own(self):
@@ -195,7 +225,7 @@
             merged.add(text.decode())
         alone.add(self.text(fast + slow, refused=10).decode())
         self.assertEqual(merged.rows(), alone.rows())
-        row, = merged.rows()
+        (row,) = merged.rows()
         self.assertEqual((row["requests"], row["refused"], row["in_aim"]), (1010, 10, 0.8911))
         for name, place, near in (("p50", 500, 0.3), ("p99", 990, 0.3), ("worst", 999, 0.011)):
             self.assertAlmostEqual(row[name] / sorted(fast + slow)[place], 1.0, delta=near)
@@ -210,14 +240,17 @@
 
         def said(*argv):
             out, err = io.StringIO(), io.StringIO()
-            with (mock.patch.object(control_client, "send", send), contextlib.redirect_stdout(out),
-                  contextlib.redirect_stderr(err)):
+            with (
+                mock.patch.object(control_client, "send", send),
+                contextlib.redirect_stdout(out),
+                contextlib.redirect_stderr(err),
+            ):
                 return run(["metrics", *argv]), out.getvalue(), err.getvalue()
 
         code, out, _ = said("--at=a:1,b:1,a:1,c:1,d:1", "--json")
         told = json.loads(out)
         self.assertEqual((code, sorted(told["missed"])), (0, ["c:1", "d:1"]))
-        self.assertEqual(told["routes"][0]["requests"], 2)      # a:1, named twice, is counted once
+        self.assertEqual(told["routes"][0]["requests"], 2)  # a:1, named twice, is counted once
         self.assertEqual(said("--at=a:1")[1].splitlines()[1].split()[:3], ["loans", "a", "1"])
         self.assertEqual(said("--at=c:1"), (1, "", "c:1: silence\n"))
         code, out, err = said("--at=nowhere")
--- a/tests/crowseam/test_outliers.py
+++ b/tests/crowseam/test_outliers.py
@@ -114,7 +114,7 @@
     def test_failures_are_told_only_while_others_serve_well(self):
         self.ask(0.0, safe=False)
         self.balancer.outcome(self.number, 0, Status.RESET, None, 0.1)
-        self.assertEqual(self.balancer.ill_news(0.1), {})     # nothing has been served: it may be us
+        self.assertEqual(self.balancer.ill_news(0.1), {})  # nothing has been served: it may be us
         self.ask(4.0)
         self.balancer.outcome(self.number, 0, Status.OK, None, 4.1)
         ill = self.ask(4.2, safe=False)
--- a/tests/crowseam/test_quotas.py
+++ b/tests/crowseam/test_quotas.py
@@ -35,9 +35,14 @@
         self.assertEqual((one.events, one.peaks), (other.events, other.peaks))
 
     def test_planted_faults_are_found(self):
-        words = {"a lowering": "sum to", "one holder": "hold the duty", "margin": "hold the duty",
-                 "the fence at the gateway": "obeys fence", "the extra": "the rule allows",
-                 "the reserve": "the rule allows"}
+        words = {
+            "a lowering": "sum to",
+            "one holder": "hold the duty",
+            "margin": "hold the duty",
+            "the fence at the gateway": "obeys fence",
+            "the extra": "the rule allows",
+            "the reserve": "the rule allows",
+        }
         found = model_check.known("quotas")
         self.assertGreaterEqual(len(found), 12)
         for mutant, violations in found:
@@ -78,7 +83,7 @@
         world.run_until(cut_at + 10.0)
 
     def test_clocks_that_differ_by_two_percent_need_the_margin(self):
-        times = [7.5 + step * 0.06 for step in range(20)]    # the grantor looks each quarter of a second
+        times = [7.5 + step * 0.06 for step in range(20)]  # the grantor looks each quarter of a second
         for at in times:
             self.play_uneven_clocks(0.4, at)
         with self.assertRaisesRegex(Violation, "sum to"):
--- a/tests/crowseam/test_request_reader.py
+++ b/tests/crowseam/test_request_reader.py
@@ -19,8 +19,10 @@
 
 def table(*more, tenants=True):
     def route(name, prefix, **spec):
-        return item("routes", name, vhost="gateway.example", prefix=prefix, kind="safe", timeout="1500ms",
-                    svc="s", **spec)
+        return item(
+            "routes", name, vhost="gateway.example", prefix=prefix, kind="safe", timeout="1500ms", svc="s", **spec
+        )
+
     objs = [route("r", "/loans/"), route("p", "/open/", public=True), item("svcs", "s"), *more]
     if tenants:
         objs.append(item("tenants", "town", apikeys=["key-1", "key-2"]))
@@ -39,8 +41,9 @@
     def read(self, url=b"/loans/7?copy=2", body=b"", method=b"GET", without=(), more=(), **fields):
         """Fields are as given by the server of clients: names in lower case, in their order."""
         told = {**USUAL, **{name.replace("_", "-"): value for name, value in fields.items()}}
-        pairs = [(name.lower().encode(), value.encode("latin-1")) for name, value in told.items()
-                 if name not in without]
+        pairs = [
+            (name.lower().encode(), value.encode("latin-1")) for name, value in told.items() if name not in without
+        ]
         return self.reader.read(method, url, pairs + list(more), body)
 
     def sent(self, **told):
@@ -57,42 +60,69 @@
 class PassedOn(Case):
     def test_method_path_and_body_are_unchanged_and_what_we_tell_is_added(self):
         asked = self.read(b"/loans/a%20b/?x=/../y#z", b"body", b"PUT", Content_Length="4", Accept="*/*")
-        self.assertEqual(asked.render(0.0304, "i-9"),
-                         b"PUT /loans/a%20b/?x=/../y#z HTTP/1.1\r\nhost: gateway.example\r\n"
-                         b"x-attempt-id: id-1\r\naccept: */*\r\ncontent-length: 4\r\nX-Time-Left: 30\r\n"
-                         b"X-Target-Instance: i-9\r\nX-Tenant: town\r\n\r\nbody")
-        self.assertEqual((asked.txn, asked.tenant, asked.route.name, asked.upload),
-                         (b"id-1", "town", "r", None))
+        self.assertEqual(
+            asked.render(0.0304, "i-9"),
+            b"PUT /loans/a%20b/?x=/../y#z HTTP/1.1\r\nhost: gateway.example\r\n"
+            b"x-attempt-id: id-1\r\naccept: */*\r\ncontent-length: 4\r\nX-Time-Left: 30\r\n"
+            b"X-Target-Instance: i-9\r\nX-Tenant: town\r\n\r\nbody",
+        )
+        self.assertEqual((asked.txn, asked.tenant, asked.route.name, asked.upload), (b"id-1", "town", "r", None))
 
     def test_what_only_we_may_say_is_not_taken_from_clients(self):
         for url, tenant in ((b"/loans/7", b"town"), (b"/open/7", None)):
             _, fields = self.sent(url=url, X_Tenant="other", X_Target_Instance="i-1", X_Time_Left="500")
-            self.assertEqual((fields.get(b"x-tenant"), fields[b"x-target-instance"], fields[b"x-time-left"],
-                              fields.get(b"authorization")), (tenant, b"i-9", b"1250", None))
+            self.assertEqual(
+                (
+                    fields.get(b"x-tenant"),
+                    fields[b"x-target-instance"],
+                    fields[b"x-time-left"],
+                    fields.get(b"authorization"),
+                ),
+                (tenant, b"i-9", b"1250", None),
+            )
 
     def test_what_concerns_the_connection_ends_here(self):
-        _, fields = self.sent(Connection="Keep-Alive, X-Hop, HOST , x-attempt-id", Keep_Alive="timeout=3",
-                              X_Hop="1", Upgrade="h2c", TE="trailers", Proxy_Connection="close", Trailer="X",
-                              Expect="100-continue", X_Hopper="2")
-        self.assertEqual(sorted(fields), [b"host", b"x-attempt-id", b"x-hopper", b"x-target-instance",
-                                          b"x-tenant", b"x-time-left"])
+        _, fields = self.sent(
+            Connection="Keep-Alive, X-Hop, HOST , x-attempt-id",
+            Keep_Alive="timeout=3",
+            X_Hop="1",
+            Upgrade="h2c",
+            TE="trailers",
+            Proxy_Connection="close",
+            Trailer="X",
+            Expect="100-continue",
+            X_Hopper="2",
+        )
+        self.assertEqual(
+            sorted(fields), [b"host", b"x-attempt-id", b"x-hopper", b"x-target-instance", b"x-tenant", b"x-time-left"]
+        )
 
     def test_a_connection_field_takes_away_nothing_of_ours(self):
-        _, fields = self.sent(Connection="content-length, x-tenant, x-target-instance, x-time-left",
-                              body=b"four", method=b"POST", Content_Length="4")
-        self.assertEqual((fields[b"content-length"], fields[b"x-tenant"], fields[b"x-target-instance"]),
-                         (b"4", b"town", b"i-9"))
+        _, fields = self.sent(
+            Connection="content-length, x-tenant, x-target-instance, x-time-left",
+            body=b"four",
+            method=b"POST",
+            Content_Length="4",
+        )
+        self.assertEqual(
+            (fields[b"content-length"], fields[b"x-tenant"], fields[b"x-target-instance"]), (b"4", b"town", b"i-9")
+        )
 
     def test_framing_is_kept(self):
         def upload(length):
             return flow.Upload(flow.Budget(128), length, lambda on: None, [b"some"])
+
         length, none = (b"content-length", b"transfer-encoding"), {}
         chunked = {"Transfer_Encoding": "chunked"}
-        for body, told, expected in ((b"", none, (None, None)), (b"", {"Content_Length": "0"}, (b"0", None)),
-                                     (b"four", {"Content_Length": "4"}, (b"4", None)),
-                                     (b"four", chunked, (b"4", None)), (b"", chunked, (b"0", None)),
-                                     (upload(99), {"Content_Length": "99"}, (b"99", None)),
-                                     (upload(None), chunked, (None, b"chunked"))):
+        for body, told, expected in (
+            (b"", none, (None, None)),
+            (b"", {"Content_Length": "0"}, (b"0", None)),
+            (b"four", {"Content_Length": "4"}, (b"4", None)),
+            (b"four", chunked, (b"4", None)),
+            (b"", chunked, (b"0", None)),
+            (upload(99), {"Content_Length": "99"}, (b"99", None)),
+            (upload(None), chunked, (None, b"chunked")),
+        ):
             _, fields = self.sent(body=body, method=b"POST", **told)
             self.assertEqual(tuple(fields.get(name) for name in length), expected, (body, told))
 
@@ -115,15 +145,23 @@
 
 class Refused(Case):
     def test_statuses(self):
-        for status, told in ((404, {"url": b"/none/7"}), (404, {"url": b"/loans"}),
-                             (404, {"Host": "b.example"}), (404, {"url": b"*"}),
-                             (404, {"url": b"", "without": ("Authorization",)}),
-                             (401, {"without": ("Authorization",)}), (401, {"Authorization": "Bearer key-3"}),
-                             (401, {"Authorization": "Basic key-1"}), (401, {"Authorization": "key-1"}),
-                             (401, {"Authorization": "Bearer \xff"}),
-                             (400, {"without": ("Host",)}), (400, {"without": ("X-Attempt-Id",)}),
-                             (400, {"X_Attempt_Id": "two words"}), (400, {"X_Attempt_Id": "x" * 201}),
-                             (400, {"X_Attempt_Id": ""})):
+        for status, told in (
+            (404, {"url": b"/none/7"}),
+            (404, {"url": b"/loans"}),
+            (404, {"Host": "b.example"}),
+            (404, {"url": b"*"}),
+            (404, {"url": b"", "without": ("Authorization",)}),
+            (401, {"without": ("Authorization",)}),
+            (401, {"Authorization": "Bearer key-3"}),
+            (401, {"Authorization": "Basic key-1"}),
+            (401, {"Authorization": "key-1"}),
+            (401, {"Authorization": "Bearer \xff"}),
+            (400, {"without": ("Host",)}),
+            (400, {"without": ("X-Attempt-Id",)}),
+            (400, {"X_Attempt_Id": "two words"}),
+            (400, {"X_Attempt_Id": "x" * 201}),
+            (400, {"X_Attempt_Id": ""}),
+        ):
             with self.subTest(told):
                 self.refused(status, **told)
         for left in ("0", "-1", "1.5", "600001", "", "1 ", "+5", "9" * 10, "\xb2"):
@@ -131,8 +169,14 @@
                 self.refused(400, X_Time_Left=left)
 
     def test_what_counts_may_be_said_once_only(self):
-        for name in (b"host", b"x-attempt-id", b"x-time-left", b"authorization", b"content-length",
-                     b"transfer-encoding"):
+        for name in (
+            b"host",
+            b"x-attempt-id",
+            b"x-time-left",
+            b"authorization",
+            b"content-length",
+            b"transfer-encoding",
+        ):
             self.refused(400, more=[(name, b"1"), (name, b"1")])
         self.read(more=[(b"x-tenant", b"a"), (b"x-tenant", b"b"), (b"accept", b"a"), (b"accept", b"b")])
 
@@ -149,11 +193,36 @@
 
     def test_any_fields_are_read_or_refused(self):
         rng = random.Random(3)
-        names = [b"host", b"x-attempt-id", b"x-time-left", b"authorization", b"connection", b"content-length",
-                 b"transfer-encoding", b"x-tenant", b"x-target-instance", b"te", b"accept", b"", b"\xff"]
-        values = [b"gateway.example", b"gateway.example:80", b"id-1", b"Bearer key-1", b"500", b"", b"\xff\x00",
-                  b",,,", b"x-attempt-id, accept", b"9" * 300, b" ", b"[::1]:80",
-                  b"Bearer " + bytes(range(128, 256))]
+        names = [
+            b"host",
+            b"x-attempt-id",
+            b"x-time-left",
+            b"authorization",
+            b"connection",
+            b"content-length",
+            b"transfer-encoding",
+            b"x-tenant",
+            b"x-target-instance",
+            b"te",
+            b"accept",
+            b"",
+            b"\xff",
+        ]
+        values = [
+            b"gateway.example",
+            b"gateway.example:80",
+            b"id-1",
+            b"Bearer key-1",
+            b"500",
+            b"",
+            b"\xff\x00",
+            b",,,",
+            b"x-attempt-id, accept",
+            b"9" * 300,
+            b" ",
+            b"[::1]:80",
+            b"Bearer " + bytes(range(128, 256)),
+        ]
         urls = [b"/loans/", b"/loans/x?y", b"/open/", b"", b"?", b"/" * 3000, b"\xff", b"http://x/loans/"]
         read = 0
         for _ in range(4000):
@@ -207,8 +276,10 @@
             admitted.append(asked.body)
             client.answered(200, [], b"")
             return len(admitted)
-        host = SimpleNamespace(backends=SimpleNamespace(budget=flow.Budget(128)), admit=admit,
-                               is_open=lambda txn: False)
+
+        host = SimpleNamespace(
+            backends=SimpleNamespace(budget=flow.Budget(128)), admit=admit, is_open=lambda txn: False
+        )
         server = Server(SimpleNamespace(call_soon=lambda call: soon.append(call)), host, 100, self.reader)
         soon = []
         client = ClientConnection(server)
@@ -221,9 +292,12 @@
 
     def test_a_body_that_waits_behind_is_let_go_of_with_its_connection(self):
         budget, admitted = flow.Budget(128), []
-        host = SimpleNamespace(backends=SimpleNamespace(budget=budget), is_open=lambda txn: False,
-                               gone=lambda request: None,
-                               admit=lambda client, asked: admitted.append(client) or len(admitted))
+        host = SimpleNamespace(
+            backends=SimpleNamespace(budget=budget),
+            is_open=lambda txn: False,
+            gone=lambda request: None,
+            admit=lambda client, asked: admitted.append(client) or len(admitted),
+        )
         head = b"PUT /loans/7 HTTP/1.1\r\nHost: gateway.example\r\nAuthorization: Bearer key-1\r\n"
         for ends in ("answered last", "broken", "lost", "too many"):
             server = Server(SimpleNamespace(call_soon=lambda call: None), host, 100, self.reader)
@@ -243,26 +317,28 @@
             self.assertEqual(budget.used, 0, ends)
 
     def test_no_request_is_hidden_in_another(self):
-        head = b"PUT /loans/7 HTTP/1.1\r\nHost: gateway.example\r\n" \
-               b"Authorization: Bearer key-1\r\nX-Attempt-Id: 1\r\n"
+        head = (
+            b"PUT /loans/7 HTTP/1.1\r\nHost: gateway.example\r\n" b"Authorization: Bearer key-1\r\nX-Attempt-Id: 1\r\n"
+        )
         hidden = b"GET /loans/8 HTTP/1.1\r\nHost: gateway.example\r\nX-Attempt-Id: 2\r\n\r\n"
         size, wish = b"Content-Length: %d\r\n" % len(hidden), b"Connection: Upgrade\r\nUpgrade: h2c\r\n"
         chunked = b"Transfer-Encoding: chunked\r\n"
         in_chunks = b"%x\r\n%b\r\n0\r\n\r\n" % (len(hidden), hidden)
         for data, admitted, statuses in (
-                (head + size + b"\r\n" + hidden, [hidden], [200]),
-                (head + chunked + b"\r\n" + in_chunks, [hidden], [200]),
-                (head + b"\r\n" + head + b"\r\n", [b"", b""], [200, 200]),
-                (head + wish + b"\r\n" + head + b"\r\n", [b"", b""], [200, 200]),
-                (head + size + wish + b"\r\n" + hidden, [], [400]),
-                (head + chunked + wish + b"\r\n" + in_chunks, [], [400]),
-                (head + size + chunked + b"\r\n" + in_chunks, [], [400]),
-                (head + size + size + b"\r\n" + hidden, [], [400]),
-                (head + b"Transfer-Encoding: gzip, chunked\r\n\r\n" + in_chunks, [], [400]),
-                (head + b"Transfer-Encoding : chunked\r\n\r\n" + in_chunks, [], [400]),
-                (head + b"Content-Length: +5\r\n\r\n" + hidden, [], [400])):
+            (head + size + b"\r\n" + hidden, [hidden], [200]),
+            (head + chunked + b"\r\n" + in_chunks, [hidden], [200]),
+            (head + b"\r\n" + head + b"\r\n", [b"", b""], [200, 200]),
+            (head + wish + b"\r\n" + head + b"\r\n", [b"", b""], [200, 200]),
+            (head + size + wish + b"\r\n" + hidden, [], [400]),
+            (head + chunked + wish + b"\r\n" + in_chunks, [], [400]),
+            (head + size + chunked + b"\r\n" + in_chunks, [], [400]),
+            (head + size + size + b"\r\n" + hidden, [], [400]),
+            (head + b"Transfer-Encoding: gzip, chunked\r\n\r\n" + in_chunks, [], [400]),
+            (head + b"Transfer-Encoding : chunked\r\n\r\n" + in_chunks, [], [400]),
+            (head + b"Content-Length: +5\r\n\r\n" + hidden, [], [400]),
+        ):
             for cut in (len(data), 60):
-                with self.subTest(data[len(head):len(head) + 60], cut=cut):
+                with self.subTest(data[len(head) : len(head) + 60], cut=cut):
                     self.assertEqual(self.sent_on(data[:cut], data[cut:]), (admitted, statuses))
 
 
--- a/tests/crowseam/test_reserved_servers.py
+++ b/tests/crowseam/test_reserved_servers.py
@@ -67,8 +67,10 @@
         rng = Random(5)
         balancer = LoadBalancer("x", Admission(0.0, rng), RetryBudget(0.2, 10.0, 60.0, 0.0, 1, False), rng)
         balancer.follow([Record(f"i-{n}", "a", f"10.0.0.{n}:80", "x", "v1", 2) for n in range(8)], True, 0.0)
-        routes = {name: Route(name, b"h", b"/", True, 9.0, aim, 1, (("a", 1.0),), 1, True, (1.0,))
-                  for name, aim in (("table", 0.2), ("summary", 1.0))}
+        routes = {
+            name: Route(name, b"h", b"/", True, 9.0, aim, 1, (("a", 1.0),), 1, True, (1.0,))
+            for name, aim in (("table", 0.2), ("summary", 1.0))
+        }
         took = {"table": 0.05, "summary": 0.3}
         used = {"table": set(), "summary": set()}
         for number in range(600):
