--- a/tests/crowseam/test_retirement.py
+++ b/tests/crowseam/test_retirement.py
@@ -61,12 +61,19 @@
 
         settings = msgspec.structs.replace(self.settings("gateway", False), hostname=name, ip=IPS[name])
         self.controller_sessions[name] = ControllerSession(
-            process.loop, settings, random.Random(life), lambda table: None, on_servers, lambda ids: None, dict,
-            lambda: dict(self.busy[name]))
+            process.loop,
+            settings,
+            random.Random(life),
+            lambda table: None,
+            on_servers,
+            lambda ids: None,
+            dict,
+            lambda: dict(self.busy[name]),
+        )
         process.loop.call_soon(self.controller_sessions[name].start)
 
     def start(self, *names):
-        first = names[1:] == (True,)    # as the constructor calls it
+        first = names[1:] == (True,)  # as the constructor calls it
         for name in names[:1] if first else names:
             if name in ("a", "b"):
                 self.ingress(name)
@@ -123,8 +130,11 @@
     def call(self, system, name, verb, args):
         if verb == "heartbeat":
             ident, seq, svc, addr = (*args, "s", f"10.9.0.{args[0][1:]}:80")[:4] if len(args) == 2 else args
-            body = {"addr": addr, "summary": {"svc": svc, "ver": "v1", "az": "z", "slots": 4},
-                    "stat": {"phase": "up", "seq": int(seq), "warmup_time": "0ms"}}
+            body = {
+                "addr": addr,
+                "summary": {"svc": svc, "ver": "v1", "az": "z", "slots": 4},
+                "stat": {"phase": "up", "seq": int(seq), "warmup_time": "0ms"},
+            }
             system.call(name, "PUT", f"/-/backends/{ident}", json.dumps(body).encode())
         elif verb == "delete":
             system.call(name, "DELETE", f"/-/backends/{args[0]}")
@@ -233,7 +243,8 @@
     def test_a_controller_that_ends_just_after_the_acknowledgement(self):
         for lost in REGISTRIES:
             for seed in (1, 2):
-                self.play(f"""
+                self.play(
+                    f"""
                     time | events       | r1        | r2                       | r3 | a       | b
                     2    |              | heartbeat i1 1 | heartbeat i2 1                |    |         |
                     3    |              | retire i1 |                          |    |         |
@@ -242,12 +253,15 @@
                     8    | start {lost} |           |                          |    |         |
                     12   |              | heartbeat i1 9 | look                     |    |         |
                     12.5 |              |           | ?is i1 retired; ?safe i1 |    | ?use i2 | ?use i2
-                    """, seed)
+                    """,
+                    seed,
+                )
 
     def test_the_one_that_missed_it_hears_of_it_at_once_when_it_is_back(self):
         for seed in range(4):
-            for healed, known in ((3.4, 3.85), (6.0, 6.7)):     # a long cut has ended the links
-                self.play(f"""
+            for healed, known in ((3.4, 3.85), (6.0, 6.7)):  # a long cut has ended the links
+                self.play(
+                    f"""
                     time     | events  | r1        | r2             | r3             | a       | b
                     2        |         | heartbeat i1 1 | heartbeat i2 1      |                |         |
                     3        | cut r3  |           |                |                |         |
@@ -257,21 +271,27 @@
                     {known}  |         |           |                | ?knows i1      | ?use i2 | ?use i2
                     8        |         |           | look           | look i1        | ?use i2 | ?use i2
                     8.7      |         |           | ?is i1 retired | ?is i1 retired |         |
-                    """, seed)
+                    """,
+                    seed,
+                )
 
     def test_an_ingress_that_comes_to_a_controller_behind_keeps_what_it_knows(self):
         for seed in range(3):
-            self.play("""
+            self.play(
+                """
                 time | events                   | r1        | r2        | r3 | a       | b
                 2    |                          | heartbeat i1 1 | heartbeat i2 1 |    |         |
                 3    |                          | retire i1 |           |    |         |
                 3.2  | behind i1 r2 r3; kill r1 |           |           |    | ?use i2 | ?use i2
                 5.5  |                          |           |           |    | ?use i2 | ?use i2
-                """, seed)
+                """,
+                seed,
+            )
 
     def test_it_outlives_the_restart_of_all(self):
         for seed in range(6):
-            self.play("""
+            self.play(
+                """
                 time | events           | r1        | r2        | r3       | a          | b
                 2    |                  | heartbeat i1 1 | heartbeat i2 1 |          |            |
                 4.9  |                  | retire i1 |           |          |            |
@@ -283,7 +303,9 @@
                 9.85 | kill r1 r2 r3    |           |           | ?200     |            |
                 10   | start r1 r2 r3   |           |           |          |            |
                 14   |                  |           | heartbeat i1 9 |          | ?use i1 i2 | ?use i1 i2
-                """, seed)
+                """,
+                seed,
+            )
 
     def test_its_address_goes_to_a_server_of_another_service(self):
         self.play("""
@@ -323,13 +345,16 @@
 
     def test_two_who_say_the_opposite_at_once_end_in_one_of_both(self):
         for seed in range(4):
-            system = self.play("""
+            system = self.play(
+                """
                 time | events | r1        | r2        | r3   | a | b
                 2    |        | heartbeat i1 1 | heartbeat i2 1 |      |   |
                 3    |        | retire i1 |           |      |   |
                 3.5  |        | retire i1 | undo i1   | look |   |
                 6    |        |           |           |      |   |
-                """, seed)
+                """,
+                seed,
+            )
             self.assertEqual({system.answers[name].status for name in ("r1", "r2")} - {200, 409}, set())
             epochs = {system.controllers[name].registry.get("i1", 0.0).retired for name in REGISTRIES}
             epochs |= {system.used[name]["i1"].retired for name in ("a", "b")}
@@ -343,21 +368,23 @@
         # id phase retired quiet(ms) -> what stands then
         memory = retirement.Memory()
         for time, told, whole, stands in (
-                (0.0, [("a", "up", 0, 100), ("b", "up", 0, 100)], True, [("up", 0), ("up", 0)]),
-                (1.0, [("a", "up", 1, 100)], False, [("up", 1)]),
-                (2.0, [("b", "gone", 0, 0)], False, [("gone", 0)]),
-                (3.0, [("a", "up", 0, 100), ("b", "up", 0, 2000)], True, [("up", 1), ("gone", 0)]),
-                (4.0, [("a", "up", 2, 100)], False, [("up", 2)]),
-                (5.0, [("a", "draining", 1, 100)], True, [("draining", 2)]),
-                (6.0, [("a", "up", 2, 100)], False, [("draining", 2)]),
-                # It said itself that it ends: a controller that stood still has read a heartbeat of before.
-                (7.0, [("b", "up", 0, 0)], False, [("gone", 0)]),
-                # It was only forgotten: silent for 30 s, and now it reports again.
-                (40.0, [("c", "gone", 0, 30_000)], False, [("gone", 0)]),
-                (41.0, [("c", "up", 0, 31_500)], False, [("gone", 0)]),
-                (42.0, [("c", "up", 0, 500)], False, [("up", 0)])):
-            records = [Record(ident, phase=phase, retired=retired, quiet=quiet)
-                       for ident, phase, retired, quiet in told]
+            (0.0, [("a", "up", 0, 100), ("b", "up", 0, 100)], True, [("up", 0), ("up", 0)]),
+            (1.0, [("a", "up", 1, 100)], False, [("up", 1)]),
+            (2.0, [("b", "gone", 0, 0)], False, [("gone", 0)]),
+            (3.0, [("a", "up", 0, 100), ("b", "up", 0, 2000)], True, [("up", 1), ("gone", 0)]),
+            (4.0, [("a", "up", 2, 100)], False, [("up", 2)]),
+            (5.0, [("a", "draining", 1, 100)], True, [("draining", 2)]),
+            (6.0, [("a", "up", 2, 100)], False, [("draining", 2)]),
+            # It said itself that it ends: a controller that stood still has read a heartbeat of before.
+            (7.0, [("b", "up", 0, 0)], False, [("gone", 0)]),
+            # It was only forgotten: silent for 30 s, and now it reports again.
+            (40.0, [("c", "gone", 0, 30_000)], False, [("gone", 0)]),
+            (41.0, [("c", "up", 0, 31_500)], False, [("gone", 0)]),
+            (42.0, [("c", "up", 0, 500)], False, [("up", 0)]),
+        ):
+            records = [
+                Record(ident, phase=phase, retired=retired, quiet=quiet) for ident, phase, retired, quiet in told
+            ]
             after = [(record.phase, record.retired) for record in memory.take(records, whole, time)]
             self.assertEqual(after, stands, time)
         memory.take([Record("z")], True, 2000.0)
@@ -407,7 +434,7 @@
                 heard.append((system.world.now, data))
 
         system.network.listen(server, Heard, "10.9.0.2", 80)
-        system.network.off.add("10.9.0.1")      # a connection there neither comes up nor is refused
+        system.network.off.add("10.9.0.1")  # a connection there neither comes up nor is refused
         process = system.network.process("x", "10.1.0.30")
         with worn(system.world, lambda event, **fields: None):
             system.world.enter(process)
@@ -462,15 +489,14 @@
         return told.run(), said, ended, views
 
     def test_servers_switched_off_once_that_is_safe_cost_no_request(self):
-        seen = 0
-        for seed, command in ((1, {"id": "i-maps-0001"}), (2, {"az": "w", "svc": "loans"}), (3, {"az": "w"})):
-            metrics, said, ended, views = self.retire(seed, command)
+        for command in ({"id": "i-maps-0001"}, {"az": "w", "svc": "loans"}, {"az": "w"}):
+            metrics, said, ended, views = self.retire(8, command)
             self.assertEqual((metrics.rules, metrics.failures, metrics.failed), ({}, [], 0), command)
             self.assertEqual([status for _, status in said], [200])
             self.assertTrue(ended)
-            seen += sum(bool(row["under_way"]) for rows in views for row in rows)
+            seen = sum(bool(row["under_way"]) for rows in views for row in rows)
+            self.assertGreater(seen, 0, f"no look found a request under way: {command}")
             self.assertGreater(metrics.share, 0.97)
-        self.assertGreater(seen, 0, "no look found a request under way")
 
 
 class Waiting(unittest.TestCase):
@@ -496,14 +522,27 @@
             return error, said
 
     def test_it_ends_when_all_are_safe_in_one_look(self):
-        found, said = self.until(["i-1", "i-2"], [
-            {"i-1": {"under_way": {"a": 2, "b": 1}}, "i-2": {"safe": True}},
-            UnclearError("silence"),
-            {"i-1": {"safe": True}, "i-2": {"unconfirmed": ["b"]}},
-            {"i-1": {"safe": True}}, {"i-2": {"state": "gone", "safe": True}}])
-        self.assertEqual((found, said), (["i-1", "i-2"], [
-            "1 not yet safe (i-1); 3 requests under way at a, b", "silence",
-            "1 not yet safe (i-2); not confirmed by b"]))
+        found, said = self.until(
+            ["i-1", "i-2"],
+            [
+                {"i-1": {"under_way": {"a": 2, "b": 1}}, "i-2": {"safe": True}},
+                UnclearError("silence"),
+                {"i-1": {"safe": True}, "i-2": {"unconfirmed": ["b"]}},
+                {"i-1": {"safe": True}},
+                {"i-2": {"state": "gone", "safe": True}},
+            ],
+        )
+        self.assertEqual(
+            (found, said),
+            (
+                ["i-1", "i-2"],
+                [
+                    "1 not yet safe (i-1); 3 requests under way at a, b",
+                    "silence",
+                    "1 not yet safe (i-2); not confirmed by b",
+                ],
+            ),
+        )
 
     def test_it_fails_when_it_is_taken_back_unknown_or_takes_too_long(self):
         back = {"i-1": {"state": "in_use"}}
@@ -521,23 +560,33 @@
             calls.append((method, path, json.loads(body or b"null")))
             return control_client.Answer(*answers.pop(0))
 
-        with mock.patch.object(control_client, "send", send), contextlib.redirect_stdout(out), \
-                contextlib.redirect_stderr(err):
+        with (
+            mock.patch.object(control_client, "send", send),
+            contextlib.redirect_stdout(out),
+            contextlib.redirect_stderr(err),
+        ):
             return run([*words, "--at", "h:1"]), out.getvalue(), err.getvalue(), calls
 
     def test_commands_and_exit_codes(self):
-        safe = json.dumps({"in_touch": True, "servers": [{"id": "i-1", "state": "retired", "safe": True}]}
-                          ).encode()
-        code, out, err, calls = self.crowseam("retire", "--server", "i-1", "--wait", "--force", answers=[
-            (200, "", b'{"found":["i-1"],"changed":["i-1"],"room":{"s":0.5}}'), (200, "", safe)])
+        safe = json.dumps({"in_touch": True, "servers": [{"id": "i-1", "state": "retired", "safe": True}]}).encode()
+        code, out, err, calls = self.crowseam(
+            "retire",
+            "--server",
+            "i-1",
+            "--wait",
+            "--force",
+            answers=[(200, "", b'{"found":["i-1"],"changed":["i-1"],"room":{"s":0.5}}'), (200, "", safe)],
+        )
         self.assertEqual((code, err, calls[0][2]), (0, "", {"undo": False, "id": "i-1", "force": True}))
         self.assertIn("safe to switch off: i-1", out)
-        code, out, err, calls = self.crowseam("retire", "--zone", "z", answers=[
-            (409, "", b'{"error":"s would keep 0% of its slots"}')])
+        code, out, err, calls = self.crowseam(
+            "retire", "--zone", "z", answers=[(409, "", b'{"error":"s would keep 0% of its slots"}')]
+        )
         self.assertEqual((code, out, "s would keep 0%" in err), (3, "", True))
         code, out, _, calls = self.crowseam("retiring", "i-1", answers=[(200, "", safe)])
-        self.assertEqual((code, calls[0][1], out.splitlines()[1].split()), (
-            0, "/-/retiring/i-1", ["i-1", "retired", "yes"]))
+        self.assertEqual(
+            (code, calls[0][1], out.splitlines()[1].split()), (0, "/-/retiring/i-1", ["i-1", "retired", "yes"])
+        )
         code, out, _, _ = self.crowseam("retiring", "--wait", "--json", answers=[(200, "", safe)])
         self.assertEqual((code, json.loads(out)["servers"][0]["id"]), (0, "i-1"))
         self.assertEqual(self.crowseam("retire", "--zone", "z", "--undo", "--wait", answers=[])[0], 2)
--- a/tests/crowseam/test_scale.py
+++ b/tests/crowseam/test_scale.py
@@ -19,7 +19,7 @@
     def test_every_byte_of_the_fleet_is_counted_once(self):
         found = costs(12, 40, 8, 3, 1.0)
         ends = 12 * sum(found["gateway"].values()) + 3 * sum(found["controller"].values())
-        outside = 40 / 1.0 * 420    # heartbeats have one end in the system
+        outside = 40 / 1.0 * 420  # heartbeats have one end in the system
         self.assertAlmostEqual((ends + outside) / 2, sum(found["fleet"].values()), delta=1.0)
 
     def test_a_bad_number_is_one_line_and_exit_code_2(self):
@@ -43,5 +43,5 @@
     def test_each_measure_runs_on_the_real_code(self):
         spent = curves.processor(0.0, (17, 250), ((14, 70, 7, 6),), 1)
         self.assertEqual(len(spent), 2 * 3 + 9)
-        kept, = curves.memory(((14, 70, 7, 6),))
+        (kept,) = curves.memory(((14, 70, 7, 6),))
         self.assertTrue(all(each > 0 for each in kept.values()))
--- a/tests/crowseam/test_sessions.py
+++ b/tests/crowseam/test_sessions.py
@@ -64,31 +64,40 @@
 
 class Membership(unittest.TestCase):
     def test_a_gateway_that_moves_is_one_member(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                       | r2
             0    | open d 7 1; open e 1     |
             0.5  | renew e; tell r2         | ?members d=r1 e=r1
             1    | renew e; close d 7       | ?count 2; open d 7 2; tell r1
             1.1  | ?members d=r2 e=r1; ?count 2; tell r2 | ?members d=r2 e=r1
-            """)
+            """,
+        )
 
     def test_a_session_forgotten_by_its_gateway_does_not_win(self):
         # r1 has not noticed that d is gone from it; d's newer session is at r2, though r2 told it first.
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                       | r2           | r3
             0    | open d 7 1               |
             1    |                          | open d 7 2; tell r3
             2    | renew d; tell r3         |              | ?members d=r2
             3    | close d 7; tell r3       |              | ?members d=r2
             4    |                          | renew d; open d 8 1; tell r1 r3 | ?members d=r2
-            """)
+            """,
+        )
 
     def test_a_session_opened_late_by_a_slow_controller_does_not_win(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                  | r2
             1    |                     | open d 7 2
             1.2  | open d 7 1; tell r2 | ?members d=r2
-            """)
+            """,
+        )
 
     def test_what_is_missing_is_asked_for(self):
         owner, other = SessionTable("r1", "1"), SessionTable("r2", "1")
@@ -106,7 +115,9 @@
         self.assertEqual(sorted(other.members(0.4)), ["d", "e", "f"])
 
     def test_sessions_that_are_not_renewed_end(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                        | r2
             0    | open d 1; open e 1; tick  |
             0.9  | renew d e; tick           |
@@ -115,19 +126,25 @@
             3.4  | renew d; tick; tell r2    | ?members d=r1 e=r1
             3.5  | tick; ?members d=r1; ?count 2; tell r2 | ?members d=r1; ?count 2
             7    | ?count 1                  | ?count 1
-            """)
+            """,
+        )
 
     def test_a_controller_that_stood_still_blames_nobody(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1
             0    | open d 1; tick
             0.5  | renew d; tick
             9    | tick; ?members d=r1
             9.5  | renew d; tick; ?members d=r1
-            """)
+            """,
+        )
 
     def test_the_sessions_of_a_silent_controller_lapse_after_a_term(self):
-        Timeline(self, """
+        Timeline(
+            self,
+            """
             time | r1                    | r2
             0    | open d 1; open e 1; tell r2 | tick
             0.9  |                       | tick
@@ -141,14 +158,18 @@
             7.5  |                       | renew d; tick; ?members d=r2 e=r1
             8.1  |                       | renew d; tick; ?members d=r2
             9    | renew e; tell r2      | ?members d=r2 e=r1
-            """)
+            """,
+        )
 
     def test_a_new_life_of_a_controller_starts_empty(self):
-        timeline = Timeline(self, """
+        timeline = Timeline(
+            self,
+            """
             time | r1                    | r2
             0    | open d 1; open e 1; tell r2 | ?members d=r1 e=r1
             1    | restart 2; open d 1 2; tell r2 | ?members d=r1; ?count 2
-            """)
+            """,
+        )
         late = SessionsTold("r1", "1", 0, 2, [], [])
         self.assertTrue(timeline.rolls["r2"].take(late, 1.5))
         self.assertEqual(timeline.rolls["r2"].members(1.5), {"d": "r1"})
@@ -266,7 +287,7 @@
 
     def test_who_is_heard_and_answers_nothing_is_not_near(self):
         detector = Detector()
-        for n in range(41):     # r2 hears us until 5.0, r3 never does
+        for n in range(41):  # r2 hears us until 5.0, r3 never does
             detector.heard("r2", n * 0.25, trip=0.01 if n <= 20 else None)
             detector.heard("r3", n * 0.25)
             detector.tick(n * 0.25)
@@ -285,7 +306,7 @@
         detector.tick(29.75)
         self.assertNotEqual(detector.state("r2", 29.75), "dead")
         self.assertFalse(detector.in_touch(29.75, ["r1", "r2"], "r1"))
-        detector.heard("r2", 29.76, trip=20.01)     # the answer to a question of before
+        detector.heard("r2", 29.76, trip=20.01)  # the answer to a question of before
         self.assertFalse(detector.in_touch(29.76, ["r1", "r2"], "r1"))
         detector.heard("r2", 29.80, trip=0.02)
         self.assertTrue(detector.in_touch(29.80, ["r1", "r2"], "r1"))
--- a/tests/crowseam/test_simulator.py
+++ b/tests/crowseam/test_simulator.py
@@ -118,24 +118,32 @@
 
 class TestLinks(unittest.TestCase):
     def test_in_order_and_to_the_end(self):
-        Links(self, """
+        Links(
+            self,
+            """
             time | left           | right            | link
             0.00 |                | listen           |
             0.01 | dial           |                  |
             0.10 | ?up; send a    |                  |
             0.10 | send b; close  | ?                |
             0.20 | ?end           | ?ab; ?end        |
-        """)
+        """,
+        )
 
     def test_nobody_listens(self):
-        Links(self, """
+        Links(
+            self,
+            """
             time | left     | right | link
             0.00 | dial     |       |
             0.10 | ?refused |       |
-        """)
+        """,
+        )
 
     def test_a_cut_is_silent_and_what_waited_comes_after_it(self):
-        Links(self, """
+        Links(
+            self,
+            """
             time | left       | right   | link
             0.00 | dial       | listen  |
             0.10 | ?up        |         | cut
@@ -143,10 +151,13 @@
             2.00 | send b     | ?; ?open |
             2.10 | ?open      |         | heals
             5.00 |            | ?ab     |
-        """)
+        """,
+        )
 
     def test_patience_ends_a_cut_link_on_one_side_only(self):
-        Links(self, """
+        Links(
+            self,
+            """
             time | left               | right   | link
             0.00 | dial               | listen  |
             0.10 | patience 1.5       |         | cut
@@ -155,10 +166,13 @@
             1.80 | ?lost              | ?open   |
             2.00 |                    |         | heals
             4.00 |                    | ?       |
-        """)
+        """,
+        )
 
     def test_a_cut_one_way_lets_the_other_through_until_nobody_acknowledges_it(self):
-        Links(self, """
+        Links(
+            self,
+            """
             time | left               | right            | link
             0.00 | dial               | listen           |
             0.10 | patience 1.5       | patience 1.5     | mute
@@ -166,8 +180,11 @@
             0.30 | ?                  | ?a               |
             1.60 | ?open              | ?open            |
             1.80 | ?lost              | ?lost            |
-        """)
-        Links(self, """
+        """,
+        )
+        Links(
+            self,
+            """
             time | left               | right            | link
             0.00 | dial               | listen           |
             0.10 | patience 1.5       |                  | deaf
@@ -175,39 +192,52 @@
             0.30 | ?x                 | ?                |
             1.00 |                    |                  | heals
             3.00 | ?open              | ?a               |
-        """)
+        """,
+        )
         for way in ("deaf", "mute"):
-            Links(self, f"""
+            Links(
+                self,
+                f"""
                 time | left       | right   | link
                 0.00 |            | listen  | {way}
                 0.10 | dial       |         |
                 1.50 | ?dialling  |         | heals
                 4.00 | ?up        |         |
-            """)
+            """,
+            )
 
     def test_a_connection_opened_into_a_cut_comes_up_after_it(self):
-        Links(self, """
+        Links(
+            self,
+            """
             time | left       | right   | link
             0.00 |            | listen  | cut
             0.10 | dial       |         |
             1.50 | ?dialling  |         | heals
             4.00 | ?up        |         |
-        """)
+        """,
+        )
 
     def test_a_killed_process_closes_and_a_dark_machine_says_nothing_until_it_is_back(self):
-        Links(self, """
+        Links(
+            self,
+            """
             time | left       | right   | link
             0.00 | dial       | listen  |
             0.10 | ?up        |         | kill
             0.20 | ?end       |         |
-        """)
-        Links(self, """
+        """,
+        )
+        Links(
+            self,
+            """
             time | left       | right   | link
             0.00 | dial       | listen  |
             0.10 | send a     |         | off
             3.00 | ?open      |         | on
             6.00 | ?lost      |         |
-        """)
+        """,
+        )
 
     def test_who_does_not_read_holds_up_the_writer(self):
         network = Network(World(1), lambda a, b: 0.01, lambda ip: ip)
@@ -321,13 +351,25 @@
 
 def small(length=6.0, **more):
     """A day of three machines in three zones, served within a second."""
-    told = {"name": "small", "length": length, "settle": 4.0, "after": 3.5, "deployment": {
-        "hb": 1.0, "zones": [{"name": zone, "machines": 1, "controllers": 1} for zone in ("n", "s", "w")],
-        "services": [{"name": "maps", "servers": 4}, {"name": "loans", "servers": 3}],
-        "routes": [{"name": "look-up", "svc": "maps", "rate": 20.0, "work": 0.05},
-                   {"name": "borrow", "svc": "loans", "rate": 10.0, "work": 0.08, "kind": "unsafe"}],
-        "tenants": [{"name": "north", "weight": 2.0, "rate": 60.0, "burst": 60.0},
-                    {"name": "south", "rate": 20.0, "burst": 20.0}]}}
+    told = {
+        "name": "small",
+        "length": length,
+        "settle": 4.0,
+        "after": 3.5,
+        "deployment": {
+            "hb": 1.0,
+            "zones": [{"name": zone, "machines": 1, "controllers": 1} for zone in ("n", "s", "w")],
+            "services": [{"name": "maps", "servers": 4}, {"name": "loans", "servers": 3}],
+            "routes": [
+                {"name": "look-up", "svc": "maps", "rate": 20.0, "work": 0.05},
+                {"name": "borrow", "svc": "loans", "rate": 10.0, "work": 0.08, "kind": "unsafe"},
+            ],
+            "tenants": [
+                {"name": "north", "weight": 2.0, "rate": 60.0, "burst": 60.0},
+                {"name": "south", "rate": 20.0, "burst": 20.0},
+            ],
+        },
+    }
     told["deployment"] |= more.pop("deployment", {})
     return build(told | more)
 
@@ -342,21 +384,25 @@
         self.assertNotEqual(simulation.play(small(), 4)[0].asks, one.asks)
 
     def test_a_day_of_faults_breaks_no_rule(self):
-        faults = [{"kind": "kill", "at": 0.5, "target": "n-1", "role": "controller", "span": 1.0},
-                  {"kind": "config_shift", "at": 1.0, "target": "look-up", "to": "loans"},
-                  {"kind": "config_race", "at": 3.0, "target": "look-up", "to": "maps"},
-                  {"kind": "lost_answers", "at": 2.0, "target": "loans", "amount": 0.2, "span": 3.0},
-                  {"kind": "retire", "at": 4.0, "target": "maps", "count": 1},
-                  {"kind": "load", "at": 4.0, "target": "south", "amount": 8.0, "span": 3.0},
-                  {"kind": "wipe", "at": 8.0, "target": "s-1", "span": 1.0}]
+        faults = [
+            {"kind": "kill", "at": 0.5, "target": "n-1", "role": "controller", "span": 1.0},
+            {"kind": "config_shift", "at": 1.0, "target": "look-up", "to": "loans"},
+            {"kind": "config_race", "at": 3.0, "target": "look-up", "to": "maps"},
+            {"kind": "lost_answers", "at": 2.0, "target": "loans", "amount": 0.2, "span": 3.0},
+            {"kind": "retire", "at": 4.0, "target": "maps", "count": 1},
+            {"kind": "load", "at": 4.0, "target": "south", "amount": 8.0, "span": 3.0},
+            {"kind": "wipe", "at": 8.0, "target": "s-1", "span": 1.0},
+        ]
         told = simulation.play(small(10.0, faults=faults), 1)[0]
         self.assertEqual((told.rules, told.failures), ({}, []))
         self.assertEqual((len(told.acks), told.events["change_refused"]), (3, 1))
         self.assertGreater(told.share, 0.6)
 
     def test_without_a_majority_nothing_is_acknowledged_and_with_it_again_all_is(self):
-        faults = [{"kind": "cut", "at": 0.0, "target": "*", "to": "*", "span": 3.0},
-                  {"kind": "config_shift", "at": 0.5, "target": "look-up", "to": "loans"}]
+        faults = [
+            {"kind": "cut", "at": 0.0, "target": "*", "to": "*", "span": 3.0},
+            {"kind": "config_shift", "at": 0.5, "target": "look-up", "to": "loans"},
+        ]
         told = simulation.play(small(6.0, faults=faults), 2)[0]
         self.assertEqual((told.rules, len(told.acks)), ({}, 2))
         self.assertGreater(told.acks[1], 2.4)
@@ -397,15 +443,19 @@
     def test_budget(self):
         tight = {"bounds": {"retry_slack": 4, "retry_ratio": 0.02}}
         lost = [{"kind": "lost_answers", "at": 0.0, "target": "maps", "amount": 0.5, "span": 6.0}]
-        rules = self.broken(small(5.0, faults=lost, deployment=tight),
-                            (RetryBudget, "may_retry", lambda *a: True))
+        rules = self.broken(small(5.0, faults=lost, deployment=tight), (RetryBudget, "may_retry", lambda *a: True))
         self.assertEqual(set(rules), {"BUDGET"})
 
     def test_drain_and_stale_configuration(self):
-        faults = [{"kind": "retire", "at": 0.5, "target": "maps", "count": 2},
-                  {"kind": "config_shift", "at": 1.0, "target": "borrow", "to": "maps"}]
-        rules = self.broken(small(6.0, faults=faults), (Gateway, "follow", _first_servers),
-                            (simulation.GatewayDaemon, "_on_table", _first_table))
+        faults = [
+            {"kind": "retire", "at": 0.5, "target": "maps", "count": 2},
+            {"kind": "config_shift", "at": 1.0, "target": "borrow", "to": "maps"},
+        ]
+        rules = self.broken(
+            small(6.0, faults=faults),
+            (Gateway, "follow", _first_servers),
+            (simulation.GatewayDaemon, "_on_table", _first_table),
+        )
         self.assertTrue(rules.get("DRAIN") and rules.get("CONFIG"), rules)
 
 
@@ -422,9 +472,14 @@
 
 class TestFiles(unittest.TestCase):
     def test_what_is_wrong_with_a_day_is_named(self):
-        for text, place in ((b"name = 1", "name"), (b"nonsense", "key/value"),
-                            (msgspec.json.encode(msgspec.to_builtins(small()) | {"faults": [
-                                {"kind": "fire", "at": 1.0}]}), "faults[0].kind")):
+        for text, place in (
+            (b"name = 1", "name"),
+            (b"nonsense", "key/value"),
+            (
+                msgspec.json.encode(msgspec.to_builtins(small()) | {"faults": [{"kind": "fire", "at": 1.0}]}),
+                "faults[0].kind",
+            ),
+        ):
             with self.assertRaisesRegex(DayError, place.replace("[", r"\[")):
                 parse(text)
         day = changed(small(), {"deployment.routes.borrow.rate": 3.0, "load": 2.0})
@@ -436,11 +491,14 @@
         told, lines = simulation.play(small(6.0), 1, lines=True)
         asked = replay.trace([lines], 1)
         self.assertEqual(len(asked), told.asks)
-        again = simulation.play(changed(small(6.0), {"trace": [list(one) for one in asked],
-                                               "length": asked[-1][0] + 0.1}), 2)[0]
+        again = simulation.play(
+            changed(small(6.0), {"trace": [list(one) for one in asked], "length": asked[-1][0] + 0.1}), 2
+        )[0]
         self.assertEqual((again.asks, again.share), (told.asks, 1.0))
-        self.assertEqual({name: kind.asks for name, kind in again.kinds.items()},
-                         {name: kind.asks for name, kind in told.kinds.items()})
+        self.assertEqual(
+            {name: kind.asks for name, kind in again.kinds.items()},
+            {name: kind.asks for name, kind in told.kinds.items()},
+        )
         with self.assertRaises(replay.ReplayError):
             replay.trace([["level=INFO event=started t=1"]])
 
@@ -477,8 +535,9 @@
                 with open(f"{folder}/{name}", "wb") as file:
                     file.write(body)
             with mock.patch("sys.stdout", io.StringIO()) as out:
-                code = dispatch.run(["experiment", f"{folder}/e.toml", "--jobs=1", "--no-plots", "--json",
-                                     f"--report={folder}/r.html"])
+                code = dispatch.run(
+                    ["experiment", f"{folder}/e.toml", "--jobs=1", "--no-plots", "--json", f"--report={folder}/r.html"]
+                )
             with open(f"{folder}/r.html", encoding="utf-8") as file:
                 page = file.read()
         rows = msgspec.json.decode(out.getvalue())["rows"]
@@ -489,6 +548,7 @@
     def test_constants_are_set_where_they_are_used_and_put_back(self):
         from crowseam.gateway import daemon
         from crowseam.quotas import admission
+
         before = admission.PERIOD
         with experiment.settings({"crowseam.quotas.admission:PERIOD": "0.7"}):
             self.assertEqual((admission.PERIOD, daemon.PERIOD), (0.7, 0.7))
@@ -498,13 +558,15 @@
                 pass
 
     def test_differences_go_by_pairs_and_tell_their_spread(self):
-        values = {"a": {s: {"worth": 0.5 + 0.04 * s} for s in range(6)},
-                  "b": {s: {"worth": 0.52 + 0.04 * s + 0.001 * (s % 2)} for s in range(6)},
-                  "c": {s: {"worth": 0.5 + 0.04 * (s + (-1) ** s)} for s in range(6)}}
+        values = {
+            "a": {s: {"worth": 0.5 + 0.04 * s} for s in range(6)},
+            "b": {s: {"worth": 0.52 + 0.04 * s + 0.001 * (s % 2)} for s in range(6)},
+            "c": {s: {"worth": 0.5 + 0.04 * (s + (-1) ** s)} for s in range(6)},
+        }
         rows = {row["variant"]: row for row in experiment.compare(values, values["a"], ["worth"])}
         self.assertEqual([rows[name]["clear"] for name in "abc"], ["", "better", ""])
         self.assertAlmostEqual(rows["b"]["difference"], 0.0205)
-        self.assertGreater(rows["a"]["spread"], 0.05)   # which alone would hide the difference
+        self.assertGreater(rows["a"]["spread"], 0.05)  # which alone would hide the difference
         self.assertTrue(0.0195 < rows["b"]["low"] <= rows["b"]["high"] < 0.0215)
 
     def test_results_are_kept_and_compared_with_those_of_the_same_days(self):
@@ -516,7 +578,7 @@
             self.assertEqual(experiment.keep(path, "e", jobs, old, 1.0), {})
             kept = experiment.keep(path, "e", jobs, new, 2.0)
             self.assertEqual(kept, old)
-            row, = experiment.since(new, kept, ["p99"])
+            (row,) = experiment.since(new, kept, ["p99"])
             self.assertEqual((row["clear"], round(row["difference"], 3)), ("worse", 0.1))
             other = [experiment.Job("a", 1, {"day": 2})]
             self.assertEqual(experiment.keep(path, "e", other, new, 3.0), {})
--- a/tests/crowseam/test_slices.py
+++ b/tests/crowseam/test_slices.py
@@ -214,7 +214,7 @@
         self.assertAlmostEqual(report("a", 20.0), 0.9, delta=0.01)
         report("b", 20.0)
         self.assertAlmostEqual(report("a", 20.0), 0.5, delta=0.01)
-        report("a", 20.0)   # confirms it
+        report("a", 20.0)  # confirms it
         self.assertAlmostEqual(report("b", 20.0), 0.5, delta=0.01)
 
     def test_a_new_grantor_that_misses_a_gateway_gives_its_share_only_after_a_term(self):
@@ -317,20 +317,21 @@
             names = [name for name in rates if rates[name]]
             terms = LeaseTerms(reserve=0.35, least=0.05)
             listed = [names]
-            lenders = [kind(2, known, 40, 0.0, terms, rate, lambda listed=listed: listed[0])
-                       for kind in (Lender, All)]
+            lenders = [kind(2, known, 40, 0.0, terms, rate, lambda listed=listed: listed[0]) for kind in (Lender, All)]
             holdings = [{f"d{n}": Holdings(1) for n in range(40)} for _ in lenders]
             for step in range(1500):
                 now, gateway = step * 0.02, f"d{rng.randrange(40)}"
-                if step % 500 == 499:   # a new configuration: other rates, one tenant gone
+                if step % 500 == 499:  # a new configuration: other rates, one tenant gone
                     rates.update({name: rng.choice([2.0, 40.0, 900.0]) for name in rng.sample(names, 9)})
                     listed[0] = names = names[1:]
                 if step % 700 == 699:
                     for lender in lenders:
                         lender.expect = step // 15
                 asks = {name: rng.random() * 9 for name in rng.sample(sorted(rates), rng.randrange(6))}
-                leases = [lender.report(gateway, asks, held[gateway].to_report(now), now)
-                          for lender, held in zip(lenders, holdings, strict=True)]
+                leases = [
+                    lender.report(gateway, asks, held[gateway].to_report(now), now)
+                    for lender, held in zip(lenders, holdings, strict=True)
+                ]
                 self.assertEqual(*(lease and lease.shares for lease in leases))
                 for lease, held in zip(leases, holdings, strict=True):
                     if lease is not None:
@@ -342,8 +343,15 @@
     def test_of_thousands_of_tenants_only_the_largest_are_lent_to_all_also_while_sealed(self):
         names = [f"t{n}" for n in range(2000)]
         for known in (set(), {"d2"}):
-            lender = Lender(2, known, 3, 0.0, LeaseTerms(reserve=0.35, least=0.05),
-                            lambda tenant: float(tenant[1:]) + 10.0, lambda: names)
+            lender = Lender(
+                2,
+                known,
+                3,
+                0.0,
+                LeaseTerms(reserve=0.35, least=0.05),
+                lambda tenant: float(tenant[1:]) + 10.0,
+                lambda: names,
+            )
             lease = lender.report("d1", {"t7": 1.0}, Held(1, 0.0, 2, 0, 0.0, {}), 0.1)
             self.assertLessEqual(len(lease.shares), WIDE_MOST + 1)
             if not known:
@@ -354,7 +362,7 @@
         for each in held:
             each.take(Lease(1, 0.0, 1, 1, 8.0, {"t": PARTS} | more), 0.0)
         reports = calm = 0
-        due = [0.5]     # each report is answered by a lease of each duty, and each lowers a share
+        due = [0.5]  # each report is answered by a lease of each duty, and each lowers a share
         epoch = 1
         while due and due[0] < 10.0 and reports < 1000:
             now = due.pop(0)
@@ -373,7 +381,7 @@
             due.sort()
         self.assertEqual(calm, 19)
         self.assertLessEqual(reports, 3 * calm)
-        self.assertGreater(reports, calm)   # the first is sent at once
+        self.assertGreater(reports, calm)  # the first is sent at once
 
     def test_a_raise_waits_until_the_lowering_is_confirmed(self):
         lender, one, two = Lender(1, set(), 2, 0.0), Holdings(1), Holdings(1)
--- a/tests/crowseam/test_storage.py
+++ b/tests/crowseam/test_storage.py
@@ -47,13 +47,15 @@
     """What a voter might write at this step, two or three of them to a slot."""
     slot, ballot = 1 + step // 3, Ballot(step, "n")
     entry = Change(f"t{slot}", slot, slot - 1, True, rng.randbytes(rng.choice((10, 9000))), "d")
-    return rng.choice((
-        [Promised(slot, ballot)],
-        [Voted(slot, ballot, entry)],
-        [Voted(slot, ballot, entry), Learned(slot, entry), Promised(slot + 1, ballot)],
-        [Learned(slot, Voters("v", FOUNDERS))],
-        [Saved(slot, b"state", FOUNDERS, max(1, slot - 3))],
-    ))
+    return rng.choice(
+        (
+            [Promised(slot, ballot)],
+            [Voted(slot, ballot, entry)],
+            [Voted(slot, ballot, entry), Learned(slot, entry), Promised(slot + 1, ballot)],
+            [Learned(slot, Voters("v", FOUNDERS))],
+            [Saved(slot, b"state", FOUNDERS, max(1, slot - 3))],
+        )
+    )
 
 
 class Lasting(StoreTest):
--- a/tests/crowseam/test_subsetting.py
+++ b/tests/crowseam/test_subsetting.py
@@ -25,7 +25,9 @@
     """Balancers of many gateways, one third of them in each zone, and the servers that they are told of."""
 
     def __init__(self, gateways, servers):
-        self.balancers = [LoadBalancer("abc"[n % 3], None, None, random.Random(n), f"gateway-{n}") for n in range(gateways)]
+        self.balancers = [
+            LoadBalancer("abc"[n % 3], None, None, random.Random(n), f"gateway-{n}") for n in range(gateways)
+        ]
         self.tell([f"{'abc'[n % 3]}:{n // 3}" for n in range(servers)])
 
     def tell(self, names, **fields):
@@ -58,31 +60,39 @@
             part = sum(map(set.__ne__, before, after)) / len(after)
             self.assertTrue(float(low) <= part <= float(high) and max(news) <= int(most), (line, part))
             for balancer, one in zip(fleet.balancers, fleet.sets(), strict=True):
-                well = [sum(s.usable and not (s.quiet or s.fails) for s in servers)
-                        for servers in (one, balancer.services["s"])]
+                well = [
+                    sum(s.usable and not (s.quiet or s.fails) for s in servers)
+                    for servers in (one, balancer.services["s"])
+                ]
                 self.assertEqual(well[0], min(ENOUGH, well[1]), line)
                 self.assertTrue(all(s.usable for s in one) and len(one) <= 2 * ENOUGH, line)
             before = after
 
     def test_one_server_changes_the_sets_it_is_in_and_no_other(self):
         # Of 480 servers each is in about a tenth of the sets.
-        self.play(Fleet(120, 480), """
+        self.play(
+            Fleet(120, 480),
+            """
             gone   a:7       0.03  0.20   1
             join   a:7       0.03  0.20   1
             drain  b:9       0.03  0.20   1
             fail   c:1       0.03  0.20   1
             move   c:4       0.0   0.20   1
             gone   c:4       0.0   0.20   1
-        """)
+        """,
+        )
 
     def test_whatever_is_lost_the_set_is_topped_up_by_what_there_is(self):
-        self.play(Fleet(30, 480), """
+        self.play(
+            Fleet(30, 480),
+            """
             quiet  a:0-159   1.0   1.0   96
             drain  b:0-149   1.0   1.0   96
             gone   c:0-139   1.0   1.0   96
             fail   c:140-150 0.0   1.0   96
             quiet  c:150     1.0   1.0   96
-        """)
+        """,
+        )
 
     def test_few_servers_are_all_considered(self):
         fleet = Fleet(3, MANY)
--- a/tests/crowseam/test_transport.py
+++ b/tests/crowseam/test_transport.py
@@ -10,17 +10,27 @@
 from unittest import mock
 
 from crowseam import control_calls, settings
-from crowseam.controller.api import Counter
+from crowseam.controller.api import ControlApi
 from crowseam.discovery.service_registry import Record
 from crowseam.transport import links
 from crowseam.transport import messages as m
 from crowseam.transport.http import IDLE, MOST_WAITING, Caller
 from crowseam.transport.links import Link, frame
 
-MESSAGES = [m.Hello("10.0.0.1:80", "life"), m.Ping(1.5, 0.0, 7, ["10.0.0.2:80"]), m.Bye(), m.Rows([]),
-            m.Rows([Record("i-1", "s", "10.0.0.3:80", "z", "v", 4)]), m.Heard([("i-1", 3)]),
-            m.State(3, m.pack(b"x" * 5000)), m.Step(4, True, m.pack(b"y")), m.Quiet(["i-1"]),
-            m.Pulse(3, 4, True), m.Draw("d", "t", 1, 2), m.Drawn("d", 2, 1, 0.5)]
+MESSAGES = [
+    m.Hello("10.0.0.1:80", "life"),
+    m.Ping(1.5, 0.0, 7, ["10.0.0.2:80"]),
+    m.Bye(),
+    m.Rows([]),
+    m.Rows([Record("i-1", "s", "10.0.0.3:80", "z", "v", 4)]),
+    m.Heard([("i-1", 3)]),
+    m.State(3, m.pack(b"x" * 5000)),
+    m.Step(4, True, m.pack(b"y")),
+    m.Quiet(["i-1"]),
+    m.Pulse(3, 4, True),
+    m.Draw("d", "t", 1, 2),
+    m.Drawn("d", 2, 1, 0.5),
+]
 
 
 class Transport:
@@ -69,17 +79,25 @@
         for size in (1, 3, 4, 5, 7, 64, 4096, len(data)):
             link = self.link()
             for at in range(0, len(data), size):
-                link.data_received(data[at:at + size])
+                link.data_received(data[at : at + size])
             self.assertEqual((self.heard, link.buffer), (MESSAGES, b""), size)
 
     def test_what_can_not_be_read_drops_the_link_and_is_counted(self):
         def framed(body):
             return struct.pack(">I", len(body)) + body
+
         good = frame(MESSAGES[1])
-        for bad in (framed(b""), framed(b"\xc1"), framed(m.encode(["none"])),
-                    framed(m.encode(["ping", "x", 0, 1])), framed(m.encode({"a": 1})),
-                    framed(b"\x91" * 50_000), framed(m.encode(["ping"]) + b"\x00"),
-                    struct.pack(">I", links.MOST_FRAME + 1), framed(b"\x92\xa5hello\xa2\xff\xfe")):
+        for bad in (
+            framed(b""),
+            framed(b"\xc1"),
+            framed(m.encode(["none"])),
+            framed(m.encode(["ping", "x", 0, 1])),
+            framed(m.encode({"a": 1})),
+            framed(b"\x91" * 50_000),
+            framed(m.encode(["ping"]) + b"\x00"),
+            struct.pack(">I", links.MOST_FRAME + 1),
+            framed(b"\x92\xa5hello\xa2\xff\xfe"),
+        ):
             link, before = self.link(), Link.unreadable
             link.data_received(good + bad + good)
             self.assertEqual((len(self.heard), link.open, Link.unreadable - before), (1, False, 1), bad[:30])
@@ -90,7 +108,7 @@
             data = bytearray(b"".join(frame(rng.choice(MESSAGES)) for _ in range(3)))
             for _ in range(rng.randint(0, 3)):
                 data[rng.randrange(len(data))] = rng.randrange(256)
-            del data[rng.randrange(1, len(data) + 1):]
+            del data[rng.randrange(1, len(data) + 1) :]
             link = self.link()
             for piece in pieces(bytes(data), rng):
                 if link.open:
@@ -140,6 +158,7 @@
         def serve(call):
             self.seen.append((call.method, call.path, call.body))
             call.reply(200, call.body) if at_once else self.held.append(call)
+
         caller = Caller(serve, most)
         caller.connection_made(Transport())
         return caller
@@ -152,19 +171,20 @@
         return [int(status) for status in re.findall(rb"HTTP/1\.1 (\d+)", caller.transport.written)]
 
     def test_calls_behind_one_another_are_answered_in_turn(self):
-        data = (b"PUT /-/backends/i%2D1?x=1 HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
-                b"GET /-/config HTTP/1.1\r\n\r\n"
-                b"PATCH /-/config HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nde\r\n0\r\n\r\n")
-        expected = [("PUT", "/-/backends/i-1", b"abc"), ("GET", "/-/config", b""),
-                    ("PATCH", "/-/config", b"de")]
+        data = (
+            b"PUT /-/backends/i%2D1?x=1 HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
+            b"GET /-/config HTTP/1.1\r\n\r\n"
+            b"PATCH /-/config HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nde\r\n0\r\n\r\n"
+        )
+        expected = [("PUT", "/-/backends/i-1", b"abc"), ("GET", "/-/config", b""), ("PATCH", "/-/config", b"de")]
         for size in (1, 10, len(data)):
             caller = self.caller(at_once=False)
             for at in range(0, len(data), size):
-                caller.data_received(data[at:at + size])
+                caller.data_received(data[at : at + size])
             for count in range(3):
                 self.assertEqual(len(self.seen), count + 1)
                 self.held[-1].reply(200 + count)
-                self.held[-1].reply(500)    # a second answer to one call is none
+                self.held[-1].reply(500)  # a second answer to one call is none
                 self.turn()
             self.assertEqual((self.seen, self.statuses(caller)), (expected, [200, 201, 202]))
             self.assertFalse(caller.transport.closed)
@@ -174,7 +194,7 @@
         caller = self.caller(at_once=False)
         caller.data_received(b"GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n")
         self.held[0].reply(200)
-        caller.data_received(waits)     # the second call is about to be served
+        caller.data_received(waits)  # the second call is about to be served
         self.turn()
         self.held[1].reply(200)
         self.assertEqual(self.statuses(caller), [200, 200])
@@ -193,9 +213,12 @@
 
     def test_what_is_too_large_or_no_call_is_refused_after_what_came_before(self):
         first = b"GET /first HTTP/1.1\r\n\r\n"
-        for bad, status in ((b"PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n" + b"x" * 2000, 413),
-                            (b"PUT / HTTP/1.1\r\nX: " + b"y" * 2000, 413), (b"noise\r\n\r\n", 400),
-                            (b"PUT / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", 400)):
+        for bad, status in (
+            (b"PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n" + b"x" * 2000, 413),
+            (b"PUT / HTTP/1.1\r\nX: " + b"y" * 2000, 413),
+            (b"noise\r\n\r\n", 400),
+            (b"PUT / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", 400),
+        ):
             caller = self.caller(at_once=False)
             caller.data_received(first)
             caller.data_received(bad)
@@ -213,8 +236,7 @@
             caller.data_received((b"GET / HTTP/1.1\r\n" + wish + b"\r\n") * 10)
         caller.data_received(b"GET /next HTTP/1.1\r\n\r\n")
         self.assertEqual(self.statuses(caller), [200] * 41)
-        caller.data_received(b"PUT / HTTP/1.1\r\n" + wish + b"Content-Length: 3\r\n\r\n"
-                             b"GET / HTTP/1.1\r\n\r\n")
+        caller.data_received(b"PUT / HTTP/1.1\r\n" + wish + b"Content-Length: 3\r\n\r\n" b"GET / HTTP/1.1\r\n\r\n")
         self.assertEqual((self.statuses(caller)[41:], len(self.seen)), ([400], 41))
 
     def test_too_many_calls_behind_one_another_are_not_gathered(self):
@@ -247,10 +269,19 @@
 
     def test_any_bytes_get_no_more_answers_than_calls_and_one_refusal(self):
         rng = random.Random(11)
-        parts = [b"GET / HTTP/1.1\r\n\r\n", b"PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc", b"\r\n",
-                 b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", b"GET / HT",
-                 b"Expect: 100-continue\r\n", b"HTTP/1.1\r\n", b"Upgrade: x\r\nConnection: upgrade\r\n",
-                 b"CONNECT a:1 ", b"\x00", b"\r\n\r\n"]
+        parts = [
+            b"GET / HTTP/1.1\r\n\r\n",
+            b"PUT /a HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc",
+            b"\r\n",
+            b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
+            b"GET / HT",
+            b"Expect: 100-continue\r\n",
+            b"HTTP/1.1\r\n",
+            b"Upgrade: x\r\nConnection: upgrade\r\n",
+            b"CONNECT a:1 ",
+            b"\x00",
+            b"\r\n\r\n",
+        ]
         for _ in range(1500):
             caller = self.caller(at_once=rng.random() < 0.5)
             for piece in pieces(b"".join(rng.choices(parts, k=rng.randint(1, 6))), rng):
@@ -260,7 +291,7 @@
                 self.turn()
             told = [status for status in self.statuses(caller) if status != 100]
             self.assertIn(len(told) - len(self.seen), (0, 1))
-            self.assertEqual(told[:len(self.seen)], [200] * len(self.seen))
+            self.assertEqual(told[: len(self.seen)], [200] * len(self.seen))
 
 
 class Table(unittest.TestCase):
@@ -268,25 +299,43 @@
         for method, path, name in control_calls.TABLE:
             ident = "i-1" if path.endswith("/") else ""
             self.assertEqual(control_calls.find(method, path + ident), (name, ident))
-            self.assertTrue(callable(getattr(Counter, f"call_{name}")), name)
+            self.assertTrue(callable(getattr(ControlApi, f"call_{name}")), name)
 
     def test_what_is_none(self):
-        for method, path, status in (("GET", "/-/none", 404), ("PUT", "/-/backends/a/b", 404),
-                                     ("GET", "", 404), ("PUT", "/-/config/", 404), ("", "/", 404),
-                                     ("POST", "/-/config", 405), ("GET", "/-/backends/i", 405),
-                                     ("get", "/-/config", 405)):
+        for method, path, status in (
+            ("GET", "/-/none", 404),
+            ("PUT", "/-/backends/a/b", 404),
+            ("GET", "", 404),
+            ("PUT", "/-/config/", 404),
+            ("", "/", 404),
+            ("POST", "/-/config", 405),
+            ("GET", "/-/backends/i", 405),
+            ("get", "/-/config", 405),
+        ):
             self.assertEqual(control_calls.find(method, path), status, (method, path))
 
 
 class Settings(unittest.TestCase):
-    GOOD = {"hostname": "edge-1", "ip": "10.0.0.1", "az": "a", "port_range": [7000, 7010],
-            "seeds": ["10.0.0.1:8000"], "bind": {"ctl": "10.0.0.1:8000"}, "limits": {"nofile": 900}}
+    GOOD = {
+        "hostname": "edge-1",
+        "ip": "10.0.0.1",
+        "az": "a",
+        "port_range": [7000, 7010],
+        "seeds": ["10.0.0.1:8000"],
+        "bind": {"ctl": "10.0.0.1:8000"},
+        "limits": {"nofile": 900},
+    }
 
     def test_what_is_wrong_is_named(self):
-        for change, field in (({"seeds": ["x"]}, "seeds"), ({"bind": {"http": "a:70000"}}, "bind.http"),
-                              ({"port_range": [5, 4]}, "port_range"), ({"hb": "1"}, "hb"), ({"ip": 4}, "ip"),
-                              ({"bounds": {"drain": "2m"}}, "bounds.drain"),
-                              ({"limits": {"nofile": "x"}}, "nofile")):
+        for change, field in (
+            ({"seeds": ["x"]}, "seeds"),
+            ({"bind": {"http": "a:70000"}}, "bind.http"),
+            ({"port_range": [5, 4]}, "port_range"),
+            ({"hb": "1"}, "hb"),
+            ({"ip": 4}, "ip"),
+            ({"bounds": {"drain": "2m"}}, "bounds.drain"),
+            ({"limits": {"nofile": "x"}}, "nofile"),
+        ):
             with self.assertRaises(settings.SettingsError) as raised:
                 settings.parse(json.dumps({**self.GOOD, **change}).encode())
             self.assertIn(field, str(raised.exception))
@@ -305,7 +354,7 @@
             data = bytearray(good)
             for _ in range(rng.randint(1, 3)):
                 at = rng.randrange(len(data))
-                data[at:at + rng.randint(0, 12)] = rng.choice([b"", rng.choice(values), rng.randbytes(1)])
+                data[at : at + rng.randint(0, 12)] = rng.choice([b"", rng.choice(values), rng.randbytes(1)])
             cases.append(bytes(data))
         for data in cases:
             try:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -14,20 +14,40 @@
 from fennelpoint.settings import from_json
 
 SETTINGS = {
-    "me": 0, "balancers": 2, "zone": 0, "tick_s": 0.004, "zones": ["room"], "shapes": ["std"],
-    "bounds": {"max_attempts": 4, "retry_after": True, "max_retry_after_s": 0.5, "connect_timeout_s": 0.25,
-               "idle_close_s": 15.0, "cancel": True},
-    "rules": {"drain_grace_s": 0.5, "cold_share": 0.2, "ramp_time_s": 10.0, "tip_multiple": 2.0,
-              "fall_s": 2.0, "answer_slack_s": 0.016},
+    "me": 0,
+    "balancers": 2,
+    "zone": 0,
+    "tick_s": 0.004,
+    "zones": ["room"],
+    "shapes": ["std"],
+    "bounds": {
+        "max_attempts": 4,
+        "retry_after": True,
+        "max_retry_after_s": 0.5,
+        "connect_timeout_s": 0.25,
+        "idle_close_s": 15.0,
+        "cancel": True,
+    },
+    "rules": {
+        "drain_grace_s": 0.5,
+        "cold_share": 0.2,
+        "ramp_time_s": 10.0,
+        "tip_multiple": 2.0,
+        "fall_s": 2.0,
+        "answer_slack_s": 0.016,
+    },
     "extra": {"has_counter": True, "count_wait_s": 0.05, "units_top": 3},
-    "grades": [{"name": "look", "aim_s": 0.8, "give_up_s": 2.0, "worth": 1.0, "repeat": "pure"},
-               {"name": "book", "aim_s": 1.5, "give_up_s": 7.5, "worth": 3.0, "repeat": "side_effect"}],
+    "grades": [
+        {"name": "look", "aim_s": 0.8, "give_up_s": 2.0, "worth": 1.0, "repeat": "pure"},
+        {"name": "book", "aim_s": 1.5, "give_up_s": 7.5, "worth": 3.0, "repeat": "side_effect"},
+    ],
     "contracts": [{"name": "basic", "pays": 1.0, "quota_rate": 100.0, "store_size": 200.0}],
 }
 
 
 def run(coroutine: Awaitable) -> None:
     """Run a test's coroutine on the loop that the ingress runs on; nothing here takes half a minute."""
+
     async def limited() -> None:
         await asyncio.wait_for(coroutine, 30.0)
 
@@ -114,8 +134,9 @@
                 except TimeoutError:
                     pass
             members = self.changes if watch else self.members
-            writer.write(ok(json.dumps({"revision": self.revision, "complete": not watch,
-                                        "members": members}).encode()))
+            writer.write(
+                ok(json.dumps({"revision": self.revision, "complete": not watch, "members": members}).encode())
+            )
             self.changes = []
             self.changed.clear()
 
@@ -146,8 +167,16 @@
 
 
 def member(name: str, address: str, phase: str = "up", up_since_ms: float = 0) -> dict:
-    return {"id": name, "host_port": address, "locality": "room", "flavor": "std", "cell": 0, "phase": phase,
-            "size": 1.0, "up_since_ms": up_since_ms}
+    return {
+        "id": name,
+        "host_port": address,
+        "locality": "room",
+        "flavor": "std",
+        "cell": 0,
+        "phase": phase,
+        "size": 1.0,
+        "up_since_ms": up_since_ms,
+    }
 
 
 class World:
@@ -162,9 +191,17 @@
         discovery, counter = await self.list.start(), await self.count.start()
         settings = from_json({**SETTINGS, **self.settings})
         known = {"revision": 1, "complete": True, "members": members}
-        config = Config("n0", ("127.0.0.1", 0), parse_address(discovery, "discovery"),
-                        parse_address(counter, "counter"), 7, 1024, settings,
-                        parse_list(known, settings) if self.known else None, ("127.0.0.1", 0))
+        config = Config(
+            "n0",
+            ("127.0.0.1", 0),
+            parse_address(discovery, "discovery"),
+            parse_address(counter, "counter"),
+            7,
+            1024,
+            settings,
+            parse_list(known, settings) if self.known else None,
+            ("127.0.0.1", 0),
+        )
         self.ingress = Ingress(asyncio.get_running_loop(), config)
         await self.ingress.start()
         self.address = self.ingress.server.listener.sockets[0].getsockname()
@@ -193,12 +230,25 @@
 IDS = iter(range(1, 1 << 30))
 
 
-def request(cls: str = "look", body: bytes = b"", left: int = 2000, path: str = "/api", drop: str = "",
-            more: str = "", **fields: str) -> bytes:
+def request(
+    cls: str = "look",
+    body: bytes = b"",
+    left: int = 2000,
+    path: str = "/api",
+    drop: str = "",
+    more: str = "",
+    **fields: str,
+) -> bytes:
     """A client's request; `fields` replace the usual ones (with _ for -), `drop` leaves one out."""
-    said = {"Host": "app.svc", "X-Txn": f"{next(IDS):016x}", "X-Lane": cls, "Api-Plan": "basic",
-            "Cookie": "account=00000000b4d65521", "X-Remaining-Ms": str(left),
-            "Api-Terms": "units=1,spread=2,first=0"}
+    said = {
+        "Host": "app.svc",
+        "X-Txn": f"{next(IDS):016x}",
+        "X-Lane": cls,
+        "Api-Plan": "basic",
+        "Cookie": "account=00000000b4d65521",
+        "X-Remaining-Ms": str(left),
+        "Api-Terms": "units=1,spread=2,first=0",
+    }
     if cls == "book" and "Transfer_Encoding" not in fields:
         said["Content-Length"] = str(len(body))
     said.update({name.replace("_", "-"): value for name, value in fields.items()})
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -61,8 +61,7 @@
 
 
 def test_refused_connects_are_passed_over():
-    sent = drive(three(), 6.0, 20,
-                 lambda b: (api.Status.CONNECT_FAILED, 0.25) if b == "a" else (api.Status.OK, 0.1))
+    sent = drive(three(), 6.0, 20, lambda b: (api.Status.CONNECT_FAILED, 0.25) if b == "a" else (api.Status.OK, 0.1))
     assert sent["a"] < 0.25 * sent["b"]
 
 
@@ -209,8 +208,7 @@
     """The cached list at start may name what is gone: refused connects move the work on."""
     world = World(make_settings())
     world.roster(*(api.BackendEntry(n, READY) for n in "abc"), kind=api.RosterKind.CACHED)
-    sent = drive(world, 5.0, 20,
-                 lambda b: (api.Status.CONNECT_FAILED, 0.002) if b == "a" else (api.Status.OK, 0.1))
+    sent = drive(world, 5.0, 20, lambda b: (api.Status.CONNECT_FAILED, 0.002) if b == "a" else (api.Status.OK, 0.1))
     assert sent["a"] < 0.2 * sent["b"] and not world.control.line.open
 
 
--- a/tests/test_bans.py
+++ b/tests/test_bans.py
@@ -18,11 +18,15 @@
     return to
 
 
-@pytest.mark.parametrize("then", [
-    [],
-    [api.BackendEntry("a", READY, started_at=99.0), api.BackendEntry("b", READY)],
-    [api.BackendEntry("b", READY)],
-], ids=["nothing", "a new start", "gone from the list"])
+@pytest.mark.parametrize(
+    "then",
+    [
+        [],
+        [api.BackendEntry("a", READY, started_at=99.0), api.BackendEntry("b", READY)],
+        [api.BackendEntry("b", READY)],
+    ],
+    ids=["nothing", "a new start", "gone from the list"],
+)
 def test_a_ban_outlives_every_list(world, then):
     assert "a" in sent(world)
     world.give(api.Withdraw("a"))
@@ -41,7 +45,7 @@
     world.give(api.Withdraw("a"))
     world.give(api.Withdraw("a"))
     world.wait(1.0)
-    world.give(api.Restore("a"))    # one call ends it
+    world.give(api.Restore("a"))  # one call ends it
     assert world.control.choice.cold_share(backend, world.now) == world.settings.cold_share
     assert 0 < sent(world, 40).get("a", 0) < 20
     world.wait(world.settings.ramp_time)
@@ -88,4 +92,4 @@
     actions = world.ask(SAFE)
     assert [a.backend for a in actions] == ["b"]
     world.answer(actions[0].request, "b", api.Status.RESET)
-    assert world.control.cluster(world.now) == (2, 2)   # it rests
+    assert world.control.cluster(world.now) == (2, 2)  # it rests
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -36,10 +36,10 @@
 
 def test_cold_backend_gets_its_share_while_others_are_warm_and_less_where_none_is():
     """Drawn more seldom, cold ones stood idle while the warm ones were crowded."""
+
     def drawn(*started: float) -> dict[str, int]:
         world = World(make_settings(has_counter=False))
-        world.roster(*(api.BackendEntry(name, READY, started_at=at)
-                       for name, at in zip("ab", started, strict=True)))
+        world.roster(*(api.BackendEntry(name, READY, started_at=at) for name, at in zip("ab", started, strict=True)))
         to = {"a": 0, "b": 0, "none": 0}
         for customer in range(1000):
             sends = [a for a in world.ask(customer=customer) if isinstance(a, api.Send)]
@@ -48,7 +48,7 @@
                 world.answer(sends[0].request, sends[0].backend, latency=0.05)
         return to
 
-    half = 100.0 - 10.0 * (0.5 - 0.2) / 0.8     # a ramp of 10 s from a fifth
+    half = 100.0 - 10.0 * (0.5 - 0.2) / 0.8  # a ramp of 10 s from a fifth
     beside = drawn(half, 0.0)
     assert beside["none"] == 0 and 215 < beside["a"] < 285
     alone = drawn(half, half)
@@ -81,6 +81,7 @@
 
 def test_report_counts_longer_where_each_ingress_hears_of_a_backend_seldom():
     """Three seconds on, the report of one of 40 still tells which backend holds more, as none came since."""
+
     def part_of_the_idle(ingresses: int) -> float:
         world = reporting_world(ingresses=ingresses, has_counter=False)
         report(world, a=0.0, b=8.0)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -47,7 +47,7 @@
         lines = []
 
         async def handle(reader, writer):
-            for _ in range(3):      # nothing is answered before all have come
+            for _ in range(3):  # nothing is answered before all have come
                 lines.append(await reader.readline())
             writer.write(b"ok 2.5\r\nbusy\r\nok -1e-3\r\n")
             await reader.read()
@@ -117,7 +117,7 @@
             clock.now += 0.011
             assert await p.told(1) == [(1, Status.TIMEOUT, 0.0)] and p.counter.line is not None
             clock.now += 0.04
-            p.call(2)   # behind the lost one
+            p.call(2)  # behind the lost one
             clock.now += 0.011
             assert (await p.told(2))[1] == (2, Status.TIMEOUT, 0.0) and p.counter.line is None
             p.call(3)
@@ -164,7 +164,8 @@
     run(play())
 
 
-@pytest.mark.parametrize("amount, text", [(1.0, b"1"), (0.0, b"0"), (100.0, b"100"), (-2.5, b"-2.5"),
-                                          (1 / 3, b"0.333333")])
+@pytest.mark.parametrize(
+    "amount, text", [(1.0, b"1"), (0.0, b"0"), (100.0, b"100"), (-2.5, b"-2.5"), (1 / 3, b"0.333333")]
+)
 def test_amounts_are_plain_decimals(amount, text):
     assert amount_text(amount) == text
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -66,11 +66,11 @@
 
 
 def test_candidates_go_lucky_exceeded_by_least_worth_and_meet_stays(quiet):
-    customer(quiet, 1, HARD, rate=1.0, ratio=2.0, worth=1.0)    # failed
-    customer(quiet, 2, SOFT, rate=5.0, ratio=0.5, worth=4.0)    # lucky, dear
-    customer(quiet, 3, SOFT, rate=4.0, ratio=0.5, worth=2.0)    # lucky, cheap
-    customer(quiet, 4, HARD, rate=3.0, ratio=2.0, worth=1.0)    # exceeded
-    customer(quiet, 5, HARD, rate=1.9, ratio=0.5, worth=0.1)    # meet
+    customer(quiet, 1, HARD, rate=1.0, ratio=2.0, worth=1.0)  # failed
+    customer(quiet, 2, SOFT, rate=5.0, ratio=0.5, worth=4.0)  # lucky, dear
+    customer(quiet, 3, SOFT, rate=4.0, ratio=0.5, worth=2.0)  # lucky, cheap
+    customer(quiet, 4, HARD, rate=3.0, ratio=2.0, worth=1.0)  # exceeded
+    customer(quiet, 5, HARD, rate=1.9, ratio=0.5, worth=0.1)  # meet
     customer(quiet, 6, HARD, rate=200.0, ratio=2.0, worth=9.0)  # exceeded: makes the step large
     regulate(quiet)
     assert cut_keys(quiet) == [3, 2, 4, 6]
@@ -119,14 +119,14 @@
     afresh = quiet.control.regulator._afresh
     steady = groups_of(quiet, lucky=[c])
     assert not afresh(steady, worst=1.4, seen=0.5)
-    assert afresh(steady, worst=1.6, seen=0.5)          # the failing latency rose
+    assert afresh(steady, worst=1.6, seen=0.5)  # the failing latency rose
     made.lucky.clear()
-    assert afresh(steady, worst=1.4, seen=0.5)          # a candidate turned lucky
+    assert afresh(steady, worst=1.4, seen=0.5)  # a candidate turned lucky
     made.lucky.add(1)
     c.rate = 4.2
-    assert afresh(steady, worst=1.4, seen=0.5)          # a rate doubled
+    assert afresh(steady, worst=1.4, seen=0.5)  # a rate doubled
     c.rate = 2.0
-    assert afresh(steady, worst=1.4, seen=1.2)          # seen latency is twice the predicted
+    assert afresh(steady, worst=1.4, seen=1.2)  # seen latency is twice the predicted
 
 
 def test_decision_stands_for_m_steps(quiet):
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -17,25 +17,37 @@
     return {"revision": revision, "complete": complete, "members": list(members)}
 
 
-@pytest.mark.parametrize("value, says", [
-    (5, "is not an object"),
-    (listing(revision="x"), "revision"),
-    (listing(complete=1), "complete"),
-    ({"revision": 1, "complete": True}, "members"),
-])
+@pytest.mark.parametrize(
+    "value, says",
+    [
+        (5, "is not an object"),
+        (listing(revision="x"), "revision"),
+        (listing(complete=1), "complete"),
+        ({"revision": 1, "complete": True}, "members"),
+    ],
+)
 def test_list_that_cannot_be_read_is_refused_by_the_name_of_its_field(value, says):
     with pytest.raises(ListError, match=says):
         parse_list(value, from_json(SETTINGS))
 
 
-@pytest.mark.parametrize("bad", [
-    7, {**member("b", ADDRESS), "phase": "asleep"}, {**member("b", ADDRESS), "phase": ["up"]},
-    member("b", "somewhere"), member("b", "127.0.0.1:0"), member("b", "127.0.0.900:80"),
-    {**member("b", ADDRESS), "size": float("nan")}, {**member("b", ADDRESS), "up_since_ms": "now"}])
+@pytest.mark.parametrize(
+    "bad",
+    [
+        7,
+        {**member("b", ADDRESS), "phase": "asleep"},
+        {**member("b", ADDRESS), "phase": ["up"]},
+        member("b", "somewhere"),
+        member("b", "127.0.0.1:0"),
+        member("b", "127.0.0.900:80"),
+        {**member("b", ADDRESS), "size": float("nan")},
+        {**member("b", ADDRESS), "up_since_ms": "now"},
+    ],
+)
 def test_member_that_cannot_be_read_does_not_take_the_others_along(bad):
     told = parse_list(listing(member("a", ADDRESS), bad), from_json(SETTINGS))
     assert [e.backend for e in told.roster.entries] == ["a"]
-    if isinstance(bad, dict):   # unless the whole list would then count it as gone
+    if isinstance(bad, dict):  # unless the whole list would then count it as gone
         with pytest.raises(ListError, match=r"members\[1\]"):
             parse_list(listing(member("a", ADDRESS), bad), from_json(SETTINGS), {"b": ("127.0.0.1", 80)})
 
@@ -62,8 +74,13 @@
 
     async def __aenter__(self):
         address = parse_address(await self.fake.start(), "here")
-        self.watch = Discovery(asyncio.get_running_loop(), address, self.settings,
-                               lambda roster, addresses: self.told.append(roster), seed=1)
+        self.watch = Discovery(
+            asyncio.get_running_loop(),
+            address,
+            self.settings,
+            lambda roster, addresses: self.told.append(roster),
+            seed=1,
+        )
         if self.known is not None:
             self.known.roster.kind = RosterKind.CACHED
             self.watch.take(self.known)
@@ -80,9 +97,11 @@
         lines = []
 
         async def handle(reader, writer):
-            for answer in (listing(member("a", ADDRESS)),
-                           listing(member("b", ADDRESS), revision=5, complete=False),
-                           listing(revision=5, complete=False)):
+            for answer in (
+                listing(member("a", ADDRESS)),
+                listing(member("b", ADDRESS), revision=5, complete=False),
+                listing(revision=5, complete=False),
+            ):
                 lines.append((await read_message(reader))[0])
                 writer.write(ok(json.dumps(answer).encode()))
             lines.append((await read_message(reader))[0])
@@ -91,7 +110,11 @@
         async with Follow(handle) as f:
             await until(lambda: len(lines) == 4)
             assert [line.split()[1].partition("&")[0] for line in lines] == [
-                "/v1/endpoints", "/v1/endpoints?from=3", "/v1/endpoints?from=5", "/v1/endpoints?from=5"]
+                "/v1/endpoints",
+                "/v1/endpoints?from=3",
+                "/v1/endpoints?from=5",
+                "/v1/endpoints?from=5",
+            ]
             assert [r.kind for r in f.told] == [RosterKind.FULL, RosterKind.CHANGES] and f.fake.opened == 1
 
     run(play())
@@ -111,7 +134,9 @@
         async with Follow(handle, known, discovery="ask") as f:
             await until(lambda: len(lines) == 2)
             assert [line.split()[1].partition("&")[0] for line in lines] == [
-                "/v1/endpoints?from=7", "/v1/endpoints?from=8"]
+                "/v1/endpoints?from=7",
+                "/v1/endpoints?from=8",
+            ]
             assert [r.kind for r in f.told] == [RosterKind.CACHED, RosterKind.CHANGES]
 
     run(play())
@@ -151,8 +176,14 @@
 def waits_of_fleet(ingresses: int, ask_every: float) -> tuple[list[float], list[list[float]]]:
     """When each of a fleet that starts at once asks first, and how long it waits after each failure."""
     firsts, failed = [], []
-    settings = from_json({**SETTINGS, "balancers": ingresses, "discovery": "ask" if ask_every else "push",
-                          "rules": {**SETTINGS["rules"], "ask_every_s": ask_every}})
+    settings = from_json(
+        {
+            **SETTINGS,
+            "balancers": ingresses,
+            "discovery": "ask" if ask_every else "push",
+            "rules": {**SETTINGS["rules"], "ask_every_s": ask_every},
+        }
+    )
     for seed in range(ingresses):
         loop = Waits()
         watch = Discovery(loop, parse_address(ADDRESS, "here"), settings, lambda *_: None, seed)
@@ -168,9 +199,9 @@
 def test_large_fleet_does_not_overrun_the_one_discovery_that_it_asks():
     firsts, failed = waits_of_fleet(40, ask_every=10.0)
     busiest = max(sum(at <= other < at + 1.0 for other in firsts) for at in firsts)
-    assert busiest <= 10 and firsts[-1] <= 10.0     # four a second on average
+    assert busiest <= 10 and firsts[-1] <= 10.0  # four a second on average
     assert all(waits[0] >= 5.0 and waits[-1] >= 20.0 for waits in failed)
-    assert len({waits[0] for waits in failed}) == 40    # and no two in step
+    assert len({waits[0] for waits in failed}) == 40  # and no two in step
 
 
 def test_small_fleet_or_one_with_agents_asks_soon():
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -38,7 +38,7 @@
 
 def test_file_of_a_process_that_died_is_stale_and_removed(tmp_path):
     dead = handover(tmp_path)
-    os.close(dead.lock)     # as its end does
+    os.close(dead.lock)  # as its end does
     new = handover(tmp_path)
     assert new.others() == [] and list(tmp_path.glob("*.alive")) == [new.own]
     new.leave()
@@ -142,15 +142,25 @@
 
 @contextmanager
 def ingress(tmp_path, shared: socket.socket, port: int, number: int):
-    value = config(listen=f"127.0.0.1:{shared.getsockname()[1]}", mgmt=f"127.0.0.1:{port}",
-                   known={"revision": 1, "complete": True, "members": [member("s-0", "127.0.0.1:1")]})
+    value = config(
+        listen=f"127.0.0.1:{shared.getsockname()[1]}",
+        mgmt=f"127.0.0.1:{port}",
+        known={"revision": 1, "complete": True, "members": [member("s-0", "127.0.0.1:1")]},
+    )
     path = tmp_path / f"config{number}.json"
     path.write_text(json.dumps(value))
     process = subprocess.Popen(
-        [sys.executable, "-m", "fennelpoint"], cwd=ROOT, stderr=subprocess.DEVNULL,
+        [sys.executable, "-m", "fennelpoint"],
+        cwd=ROOT,
+        stderr=subprocess.DEVNULL,
         pass_fds=[shared.fileno()],
-        env={**os.environ, "BALANCER_CONFIG": str(path), "TMPDIR": str(tmp_path / "shared"),
-             "BALANCER_LISTEN_FD": str(shared.fileno())})
+        env={
+            **os.environ,
+            "BALANCER_CONFIG": str(path),
+            "TMPDIR": str(tmp_path / "shared"),
+            "BALANCER_LISTEN_FD": str(shared.fileno()),
+        },
+    )
     try:
         yield process
     finally:
@@ -225,7 +235,7 @@
             assert ask_ready(kept).startswith(b"HTTP/1.1 200")
             with ingress(tmp_path, shared, two, 2) as new:
                 until_yes(two)
-                assert unhealthy(two) == 1.0    # it knows of the ban from the start
+                assert unhealthy(two) == 1.0  # it knows of the ban from the start
                 # What operators tell one of them holds in the other, too.
                 assert call(two, "POST", "/v1/menu-servers/s-0/resume") == 200
                 end = time.monotonic() + 10.0
@@ -235,18 +245,18 @@
                 kept.close()
                 kept = old_connection(shared, two)
                 old.send_signal(signal.SIGTERM)
-                time.sleep(0.7)     # beyond the time that a process alone goes on accepting
+                time.sleep(0.7)  # beyond the time that a process alone goes on accepting
                 # A connection that is used in time is told to go; nothing is cut.
                 answer = ask_ready(kept)
                 assert answer.startswith(b"HTTP/1.1 503") and b"connection: close" in answer
                 kept.close()
-                for _ in range(20):     # each of them is the new one's
+                for _ in range(20):  # each of them is the new one's
                     with socket.create_connection(shared.getsockname(), timeout=10) as client:
                         assert ask_ready(client).startswith(b"HTTP/1.1 200")
                 assert old.wait(timeout=20) == 0 and new.poll() is None
                 assert len(list((tmp_path / "shared").glob("*.alive"))) == 1
                 with socket.create_connection(shared.getsockname(), timeout=10) as client:
-                    assert ask_ready(client).startswith(b"HTTP/1.1 200")    # the socket listens on
+                    assert ask_ready(client).startswith(b"HTTP/1.1 200")  # the socket listens on
 
 
 def test_old_process_goes_on_where_the_new_one_dies(tmp_path):
@@ -260,7 +270,7 @@
             for _ in range(5):
                 with socket.create_connection(shared.getsockname(), timeout=10) as client:
                     assert ask_ready(client).startswith(b"HTTP/1.1 200")
-            old.send_signal(signal.SIGTERM)     # alone again: a plain stop, which takes what still comes
+            old.send_signal(signal.SIGTERM)  # alone again: a plain stop, which takes what still comes
             with socket.create_connection(shared.getsockname(), timeout=10) as client:
                 assert ask_ready(client).startswith(b"HTTP/1.1 ")
             assert old.wait(timeout=20) == 0
@@ -271,7 +281,8 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config()))
     environment = {**os.environ, "BALANCER_CONFIG": str(path), "BALANCER_LISTEN_FD": value}
-    process = subprocess.run([sys.executable, "-m", "fennelpoint"], cwd=ROOT, stderr=subprocess.PIPE,
-                             timeout=30, env=environment)
+    process = subprocess.run(
+        [sys.executable, "-m", "fennelpoint"], cwd=ROOT, stderr=subprocess.PIPE, timeout=30, env=environment
+    )
     lines = process.stderr.decode().splitlines()
     assert process.returncode != 0 and len(lines) == 1 and "BALANCER_LISTEN_FD" in lines[0]
--- a/tests/test_large.py
+++ b/tests/test_large.py
@@ -10,7 +10,7 @@
 from fennelpoint.net import flow, server
 from fennelpoint.net.flow import Budget, Upload
 
-LARGE = bytes(range(256)) * 1200    # 300 KiB and a little
+LARGE = bytes(range(256)) * 1200  # 300 KiB and a little
 
 
 class Raw(Backend):
@@ -47,14 +47,14 @@
 
 
 def chunked(body: bytes, size: int, extension: bytes = b"", trailer: bytes = b"") -> bytes:
-    parts = [body[i:i + size] for i in range(0, len(body), size)]
+    parts = [body[i : i + size] for i in range(0, len(body), size)]
     return b"".join(b"%x%b\r\n%b\r\n" % (len(p), extension, p) for p in parts) + b"0\r\n" + trailer + b"\r\n"
 
 
 ANSWERS = {
     "length": b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(LARGE) + LARGE,
     "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-              + chunked(LARGE, 5000, b";a=b", b"X-Turned-Away: 1\r\n"),
+    + chunked(LARGE, 5000, b";a=b", b"X-Turned-Away: 1\r\n"),
     "until the close": b"HTTP/1.1 200 OK\r\n\r\n" + LARGE,
 }
 
@@ -65,8 +65,8 @@
         go_on, data = asyncio.Event(), ANSWERS[form]
 
         async def answer(reader, writer) -> None:
-            for at in range(0, 150_000, 7001):      # cut at any point
-                writer.write(data[at:min(at + 7001, 150_000)])
+            for at in range(0, 150_000, 7001):  # cut at any point
+                writer.write(data[at : min(at + 7001, 150_000)])
                 await asyncio.sleep(0)
             await go_on.wait()
             writer.write(data[150_000:])
@@ -80,7 +80,7 @@
                 writer.write(request(left=20_000))
                 line, fields = await read_head(reader)
                 assert line == "HTTP/1.1 200 OK" and "x-turned-away" not in fields
-                first = await reader.readexactly(60_000)    # while the rest is not written yet
+                first = await reader.readexactly(60_000)  # while the rest is not written yet
                 assert made.ingress.host.waiting == 1
                 go_on.set()
                 reader._buffer[:0] = first
@@ -140,7 +140,7 @@
             line, fields = await read_head(reader)
             assert line.endswith("200 OK")
             if version == b"HTTP/1.0" and form == "chunks":
-                with pytest.raises(ConnectionResetError):   # the close alone would be the end of it
+                with pytest.raises(ConnectionResetError):  # the close alone would be the end of it
                     await reader.read()
             else:
                 with pytest.raises(asyncio.IncompleteReadError):
@@ -154,8 +154,7 @@
 
 def test_answer_of_64_kib_is_checked_whole_and_tried_again():
     async def play() -> None:
-        answers = iter([b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + bytes(60_000),
-                        ok(bytes(65536))])
+        answers = iter([b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + bytes(60_000), ok(bytes(65536))])
 
         async def answer(reader, writer) -> None:
             data = next(answers)
@@ -210,7 +209,7 @@
             await until(lambda: any(not c.reading for c in pool.all))
             await asyncio.sleep(0.3)
             assert sent < size and pool.budget.used < 1_000_000
-            other = await made.connect()    # the ingress goes on
+            other = await made.connect()  # the ingress goes on
             other[1].write(b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n")
             assert (await read_message(other[0]))[0].endswith("200 OK")
             other[1].close()
@@ -289,9 +288,9 @@
                 data = upload(LARGE, form)
                 some.clear()
                 writer.write(data[:150_000])
-                await some.wait()   # while the client has not sent all of it
+                await some.wait()  # while the client has not sent all of it
                 host = made.ingress.host
-                assert (host.waiting, host.coming) == (1, 1)    # not taken yet
+                assert (host.waiting, host.coming) == (1, 1)  # not taken yet
                 assert b"\napp_current 0\n" in host.render_figures()
                 writer.write(data[150_000:])
                 assert (await read_message(reader))[2] == b"yes"
@@ -315,7 +314,7 @@
             reader, writer = await made.connect()
             data = request("book", LARGE, left=600)
             for at in range(0, len(data), len(data) // 4):
-                writer.write(data[at:at + len(data) // 4])
+                writer.write(data[at : at + len(data) // 4])
                 await asyncio.sleep(0.3)
             assert (await read_message(reader))[0].endswith("200 OK")
             writer.close()
@@ -327,12 +326,13 @@
     async def play() -> None:
         async def answer(reader, writer) -> None:
             await reader.readexactly(100_000)
-            writer.close()      # it never got it whole, so it can't have run; but it can't be sent again
+            writer.close()  # it never got it whole, so it can't have run; but it can't be sent again
 
         async with world(Raw(answer), Raw(answer)) as made:
             outcomes, handle = [], made.ingress.host.controller.handle
             made.ingress.host.controller.handle = lambda event, now: (
-                outcomes.append(event) if isinstance(event, api.Outcome) else None) or handle(event, now)
+                outcomes.append(event) if isinstance(event, api.Outcome) else None
+            ) or handle(event, now)
             reader, writer = await made.connect()
             writer.write(request("book", LARGE, left=7000)[:200_000])
             line, fields = await read_head(reader)
@@ -497,7 +497,7 @@
             reader, writer = await made.connect()
             body = b"abc"
             data = request("book", body, left=7000, Expect="100-continue")
-            writer.write(request() + data[:-len(body)])
+            writer.write(request() + data[: -len(body)])
             assert (await read_message(reader))[0] == "HTTP/1.1 200 OK"
             assert (await read_head(reader))[0] == "HTTP/1.1 100 Continue"
             writer.write(body)
@@ -578,9 +578,8 @@
 
 def test_module_gives_up_what_is_not_held(world):
     (send,) = coming(world)
-    assert send.timeout == 0.0      # no sooner than its client: there is no other attempt
-    actions = world.give(api.Outcome(1, 0, send.backend, api.Status.CONNECT_FAILED, 0.1, False,
-                                     is_held=False))
+    assert send.timeout == 0.0  # no sooner than its client: there is no other attempt
+    actions = world.give(api.Outcome(1, 0, send.backend, api.Status.CONNECT_FAILED, 0.1, False, is_held=False))
     assert [type(a) for a in actions] == [api.Refuse]
     (send,) = coming(world, UNSAFE)
     actions = world.give(api.Outcome(2, 0, send.backend, api.Status.RESET, 0.1, False, is_held=False))
@@ -601,13 +600,13 @@
 def test_module_takes_a_large_answer_as_come_with_its_first_bytes():
     world = World(make_settings())
     world.roster(api.BackendEntry("a", READY))
-    (send,) = world.ask(SAFE, plan=3)   # of a plan with a limit of attempts at once
+    (send,) = world.ask(SAFE, plan=3)  # of a plan with a limit of attempts at once
     world.wait(0.2)
     world.give(api.StreamStarted(1, 0, "a", 0.2))
     control = world.control
     assert control.fleet.out == 0 and control.fleet.known["a"].load == 0.0
     assert control.fleet.ages(world.now) == []
-    assert control.quotas.customers[1].open == 1   # it has it open still
+    assert control.quotas.customers[1].open == 1  # it has it open still
     world.wait(9.0)
     world.answer(1, "a", latency=0.2)
     assert control.quotas.customers[1].open == 0 and control.fleet.out == 0
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -25,17 +25,20 @@
 READ = api.RequestClass("read", aim=1.0, deadline=4.0, worth=1.0, effect=api.Effect.SAFE)
 
 
-@pytest.mark.parametrize("changes, says", [
-    (dict(classes=[]), "classes"),
-    (dict(plans=[]), "plans"),
-    (dict(ingresses=0), "ingresses"),
-    (dict(max_attempts=0), "max_attempts"),
-    (dict(tick=float("nan")), "tick"),
-    (dict(cold_share=-0.1), "cold_share"),
-    (dict(classes=[READ, api.RequestClass("slow", 5.0, 4.0, 1.0, api.Effect.SAFE)]), r"classes\[1\].aim"),
-    (dict(plans=[api.Plan("basic", price=1.0, rate=-1.0)]), r"plans\[0\].rate"),
-    (dict(plans=[api.Plan("basic", price=float("inf"))]), r"plans\[0\].price"),
-])
+@pytest.mark.parametrize(
+    "changes, says",
+    [
+        (dict(classes=[]), "classes"),
+        (dict(plans=[]), "plans"),
+        (dict(ingresses=0), "ingresses"),
+        (dict(max_attempts=0), "max_attempts"),
+        (dict(tick=float("nan")), "tick"),
+        (dict(cold_share=-0.1), "cold_share"),
+        (dict(classes=[READ, api.RequestClass("slow", 5.0, 4.0, 1.0, api.Effect.SAFE)]), r"classes\[1\].aim"),
+        (dict(plans=[api.Plan("basic", price=1.0, rate=-1.0)]), r"plans\[0\].rate"),
+        (dict(plans=[api.Plan("basic", price=float("inf"))]), r"plans\[0\].price"),
+    ],
+)
 def test_settings_that_cannot_work_are_refused_by_the_name_of_the_field(changes, says):
     with pytest.raises(ValueError, match=says):
         make_settings(**changes)
--- a/tests/test_lost.py
+++ b/tests/test_lost.py
@@ -55,8 +55,8 @@
 
 def test_cold_backend_is_given_more_time(quick_world):
     (warm,) = quick_world.ask(SAFE, customer=1000)
-    quick_world.roster(api.BackendEntry("cold", READY, started_at=quick_world.now - 4.0))   # can do 0.52
+    quick_world.roster(api.BackendEntry("cold", READY, started_at=quick_world.now - 4.0))  # can do 0.52
     sends = quick_world.ask(SAFE, customer=1001)
-    for customer in range(1002, 1020):      # it is drawn as seldom as it is cold
+    for customer in range(1002, 1020):  # it is drawn as seldom as it is cold
         sends = sends or quick_world.ask(SAFE, customer=customer)
     assert sends[0].backend == "cold" and sends[0].timeout > 1.5 * warm.timeout
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -32,8 +32,7 @@
         return total + call.amount
 
 
-def reply(world: World, status: api.Status = api.Status.OK, total: float = 1.0,
-          latency: float = FAST) -> list:
+def reply(world: World, status: api.Status = api.Status.OK, total: float = 1.0, latency: float = FAST) -> list:
     """Answer the call that is out."""
     (call,), world.counts = world.counts, []
     return world.give(api.CounterReply(call.name, status, total, latency))
@@ -201,8 +200,16 @@
 
 
 def probing(**changes) -> World:
-    world = World(make_settings(ingresses=INGRESSES, has_counter=False, may_probe=True, report_via="probe",
-                                report_fields=["queue", "inflight"], **changes))
+    world = World(
+        make_settings(
+            ingresses=INGRESSES,
+            has_counter=False,
+            may_probe=True,
+            report_via="probe",
+            report_fields=["queue", "inflight"],
+            **changes,
+        )
+    )
     world.backends("a", "b")
     return world
 
@@ -326,8 +333,7 @@
     world.control.quotas.asking = 0.7
     for _ in range(40):
         world.ids += 1
-        world.give(api.Request(world.ids, 0, HARD, world.ids, 4.0, 1.0, float(INGRESSES), 0.0,
-                               is_repeat=True))
+        world.give(api.Request(world.ids, 0, HARD, world.ids, 4.0, 1.0, float(INGRESSES), 0.0, is_repeat=True))
     assert world.counts == []
     for _ in range(40):
         ask(world, customer=world.ids)
--- a/tests/test_notice.py
+++ b/tests/test_notice.py
@@ -28,7 +28,9 @@
         notice.complain("counter", "is silent for %d ms", 30)
     notice.complain("upstream", "100% of it is in use")
     assert [r.getMessage() for r in caplog.records] == [
-        "counter: is silent for 30 ms", "upstream: 100% of it is in use"]
+        "counter: is silent for 30 ms",
+        "upstream: 100% of it is in use",
+    ]
     clock.now += notice.EVERY
     notice.complain("counter", "is back")
     assert caplog.records[-1].getMessage() == "counter: is back (2 more before this)"
@@ -45,7 +47,7 @@
 
     handler = notice.in_background(Stuck())
     try:
-        for _ in range(100):    # would not come back within the test if one of them waited
+        for _ in range(100):  # would not come back within the test if one of them waited
             handler.handle(logging.LogRecord("x", logging.INFO, "", 0, "said", (), None))
         assert not written
     finally:
@@ -64,7 +66,7 @@
     last.setFormatter(logging.Formatter("%(levelname)s %(message)s"))
     logger = logging.Logger("x")
     handler = notice.in_background(last)
-    handler.formatter = handler.formatter or logging.Formatter(logging.BASIC_FORMAT)    # as basicConfig does
+    handler.formatter = handler.formatter or logging.Formatter(logging.BASIC_FORMAT)  # as basicConfig does
     logger.addHandler(handler)
     logger.info("%s is ready", "n0")
     assert done.wait(30) and written == ["INFO n0 is ready"]
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -33,22 +33,25 @@
     return status
 
 
-@pytest.mark.parametrize("method, path, status", [
-    ("GET", "/v1/readyz", 200),
-    ("GET", "/v1/readyz?verbose=1", 200),
-    ("POST", "/v1/readyz", 405),
-    ("GET", "/v1/ingress/drain", 405),
-    ("GET", "/v1/menu-servers/s-0/suspend", 405),
-    ("POST", "/v1/menu-servers/s-0/suspend", 200),
-    ("POST", "/v1/menu-servers/s%2D0/suspend", 200),
-    ("POST", "/v1/menu-servers/s-0/resume", 200),
-    ("POST", "/v1/menu-servers/s-9/suspend", 404),
-    ("POST", "/v1/menu-servers/s-9/resume", 404),
-    ("POST", "/v1/menu-servers//suspend", 404),
-    ("POST", "/v1/menu-servers/s-0/restart", 404),
-    ("GET", "/v1/nothing", 404),
-    ("GET", "/", 404),
-])
+@pytest.mark.parametrize(
+    "method, path, status",
+    [
+        ("GET", "/v1/readyz", 200),
+        ("GET", "/v1/readyz?verbose=1", 200),
+        ("POST", "/v1/readyz", 405),
+        ("GET", "/v1/ingress/drain", 405),
+        ("GET", "/v1/menu-servers/s-0/suspend", 405),
+        ("POST", "/v1/menu-servers/s-0/suspend", 200),
+        ("POST", "/v1/menu-servers/s%2D0/suspend", 200),
+        ("POST", "/v1/menu-servers/s-0/resume", 200),
+        ("POST", "/v1/menu-servers/s-9/suspend", 404),
+        ("POST", "/v1/menu-servers/s-9/resume", 404),
+        ("POST", "/v1/menu-servers//suspend", 404),
+        ("POST", "/v1/menu-servers/s-0/restart", 404),
+        ("GET", "/v1/nothing", 404),
+        ("GET", "/", 404),
+    ],
+)
 def test_each_call_gets_its_yes_or_no(method, path, status):
     async def play() -> None:
         async with world(Backend()) as made:
@@ -68,11 +71,14 @@
     run(play())
 
 
-@pytest.mark.parametrize("data, status", [
-    (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
-    (b"GET /v1/readyz HTTP/1.1\r\nX: " + b"y" * 20_000, 413),
-    (b"GET /v1/readyz HTTP/1.1\r\nHo", 408),
-])
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        (b"\x16\x03\x01 nonsense\r\n\r\n", 400),
+        (b"GET /v1/readyz HTTP/1.1\r\nX: " + b"y" * 20_000, 413),
+        (b"GET /v1/readyz HTTP/1.1\r\nHo", 408),
+    ],
+)
 def test_bad_and_half_calls_are_told_so_and_closed(monkeypatch, data, status):
     monkeypatch.setattr(operators, "CALL_TIMEOUT", 0.2)
 
@@ -92,8 +98,7 @@
     async def play() -> None:
         async with world(Backend()) as made:
             reader, writer = await asyncio.open_connection(*made.mgmt)
-            for piece in (b"POST /v1/ingress/dr", b"ain HTTP/1.1\r\nHost: x\r\nContent-Len",
-                          b"gth: 2\r\n\r\n{", b"}"):
+            for piece in (b"POST /v1/ingress/dr", b"ain HTTP/1.1\r\nHost: x\r\nContent-Len", b"gth: 2\r\n\r\n{", b"}"):
                 writer.write(piece)
                 await asyncio.sleep(0.02)
             writer.write_eof()
@@ -104,7 +109,7 @@
 
 
 def test_callers_that_say_nothing_crowd_out_nobody(monkeypatch):
-    monkeypatch.setattr(operators, "CALL_TIMEOUT", 60.0)    # so that only the cap can end them
+    monkeypatch.setattr(operators, "CALL_TIMEOUT", 60.0)  # so that only the cap can end them
 
     async def play() -> None:
         async with world(Backend()) as made:
@@ -126,8 +131,12 @@
         async with world(backend, **settings) as made:
             names = ("answered", "deferred", "errored", "sends")
             zero = {f'app_{name}{{group="{group}"}}': 0.0 for name in names for group in ("look", "book")}
-            assert await figures(made) == {**zero, "app_current": 0.0, "app_cluster_size": 1.0,
-                                           "app_cluster_unhealthy": 0.0}
+            assert await figures(made) == {
+                **zero,
+                "app_current": 0.0,
+                "app_cluster_size": 1.0,
+                "app_cluster_unhealthy": 0.0,
+            }
             statuses = []
             for _ in range(4):  # the part of the quota that is held here is two
                 reader, writer = await made.connect()
@@ -170,7 +179,7 @@
 def test_suspended_server_gets_nothing_through_lists_and_new_starts_until_it_is_resumed():
     async def play() -> None:
         one, two = Backend(delay=0.02), Backend(delay=0.02)
-        rules = {**sockets.SETTINGS["rules"], "cold_share": 1.0}    # else one just back gets little
+        rules = {**sockets.SETTINGS["rules"], "cold_share": 1.0}  # else one just back gets little
         async with world(one, two, rules=rules) as made:
             upstreams = made.ingress.backends.upstreams
 
@@ -192,7 +201,7 @@
             await until(lambda: "s-0" not in upstreams)
             made.list.tell(member("s-0", one.address, up_since_ms=2000))
             await until(lambda: "s-0" in upstreams)
-            assert (await call(made, "POST", "/v1/menu-servers/s-0/suspend"))[0] == 200     # once more
+            assert (await call(made, "POST", "/v1/menu-servers/s-0/suspend"))[0] == 200  # once more
             await ask(6)
             assert len(one.seen) == seen
             assert (await call(made, "POST", "/v1/menu-servers/s-0/resume"))[0] == 200
@@ -221,7 +230,7 @@
             used[1].write(request())
             line, fields, _ = await read_message(used[0])
             assert line.endswith("200 OK") and fields["connection"] == "close"
-            assert await idle[0].read() == b""      # closed once the front has had its time
+            assert await idle[0].read() == b""  # closed once the front has had its time
             backend.writers[0].write(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nyes")
             line, fields, body = await read_message(busy_reader)
             assert body == b"yes" and fields["connection"] == "close"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -18,38 +18,52 @@
 
 
 def config(**changes) -> dict:
-    with socket.socket() as free:   # a port that nobody listens on
+    with socket.socket() as free:  # a port that nobody listens on
         free.bind(("127.0.0.1", 0))
         listen = f"127.0.0.1:{free.getsockname()[1]}"
-    return {"name": "n0", "listen": listen, "discovery": "127.0.0.1:1", "counter": "127.0.0.1:1",
-            "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-            "known": {"revision": 1, "complete": True, "members": [member("s-0", "127.0.0.1:1")]},
-            "settings": SETTINGS, **changes}
+    return {
+        "name": "n0",
+        "listen": listen,
+        "discovery": "127.0.0.1:1",
+        "counter": "127.0.0.1:1",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
+        "known": {"revision": 1, "complete": True, "members": [member("s-0", "127.0.0.1:1")]},
+        "settings": SETTINGS,
+        **changes,
+    }
 
 
 def start(path: Path, value: object) -> subprocess.Popen:
     path.write_text(value if isinstance(value, str) else json.dumps(value))
-    return subprocess.Popen([sys.executable, "-m", "fennelpoint"], cwd=ROOT, stderr=subprocess.PIPE,
-                            env={**os.environ, "BALANCER_CONFIG": str(path)})
+    return subprocess.Popen(
+        [sys.executable, "-m", "fennelpoint"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        env={**os.environ, "BALANCER_CONFIG": str(path)},
+    )
 
 
 def without(settings: dict, name: str) -> dict:
     return {key: value for key, value in settings.items() if key != name}
 
 
-@pytest.mark.parametrize("changes, says", [
-    (dict(listen="here"), "listen"),
-    (dict(discovery=None), "discovery"),
-    (dict(counter=None), "counter"),
-    (dict(seed="xyz"), "seed"),
-    (dict(limits={"sockets": "many"}), "limits.sockets"),
-    (dict(mgmt="127.0.0.1"), "mgmt"),
-    (dict(known={"revision": 1}), "known.complete"),
-    (dict(settings=without(SETTINGS, "me")), "setting me is missing"),
-    (dict(settings={**SETTINGS, "tick_s": "often"}), "setting tick_s"),
-    (dict(settings={**SETTINGS, "grades": []}), "setting grades.count"),
-    (dict(settings={**SETTINGS, "contracts": [{"name": "x", "pays": True}]}), "contracts.0.pays"),
-])
+@pytest.mark.parametrize(
+    "changes, says",
+    [
+        (dict(listen="here"), "listen"),
+        (dict(discovery=None), "discovery"),
+        (dict(counter=None), "counter"),
+        (dict(seed="xyz"), "seed"),
+        (dict(limits={"sockets": "many"}), "limits.sockets"),
+        (dict(mgmt="127.0.0.1"), "mgmt"),
+        (dict(known={"revision": 1}), "known.complete"),
+        (dict(settings=without(SETTINGS, "me")), "setting me is missing"),
+        (dict(settings={**SETTINGS, "tick_s": "often"}), "setting tick_s"),
+        (dict(settings={**SETTINGS, "grades": []}), "setting grades.count"),
+        (dict(settings={**SETTINGS, "contracts": [{"name": "x", "pays": True}]}), "contracts.0.pays"),
+    ],
+)
 def test_bad_configuration_ends_with_one_line_that_names_the_field(tmp_path, changes, says):
     process = start(tmp_path / "config.json", config(**changes))
     _, errors = process.communicate(timeout=30)
@@ -87,9 +101,12 @@
     path = tmp_path / "config.json"
     path.write_text(json.dumps(value))
     process = subprocess.Popen(
-        [sys.executable, "-m", "fennelpoint"], cwd=ROOT, stderr=subprocess.PIPE,
+        [sys.executable, "-m", "fennelpoint"],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
         env={**os.environ, "BALANCER_CONFIG": str(path)},
-        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64)))
+        preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64)),
+    )
     host, port = value["listen"].split(":")
     crowd = []
     try:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -168,8 +168,8 @@
     world = wide()
     world.wait(1.0)
     sent = sum(kinds(world.ask(plan=CAPPED, units=1.0)).count(api.Send) for _ in range(20))
-    assert 4 <= sent <= 5   # five units a second of the ten
-    world.give(api.Part(0.5))   # what had filled until now may be used by the other process
+    assert 4 <= sent <= 5  # five units a second of the ten
+    world.give(api.Part(0.5))  # what had filled until now may be used by the other process
     sent = sum(kinds(world.ask(plan=CAPPED, customer=2)).count(api.Send) for _ in range(20))
     assert sent == 0
 
@@ -257,12 +257,12 @@
     """Looking every 20 ms at what only waits for its units cost an ingress a fifth of its CPU."""
     world = World(make_settings(has_counter=False))
     world.backends("a")
-    while sends := world.ask(left=4.0):     # until the slice of this ingress is used up
+    while sends := world.ask(left=4.0):  # until the slice of this ingress is used up
         if kinds(sends) != [api.Send]:
             break
         world.answer(sends[0].request, "a")
     before = world.control.timers.at[TOKEN_PUMP]
-    assert before - world.now > 0.1         # the bucket fills at 4 units a second, half of them here
+    assert before - world.now > 0.1  # the bucket fills at 4 units a second, half of them here
     assert kinds(world.wait(before - world.now + 0.01)) == [api.Send]
 
 
@@ -287,7 +287,7 @@
         world.answer(send.request, send.backend)
     world.wait(20.0)
     for customer in (1, 2):
-        world.control.quotas.customers[customer].cap = 1.0     # cut meanwhile
+        world.control.quotas.customers[customer].cap = 1.0  # cut meanwhile
     for customer in range(10, 14):
         world.ask(customer=customer)
     assert 3 not in world.control.quotas.customers
@@ -297,7 +297,7 @@
     world = wide()
     admitted(world, 4)
     began = world.now
-    assert world.ask(left=0.95) == []   # its units come after 0.5 s, in time for its aim
+    assert world.ask(left=0.95) == []  # its units come after 0.5 s, in time for its aim
     ended = []
     while world.control.line.held:
         ended += world.wait(0.01)
@@ -306,12 +306,12 @@
 
 def test_full_store_saves_nothing_while_its_customer_is_idle():
     world, totals = wide(), {}
-    for _ in range(2):      # known to the counter, and full
+    for _ in range(2):  # known to the counter, and full
         world.ask()
         world.wait(2.0)
         world.count_replies(totals=totals)
     world.wait(8.0)
     world.ask()
-    world.count_replies(totals=totals, others=5.0)      # a burst elsewhere, now
+    world.count_replies(totals=totals, others=5.0)  # a burst elsewhere, now
     customer, plan = world.control.quotas.customers[1], world.settings.plans[HARD]
     assert customer.store == pytest.approx(plan.burst - 6.0)
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -21,8 +21,15 @@
 
 
 def write(made, path, **changes) -> None:
-    value = {"name": "n0", "listen": "127.0.0.1:1", "discovery": made.list.address,
-             "counter": made.count.address, "seed": "7", "limits": {"sockets": 1024}, "settings": SETTINGS}
+    value = {
+        "name": "n0",
+        "listen": "127.0.0.1:1",
+        "discovery": made.list.address,
+        "counter": made.count.address,
+        "seed": "7",
+        "limits": {"sockets": 1024},
+        "settings": SETTINGS,
+    }
     path.write_text(json.dumps({**value, **changes}))
     made.ingress.path = str(path)
 
@@ -35,7 +42,7 @@
             write(made, tmp_path / "config", discovery=await silent.start())
             made.ingress.reload()
             await until(lambda: silent.opened)
-            made.list.tell(member("s-9", await new.start()))    # the old one's word still counts
+            made.list.tell(member("s-9", await new.start()))  # the old one's word still counts
             await until(lambda: "s-9" in upstreams)
             # Revision 1 again, which the old one's watch would take for no news.
             second = List([member("s-9", new.address)])
@@ -90,7 +97,7 @@
             await until(lambda: slow.opened and counter.line and counter.line.calls)
             write(made, tmp_path / "config", counter=await count.start())
             made.ingress.reload()
-            made.ingress.reload()   # it may come again
+            made.ingress.reload()  # it may come again
             await until(lambda: count.opened)
             counter.call(2, 1.0, 4.0, replies.append)
             await until(lambda: replies)
@@ -111,7 +118,7 @@
             counter, replies = made.ingress.counter, []
             counter.call(1, 1.0, 4.0, replies.append)
             await until(lambda: replies)
-            write(made, tmp_path / "config", counter="127.0.0.1:1")     # nobody listens there
+            write(made, tmp_path / "config", counter="127.0.0.1:1")  # nobody listens there
             made.ingress.reload()
             counter.call(1, 1.0, 4.0, replies.append)
             await until(lambda: len(replies) == 2)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -48,8 +48,9 @@
 
 def test_keyed_stays_in_its_cell_and_window():
     world = World(make_settings())
-    world.roster(api.BackendEntry("a", READY, cell=1), api.BackendEntry("b", READY, cell=2),
-                 api.BackendEntry("c", READY, cell=1))
+    world.roster(
+        api.BackendEntry("a", READY, cell=1), api.BackendEntry("b", READY, cell=2), api.BackendEntry("c", READY, cell=1)
+    )
     cells = {"a": 1, "b": 2, "c": 1}
     (send,) = world.ask(cls=KEYED, left=6.0)
     actions = world.answer(send.request, send.backend, api.Status.RESET) + world.wait(0.1)
@@ -151,7 +152,7 @@
         sent += sum(isinstance(a, api.Send) and int(a.backend[1:]) < cold for a in world.ask())
     # a fifth of their share of the work is what they can do now, twice that is the rule; chance on top
     fair = len(worlds) * cold / len(entries)
-    assert 0 < sent <= world.settings.cold_share * fair + 3 * fair ** 0.5
+    assert 0 < sent <= world.settings.cold_share * fair + 3 * fair**0.5
 
 
 def test_waiting_tries_do_not_draw_cold_backends_again_and_again():
@@ -256,8 +257,11 @@
             state[name] = rng.choice([READY, READY, DRAINING, GONE])
             check(world.roster(api.BackendEntry(name, state[name], cell=cells[name]), kind=CHANGES))
         elif pick < 0.95:
-            world.count_replies(rng.choice([api.Status.OK, api.Status.TIMEOUT, api.Status.FULL]),
-                                others=rng.choice([0.0, 3.0]), totals=totals)
+            world.count_replies(
+                rng.choice([api.Status.OK, api.Status.TIMEOUT, api.Status.FULL]),
+                others=rng.choice([0.0, 3.0]),
+                totals=totals,
+            )
         else:
             late = [r for r, (_, sent) in out.items() if asked[r][-1] <= world.now]
             for request in sorted(late):
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -11,43 +11,47 @@
 BIG = 32 * 1024 * 1024 + 1
 
 
-@pytest.mark.parametrize("data, status", [
-    (request(drop="X-Txn"), 400),
-    (request(X_Txn="a b"), 400),
-    (request(X_Lane="dig"), 400),
-    (request(drop="X-Lane"), 400),
-    (request(Api_Plan="gold"), 400),
-    (request(X_Remaining_Ms="soon"), 400),
-    (request(X_Remaining_Ms="-5"), 400),
-    (request(X_Remaining_Ms="1e3"), 400),
-    (request(Cookie="account=zz"), 400),
-    (request(Cookie="account=ffffffffffffffff"), 400),
-    (request(Cookie="account=00000000b4d65521; account=00000000b4d65522"), 400),
-    (request(Api_Terms="units=nan,spread=2,first=0"), 400),
-    (request(Api_Terms="units=4,spread=2,first=0"), 400),
-    (request(Api_Terms="units=1,spread=3,first=0"), 400),
-    (request(Api_Terms="units=1,spread=2,first=inf"), 400),
-    (request(Api_Terms="units=1"), 400),
-    (request(more="X-Lane: book\r\n"), 400),
-    (request(Content_Length="3", body=b"abc"), 400),
-    (request("book", X_Lane="look"), 400),
-    (request("book", b"abc", Content_Length="-3"), 400),
-    (request("book", b"abc", Content_Length="3, 3"), 400),
-    (request("book", b"abc", more="Content-Length: 4\r\n"), 400),
-    (request("book", b"0\r\n\r\n", more="Transfer-Encoding: chunked\r\n"), 400),
-    (request("book", b"3\r\nabc\r\n0\r\n\r\n", Transfer_Encoding="xchunked"), 400),
-    (request("book", b"zz\r\n", Transfer_Encoding="chunked"), 400),
-    (b"\x16\x03\x01 not http\r\n\r\n", 400),
-    (b"GET /api HTTP/1.1\r\nHost : x\r\n\r\n", 400),
-    (b"GET /api HTTP/1.1\r\nX: " + b"y" * 40_000, 431),
-    (request("book", b"abc", Content_Length=str(BIG)), 413),
-    (request(body=bytes(70_000), Content_Length="70000"), 400),
-    (request("book", bytes(70_000), drop="X-Txn"), 400),
-    (request("book", b"0\r\nX: " + b"y" * 900_000, Transfer_Encoding="chunked"), 413),
-    (request("book", b"3;" + b"y" * 900_000, Transfer_Encoding="chunked"), 413),
-    (request("book", b"0\r\n\r\n", Transfer_Encoding="chunked").replace(b"HTTP/1.1", b"HTTP/1.0"), 400),
-    (request(drop="Host"), 400),
-], ids=lambda value: str(value) if isinstance(value, int) else "request")
+@pytest.mark.parametrize(
+    "data, status",
+    [
+        (request(drop="X-Txn"), 400),
+        (request(X_Txn="a b"), 400),
+        (request(X_Lane="dig"), 400),
+        (request(drop="X-Lane"), 400),
+        (request(Api_Plan="gold"), 400),
+        (request(X_Remaining_Ms="soon"), 400),
+        (request(X_Remaining_Ms="-5"), 400),
+        (request(X_Remaining_Ms="1e3"), 400),
+        (request(Cookie="account=zz"), 400),
+        (request(Cookie="account=ffffffffffffffff"), 400),
+        (request(Cookie="account=00000000b4d65521; account=00000000b4d65522"), 400),
+        (request(Api_Terms="units=nan,spread=2,first=0"), 400),
+        (request(Api_Terms="units=4,spread=2,first=0"), 400),
+        (request(Api_Terms="units=1,spread=3,first=0"), 400),
+        (request(Api_Terms="units=1,spread=2,first=inf"), 400),
+        (request(Api_Terms="units=1"), 400),
+        (request(more="X-Lane: book\r\n"), 400),
+        (request(Content_Length="3", body=b"abc"), 400),
+        (request("book", X_Lane="look"), 400),
+        (request("book", b"abc", Content_Length="-3"), 400),
+        (request("book", b"abc", Content_Length="3, 3"), 400),
+        (request("book", b"abc", more="Content-Length: 4\r\n"), 400),
+        (request("book", b"0\r\n\r\n", more="Transfer-Encoding: chunked\r\n"), 400),
+        (request("book", b"3\r\nabc\r\n0\r\n\r\n", Transfer_Encoding="xchunked"), 400),
+        (request("book", b"zz\r\n", Transfer_Encoding="chunked"), 400),
+        (b"\x16\x03\x01 not http\r\n\r\n", 400),
+        (b"GET /api HTTP/1.1\r\nHost : x\r\n\r\n", 400),
+        (b"GET /api HTTP/1.1\r\nX: " + b"y" * 40_000, 431),
+        (request("book", b"abc", Content_Length=str(BIG)), 413),
+        (request(body=bytes(70_000), Content_Length="70000"), 400),
+        (request("book", bytes(70_000), drop="X-Txn"), 400),
+        (request("book", b"0\r\nX: " + b"y" * 900_000, Transfer_Encoding="chunked"), 413),
+        (request("book", b"3;" + b"y" * 900_000, Transfer_Encoding="chunked"), 413),
+        (request("book", b"0\r\n\r\n", Transfer_Encoding="chunked").replace(b"HTTP/1.1", b"HTTP/1.0"), 400),
+        (request(drop="Host"), 400),
+    ],
+    ids=lambda value: str(value) if isinstance(value, int) else "request",
+)
 def test_bad_request_is_told_so_and_reaches_no_backend(data, status):
     async def play() -> None:
         backend = Backend()
@@ -55,7 +59,7 @@
             reader, writer = await made.connect()
             # In pieces, too: the head that has no end must not be gathered for ever.
             for at in range(0, len(data), 9000):
-                writer.write(data[at:at + 9000])
+                writer.write(data[at : at + 9000])
                 await asyncio.sleep(0)
             line, fields, _ = await read_message(reader)
             assert int(line.split()[1]) == status and fields["connection"] == "close"
@@ -70,8 +74,9 @@
     async def play() -> None:
         backend = Backend()
         async with world(backend) as made:
-            data = request("book", b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Lane: look\r\n\r\n", left=5000,
-                           Transfer_Encoding="chunked")
+            data = request(
+                "book", b"3\r\nabc\r\n2\r\nde\r\n0\r\nX-Lane: look\r\n\r\n", left=5000, Transfer_Encoding="chunked"
+            )
             assert (await ask(made, data))[0].endswith("200 OK")
             line, fields, body = backend.seen[0]
             assert body == b"abcde" and "transfer-encoding" not in fields
@@ -149,6 +154,7 @@
 def test_request_is_answered_and_the_fault_logged_where_the_module_fails(caplog):
     async def play() -> None:
         async with world(Backend()) as made:
+
             def broken(event, now):
                 raise KeyError("lost")
 
@@ -191,7 +197,7 @@
             made.ingress.stop()
             assert not made.ingress.server.ready
             backend.answer = lambda *_: ok(b"yes")
-            line, fields, _ = await ask(made, request())    # the front has not noticed yet
+            line, fields, _ = await ask(made, request())  # the front has not noticed yet
             assert line.split()[1] == "200" and fields["connection"] == "close"
             backend.writers[0].write(ok(b"at last"))
             line, fields, body = await read_message(reader)
@@ -263,12 +269,16 @@
     run(play())
 
 
-@pytest.mark.parametrize("sent, gets", [
-    (b"", b""),
-    (b"GET /api HTTP/1.1\r\nX-Txn: 1\r\n", b"HTTP/1.1 408"),
-    (request("book", b"abc", Content_Length="2000"), b"HTTP/1.1 408"),
-    (request("book", b"5\r\nab", Transfer_Encoding="chunked"), b"HTTP/1.1 408"),
-], ids=["silence", "half a head", "half a body", "half a chunk"])
+@pytest.mark.parametrize(
+    "sent, gets",
+    [
+        (b"", b""),
+        (b"GET /api HTTP/1.1\r\nX-Txn: 1\r\n", b"HTTP/1.1 408"),
+        (request("book", b"abc", Content_Length="2000"), b"HTTP/1.1 408"),
+        (request("book", b"5\r\nab", Transfer_Encoding="chunked"), b"HTTP/1.1 408"),
+    ],
+    ids=["silence", "half a head", "half a body", "half a chunk"],
+)
 def test_request_that_does_not_come_whole_is_ended_within_three_seconds(sent, gets):
     async def play() -> None:
         backend = Backend()
@@ -291,7 +301,7 @@
             data = request("book", b"abc" * 100, left=20_000)
             reader, writer = await made.connect()
             for at in range(0, len(data), len(data) // 8):
-                writer.write(data[at:at + len(data) // 8])
+                writer.write(data[at : at + len(data) // 8])
                 await asyncio.sleep(0.1)
             assert (await read_message(reader))[0].endswith("200 OK")
             writer.close()
@@ -310,7 +320,7 @@
             crowd = [await made.connect() for _ in range(15)]
             await until(lambda: len(server.coming) == 15)
             for connection in server.coming:
-                connection.since -= 1.0     # they have had their moment
+                connection.since -= 1.0  # they have had their moment
             crowd += [await made.connect() for _ in range(15)]
             await until(lambda: len(server.connections) <= 20)
             for _ in range(3):
@@ -346,6 +356,7 @@
 
 def test_closed_connections_are_freed_without_a_collection():
     """Parser and protocol hold each other, and collections are rare: a long day gathers what was closed."""
+
     async def play() -> None:
         backend = Backend()
         async with world(backend) as made:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -11,7 +11,7 @@
 
 # Each request is asked in turn; what the client gets is told by the status.
 SERVED, REFUSED, FAILED = "200", "503", "502"
-ACCOUNT = b"%d" % 0xb4d65521    # the usual customer, as the counter is told its name
+ACCOUNT = b"%d" % 0xB4D65521  # the usual customer, as the counter is told its name
 
 
 def status(answer: tuple) -> str:
@@ -20,6 +20,7 @@
 
 def test_a_connection_is_kept_and_used_again():
     """The parser forgets whether to keep a connection once it returns; each attempt opened a new one."""
+
     async def play() -> None:
         backend = Backend()
         async with world(backend) as made:
@@ -46,16 +47,20 @@
     run(play())
 
 
-@pytest.mark.parametrize("answer, gets", [
-    (ok(b"no", "500 Internal Server Error"), FAILED),
-    (ok(b"no", "503 Service Unavailable"), FAILED),     # without the field that proves it never ran
-    (b"", FAILED),                                      # closed after the whole request
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes", None),  # cut short, then silence: the deadline
-    (b"noise without sense\r\n\r\n", FAILED),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nyes", FAILED),
-    (b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + bytes(90000), FAILED),
-    (b"HTTP/1.1 200 OK\r\nX: " + b"y" * 200_000, FAILED),
-], ids=lambda value: value if isinstance(value, str) else "answer")
+@pytest.mark.parametrize(
+    "answer, gets",
+    [
+        (ok(b"no", "500 Internal Server Error"), FAILED),
+        (ok(b"no", "503 Service Unavailable"), FAILED),  # without the field that proves it never ran
+        (b"", FAILED),  # closed after the whole request
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes", None),  # cut short, then silence: the deadline
+        (b"noise without sense\r\n\r\n", FAILED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nyes", FAILED),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + bytes(90000), FAILED),
+        (b"HTTP/1.1 200 OK\r\nX: " + b"y" * 200_000, FAILED),
+    ],
+    ids=lambda value: value if isinstance(value, str) else "answer",
+)
 def test_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(answer, gets):
     async def play() -> None:
         backends = [Backend(lambda *_: answer), Backend(lambda *_: answer)]
@@ -92,6 +97,7 @@
 
 def test_late_answer_is_dropped_with_its_connection():
     """Were the connection kept, the next request would get the answer of the one before."""
+
     async def play() -> None:
         backend = Backend(lambda *_: None)
         async with world(backend) as made:
@@ -148,8 +154,7 @@
                 await ask(made, request())
             assert len(one.seen) == 0 and len(two.seen) == 6
             before = two.opened
-            made.list.tell(member("s-0", one.address, "removed"),
-                           member("s-1", two.address, up_since_ms=1000))
+            made.list.tell(member("s-0", one.address, "removed"), member("s-1", two.address, up_since_ms=1000))
             await until(lambda: upstreams["s-1"].started == 1.0)
             await ask(made, request())
             assert two.opened == before + 1 and "s-0" not in upstreams
@@ -163,7 +168,7 @@
         async with world(backend) as made:
             pool, ended = made.ingress.backends, []
             pool.begin(Exchange(lambda: b"GET / HTTP/1.1\r\n\r\n", lambda *end: ended.append(end)), "s-0")
-            pool.upstreams["s-0"].state = BackendState.DRAINING     # as discovery tells meanwhile
+            pool.upstreams["s-0"].state = BackendState.DRAINING  # as discovery tells meanwhile
             await until(lambda: ended)
             assert ended == [(Status.CONNECT_FAILED, None)]
             await until(lambda: backend.opened)
@@ -185,12 +190,16 @@
     run(play())
 
 
-@pytest.mark.parametrize("answer", [
-    b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyes",
-    b"HTTP/1.1 200 OK\r\n\r\nyes",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes",
-    b"HTTP/1.1 200 OK\r\nX: ",
-], ids=["gigabytes", "no end told", "length over what comes", "half a head"])
+@pytest.mark.parametrize(
+    "answer",
+    [
+        b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nyes",
+        b"HTTP/1.1 200 OK\r\n\r\nyes",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes",
+        b"HTTP/1.1 200 OK\r\nX: ",
+    ],
+    ids=["gigabytes", "no end told", "length over what comes", "half a head"],
+)
 def test_answer_that_will_not_come_whole_does_not_hold_its_request(answer):
     async def play() -> None:
         backend = Backend(lambda *_: answer)
@@ -270,6 +279,7 @@
 
 def test_counter_is_told_what_was_taken_and_not_what_was_refused():
     """Refused tries that were told as taken emptied the store of a customer at all its ingresses."""
+
     async def play() -> None:
         plan = {"name": "basic", "pays": 1.0, "quota_rate": 10.0, "store_size": 20.0}
         async with world(Backend(), contracts=[plan]) as made:
@@ -283,13 +293,14 @@
             await asyncio.gather(*(ask_on() for _ in range(30)))
             served, total = gets.count(SERVED), made.count.totals[ACCOUNT]
             assert 0 < total <= served
-            assert sum(made.count.totals.values()) > served     # what was refused has a name of its own
+            assert sum(made.count.totals.values()) > served  # what was refused has a name of its own
 
     run(play())
 
 
 def test_few_that_are_turned_away_do_not_stop_the_others():
     """Each cut the window of attempts at once, and for a whole aim: thirty in a row brought it under one."""
+
     async def play() -> None:
         turned_away = iter(range(30))
 
