--- a/crowseam/model_checks/orders/check.py
+++ b/crowseam/model_checks/orders/check.py
@@ -877,8 +877,8 @@
     _mutant("no answer to a read while a vote is held", Node, "_on_quorum_read_reply", _never_busy, 27),
     _mutant("majorities", _Round, "__init__", _one_is_enough, 0),
     _mutant("judged anew at each slot", Node, "_judge", _judged_once, 0),
-    _mutant("the tag tells whose entry won", Node, "_learn", _whoever_won, 0),
-    _mutant("a vote is no choice", Node, "_on_accept", _vote_is_choice, 3),
+    _mutant("the tag tells whose entry won", Node, "_learn", _whoever_won, 4),
+    _mutant("a vote is no choice", Node, "_on_accept", _vote_is_choice, 6),
     _mutant(
         "unclear after a snapshot",
         Node,
@@ -888,7 +888,7 @@
     ),
     _mutant("unclear is no refusal", Agreement, "_answer", _told(ConfigurationError(412, "", "late")), 2),
     _mutant("unclear is no acknowledgement", Agreement, "_answer", _told(Taken(0)), 0),
-    _mutant("each ticket has a number of its own", PendingCalls, "number", _few_numbers, 0),
+    _mutant("each ticket has a number of its own", PendingCalls, "number", _few_numbers, 1),
     _mutant(
         "a ticket is answered once",
         PendingCalls,
