--- a/crowseam/membership/sessions.py
+++ b/crowseam/membership/sessions.py
@@ -207,7 +207,8 @@
     def count(self, now: float) -> int:
         """Members, and gateways that were members a moment ago: a gateway that changes controllers counts on."""
         lately = {gateway for gateway, at in self._last.items() if now - at <= LINGER}
-        return len(lately.union(self._newest(now)))
+        standing = (peer.gateways for peer in self._peers.values() if self._stands(peer, now))
+        return len(lately.union(self._own, *standing))
 
     # -- inside
 
--- a/crowseam/model_checks/quotas/check.py
+++ b/crowseam/model_checks/quotas/check.py
@@ -20,6 +20,7 @@
 
 from collections import deque
 from collections.abc import Callable, Iterable
+from functools import lru_cache
 from random import Random
 from typing import Any
 
@@ -213,8 +214,9 @@
 
     def on_open(self, gateway: str, life: int, hop: int) -> None:
         self.sessions[gateway] = hop
-        self.session_table.opened(gateway, str(life), self.clock(), hop)
-        self._pulse(gateway)
+        now = self.clock()
+        self.session_table.opened(gateway, str(life), now, hop)
+        self._pulse(gateway, self.session_table.count(now), self._touch(now))
 
     def on_report(self, gateway: str, asks: dict[str, float], held: Any) -> None:
         now = self.clock()
@@ -280,8 +282,9 @@
                         told = self.session_table.own(now, self.told.get(other, 0))
                         self.told[other] = self.session_table.counter
                     world.between(self, other, Grantor.on_ping, self.name, self.session_table.life, told, self.ver)
+            members, touch = self.session_table.count(now), self._touch(now)
             for gateway in self.sessions:
-                self._pulse(gateway)
+                self._pulse(gateway, members, touch)
             if tell:
                 self.tell_at = now + TELL
                 for gateway in self.session_table.tick(now):
@@ -295,9 +298,7 @@
         disk = self.world.disks[self.name]
         disk["gateways"], disk["whole"] = self.known.lately(now), self.known.known(now) is not None
 
-    def _pulse(self, gateway: str) -> None:
-        now = self.clock()
-        members, touch = self.session_table.count(now), self._touch(now)
+    def _pulse(self, gateway: str, members: int, touch: bool) -> None:
         self.world.to_gateway(self, gateway, Site.pulse, self.name, members, self.ver, touch)
 
     def _touch(self, now: float) -> bool:
@@ -453,7 +454,7 @@
             self.most.tell(self.members, now)
         gateways = self.most.get(now, UNKNOWN)
         for name, terms in self.world.versions[self.ver].items():
-            floor, extra = beside_slices(terms.rate, terms.burst, WINDOW, EXCESS, SLACK, gateways)
+            floor, extra = _beside_slices(terms.rate, terms.burst, gateways)
             self.admission.slice_of(
                 name, self.holdings.share(name, now), now, floor, extra=extra, until=now + self.holdings.left(now)
             )
@@ -913,6 +914,12 @@
     )
 
 
+@lru_cache
+def _beside_slices(rate: float, burst: float, gateways: int) -> tuple[float, float]:
+    """What one of so many gateways may pass of a tenant by itself, under the rule in force."""
+    return beside_slices(rate, burst, WINDOW, EXCESS, SLACK, gateways)
+
+
 def _terms(rng: Random) -> TenantTerms:
     rate = rng.choice((0.5, 2.0, 8.0, 20.0, 60.0, 200.0))
     return TenantTerms(rate, rng.choice((1.0, max(1.0, rate), 2.0 * rate + 1.0)))
--- a/crowseam/quotas/admission.py
+++ b/crowseam/quotas/admission.py
@@ -94,13 +94,20 @@
         return max(1.0, deep) if self.roomy else deep
 
     def fill(self, now: float) -> None:
-        span, self.filled = max(0.0, now - self.filled), max(now, self.filled)
+        # Called for each tenant at each look at the leases: no calls where a comparison does.
+        span = now - self.filled
+        if span > 0.0:
+            self.filled = now
+        else:
+            span = 0.0
         if now >= self.until:
             # Asks can come before the next look at the leases, above all after standing still.
             self.share, self.until = None, inf
-        if self.limited:
-            self.level = min(self.depth(), self.level + self.pace() * span)
-        self.fill_cap(max(1.0, self.cap or 0.0), span)
+        if self.terms.rate > 0.0:
+            level, depth = self.level + self.pace() * span, self.depth()
+            self.level = level if level < depth else depth
+        if self.cap is not None:
+            self.fill_cap(max(1.0, self.cap), span)
 
     def ask(self, now: float) -> None:
         self.asked, self.asked_at, self.seen = self.asked_now(now) + 1.0, now, now
