--- a/crowseam/cli/detection.py
+++ b/crowseam/cli/detection.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from crowseam.cli.errors import BAD_INPUT, DONE
-from crowseam.simulator.judge import quantile
+from crowseam.simulator.metrics import quantile
 from crowseam.simulator.scenario.day import build
 from crowseam.simulator.simulation import Simulation
 
--- a/crowseam/cli/simulation_commands.py
+++ b/crowseam/cli/simulation_commands.py
@@ -81,7 +81,7 @@
     lines = [table([{"figure": name, "value": value} for name, value in head.items()])]
     kinds = [{"name": name} | msgspec.to_builtins(kind) for name, kind in metrics.kinds.items()]
     lines.append(table(kinds))
-    lines += [f"BROKEN {line}\n" for line in metrics.told]
+    lines += [f"BROKEN {line}\n" for line in metrics.violations]
     lines += [f"FAILURE {line.strip().splitlines()[-1]}\n" for line in metrics.failures]
     return "\n".join(lines[:2]) + "".join(lines[2:])
 
@@ -135,7 +135,7 @@
     broken = [
         f"{job.variant}, seed {job.seed}: {line}"
         for job, metrics in zip(jobs, found, strict=True)
-        for line in [*metrics["told"], *metrics["failures"]]
+        for line in [*metrics["violations"], *metrics["failures"]]
     ]
     if args["--report"]:
         from crowseam.cli import report
--- a/crowseam/model_checks/callers/check.py
+++ b/crowseam/model_checks/callers/check.py
@@ -51,10 +51,10 @@
     request,
 )
 from crowseam.model_checks.schedules import Report, Violation, play
-from crowseam.simulator.simulation import MemoryController
+from crowseam.simulator.memory_controller import MemoryController
 from crowseam.simulator.world.disk import DiskImage
-from crowseam.simulator.world.network import Trouble
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.patches import simulated_environment as worn
 from fennelpoint.net.flow import STALLED
 
 STEPS = 40  # requests, or calls, of a random schedule
--- a/crowseam/model_checks/cutoff/check.py
+++ b/crowseam/model_checks/cutoff/check.py
@@ -49,8 +49,8 @@
 from crowseam.simulator.actors import http_client
 from crowseam.simulator.scenario import day as days
 from crowseam.simulator.simulation import Simulation
-from crowseam.simulator.world.network import Trouble
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.patches import simulated_environment as worn
 from crowseam.transport import messages as m
 
 STEPS = 20  # seconds that the controllers are hit for, at most
--- a/crowseam/model_checks/orders/check.py
+++ b/crowseam/model_checks/orders/check.py
@@ -31,11 +31,12 @@
 from crowseam.model_checks.schedules import Mutant, Report, Violation, play
 from crowseam.simulator.actors import http_client
 from crowseam.simulator.actors.operator import FINAL
+from crowseam.simulator.machine import Machine
 from crowseam.simulator.scenario.day import Deployment, Route, Service, Zone
-from crowseam.simulator.simulation import Machine
+from crowseam.simulator.world.link_faults import Trouble
 from crowseam.simulator.world.loop import World
-from crowseam.simulator.world.network import Network, Trouble
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.network import Network
+from crowseam.simulator.world.patches import simulated_environment as worn
 
 STEPS = 24  # acts of a schedule
 SILENCE = 1.0  # s without an answer after which an operator calls another controller
--- a/crowseam/simulator/actors/clients.py
+++ b/crowseam/simulator/actors/clients.py
@@ -3,14 +3,12 @@
 from __future__ import annotations
 
 import zlib
-from typing import TYPE_CHECKING
 
 from crowseam.simulator.actors import http_client
+from crowseam.simulator.actors.requests import ClientRequest
+from crowseam.simulator.context import GatewayMachine, SimulationContext
 from crowseam.simulator.scenario.day import Route, Tenant
 
-if TYPE_CHECKING:
-    from crowseam.simulator.simulation import Machine, Simulation
-
 CONNECT = 1.0  # s that a connection is given to come up
 ASK_READY = 1.0  # s between two looks at a gateway
 MISSES = 2  # looks without 200 after which it gets no new connections
@@ -24,18 +22,18 @@
 class Platform:
     """Which gateways get new connections."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: SimulationContext) -> None:
         self.simulation, self.world = simulation, simulation.world
         self.misses: dict[str, int] = {}
         self.ready: dict[str, bool] = {machine.name: False for machine in simulation.machines}
-        self.by_zone: dict[str, list[Machine]] = {}
+        self.by_zone: dict[str, list[GatewayMachine]] = {}
         for machine in simulation.machines:
             self.by_zone.setdefault(machine.zone, []).append(machine)
         self.process = simulation.network.process("platform", "10.250.0.1")
         for number, machine in enumerate(simulation.machines):
             self.process.loop.call_later(ASK_READY * number / len(simulation.machines), self._look, machine)
 
-    def _look(self, machine: Machine) -> None:
+    def _look(self, machine: GatewayMachine) -> None:
         def done(answer: http_client.Answer | None) -> None:
             if answer is not None and answer.status == 200:
                 self.misses[machine.name], self.ready[machine.name] = 0, True
@@ -50,59 +48,31 @@
             self.process, machine.readyz, http_client.request("GET", machine.readyz, "/-/readyz", []), ASK_READY, done
         )
 
-    def pick(self, zone: str, client: int, tries: int) -> Machine:
+    def pick(self, zone: str, client: int, tries: int) -> GatewayMachine:
         """The gateway for a new connection: by a hash of the client, another one for each further try."""
         machines = [m for m in self.by_zone[zone] if self.ready[m.name]]
         if not machines:
-            near = [m for m in self.simulation.machines if self.ready[m.name]]
-            machines = near or self.by_zone[zone]
+            elsewhere = [m for m in self.simulation.machines if self.ready[m.name]]
+            machines = elsewhere or self.by_zone[zone]
         elif 2 * len(machines) < len(self.by_zone[zone]):
             machines = self.by_zone[zone]
         return machines[(zlib.crc32(b"%d" % client) + tries) % len(machines)]
 
 
-class Ask:
-    """What a client wants, over all its tries."""
-
-    __slots__ = (
-        "route",
-        "tenant",
-        "zone",
-        "client",
-        "born",
-        "ends",
-        "tries",
-        "owed",
-        "earned",
-        "attempts",
-        "answered_at",
-        "refused",
-        "key",
-    )
-
-    def __init__(self, route: Route, tenant: Tenant | None, zone: str, client: int, born: float, key: str) -> None:
-        self.route, self.tenant, self.zone, self.client = route, tenant, zone, client
-        self.born, self.ends, self.tries = born, born + route.deadline, 0
-        self.owed, self.earned = True, 0.0
-        self.attempts: list[str] = []
-        self.answered_at: float | None = None
-        self.refused = False
-        self.key = key
-
-
-class Zone:
-    """The clients of one zone."""
+class ZoneClients:
+    """The clients of one zone: `number` of the zone, and its `share` of all requests."""
 
-    def __init__(self, simulation: Simulation, name: str, share: float) -> None:
+    def __init__(self, simulation: SimulationContext, platform: Platform, name: str, number: int, share: float) -> None:
+        self.platform = platform
         self.simulation, self.world, self.name, self.share = simulation, simulation.world, name, share
         self.rng = self.world.random(f"clients/{name}")
         # Of its own, so that what becomes of requests changes nothing of what is asked.
         self.arrivals = {
             route.name: self.world.random(f"arrivals/{name}/{route.name}") for route in simulation.deployment.routes
         }
-        self.process = simulation.network.process(f"clients-{name}", f"10.240.{len(simulation.client_zones)}.1")
+        self.process = simulation.network.process(f"clients-{name}", f"10.240.{number}.1")
         self.loop = self.process.loop
-        self.kept: list[tuple[http_client.Caller, Machine, float]] = []
+        self.kept: list[tuple[http_client.Caller, GatewayMachine, float]] = []
 
     def begin(self) -> None:
         """The load begins: arrivals are Poisson, by route."""
@@ -134,7 +104,7 @@
         if tenant is not None and not route.public:
             key, old = simulation.keys[tenant.name], simulation.old_keys.get(tenant.name, "")
         rng = self.arrivals[route.name]
-        ask = Ask(route, tenant, self.name, rng.getrandbits(24), self.world.now, key)
+        ask = ClientRequest(route, tenant, self.name, rng.getrandbits(24), self.world.now, key)
         if old and rng.random() < OLD_KEY:
             ask.key, ask.owed = old, False
         else:
@@ -143,7 +113,7 @@
 
     # Tries
 
-    def _try(self, ask: Ask) -> None:
+    def _try(self, ask: ClientRequest) -> None:
         now = self.world.now
         if now >= ask.ends - 0.005:
             return
@@ -160,10 +130,10 @@
                     ending.machine, ending.caller = machine, caller
                     return ending.send()
                 caller.leave()
-        ending.machine = self.simulation.platform.pick(self.name, ask.client, ask.tries - 1)
+        ending.machine = self.platform.pick(self.name, ask.client, ask.tries - 1)
         ending.open()
 
-    def failed(self, ask: Ask, answer: http_client.Answer | None, read: bool) -> None:
+    def failed(self, ask: ClientRequest, answer: http_client.Answer | None, read: bool) -> None:
         """A try has brought no success; `read`: the ingress may have read the request."""
         now, route = self.world.now, ask.route
         status = answer.status if answer is not None else 0
@@ -187,9 +157,9 @@
 
     __slots__ = ("zone", "ask", "attempt", "machine", "caller", "timer", "sent", "made", "over")
 
-    def __init__(self, zone: Zone, ask: Ask, attempt: str) -> None:
+    def __init__(self, zone: ZoneClients, ask: ClientRequest, attempt: str) -> None:
         self.zone, self.ask, self.attempt = zone, ask, attempt
-        self.machine: Machine | None = None
+        self.machine: GatewayMachine | None = None
         self.caller: http_client.Caller | None = None
         self.timer = self.made = None
         self.sent = self.over = False
--- a/crowseam/simulator/actors/operator.py
+++ b/crowseam/simulator/actors/operator.py
@@ -3,15 +3,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 
 from crowseam.simulator.actors import http_client
-from crowseam.simulator.judge import Version
-
-if TYPE_CHECKING:
-    from crowseam.simulator.simulation import Simulation
+from crowseam.simulator.actors.configurations import Items, SentConfiguration, meaning
+from crowseam.simulator.context import SimulationContext
 
 SILENCE = 1.0  # s without an answer after which another controller is called
 PER_BYTE = 1 / 500_000  # s more for each byte of a body
@@ -22,11 +20,11 @@
 class Operator:
     """Keeps the items of the configuration and changes them one version after the other."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: SimulationContext) -> None:
         self.simulation, self.world = simulation, simulation.world
         self.rng = self.world.random("operator")
         self.process = simulation.network.process("operator", "10.251.0.1")
-        self.items: dict[tuple[str, str], dict[str, Any]] = {}
+        self.items: Items = {}
         self.ver = 0  # the newest that was acknowledged
         self.last = 0  # the newest number that was used
         self.queue: list[Callable[[], None]] = []
@@ -83,9 +81,7 @@
 
     # Changes
 
-    def change(
-        self, upsert: dict[tuple[str, str], dict[str, Any]], remove: tuple[tuple[str, str], ...] = (), rivals: int = 1
-    ) -> None:
+    def change(self, upsert: Items, remove: tuple[tuple[str, str], ...] = (), rivals: int = 1) -> None:
         """Change some items; `rivals` operators send as many changes on the same version at once.
 
         A rival beyond the second uses the number of the first, for something else.
@@ -133,10 +129,10 @@
                     gone.setdefault(kind, []).append(name)
                 told["remove"] = gone
             body = msgspec.json.encode(told)
-            version = Version(ver, parent, *_meaning(after), body, self.world.now)
+            version = SentConfiguration(ver, parent, *meaning(after), body, self.world.now)
             self.simulation.judge.versions.append(version)
 
-            def done(status: int, version: Version = version) -> None:
+            def done(status: int, version: SentConfiguration = version) -> None:
                 nonlocal left
                 left -= 1
                 if status == 200:
@@ -183,22 +179,3 @@
             self.process.loop.call_later(0.3, self.read_back)
 
         http_client.fetch(self.process, at, http_client.request("GET", at, "/-/config", []), SILENCE, answered)
-
-    def differs(self, version: Version, body: bytes) -> bool:
-        """Whether the configuration in `body` says other than what was sent under its number."""
-        told = msgspec.json.decode(body)
-        items = {(one["type"], one["meta"].get("name", "")): one for one in told["objs"]}
-        return _meaning(items) != (version.routes, version.keys, version.rates)
-
-
-def _meaning(items: dict[tuple[str, str], dict[str, Any]]) -> tuple[dict, dict, dict]:
-    routes, keys, rates = {}, {}, {}
-    for (kind, name), item in items.items():
-        spec = item["spec"]
-        if kind == "routes":
-            split = spec.get("split")
-            routes[name] = frozenset(s["svc"] for s in split or [spec | {"wt": 1}] if s["wt"] > 0)
-        elif kind == "tenants":
-            keys.update(dict.fromkeys(spec["apikeys"], name))
-            rates[name] = (spec.get("rate_per_s") or 0.0, spec.get("burst") or 0.0)
-    return routes, keys, rates
--- a/crowseam/simulator/actors/servers.py
+++ b/crowseam/simulator/actors/servers.py
@@ -4,20 +4,17 @@
 
 import asyncio
 from collections import deque
-from hashlib import blake2s
 from math import exp
-from typing import TYPE_CHECKING
 
 import httptools
 import msgspec
 
 from crowseam.simulator.actors import http_client
+from crowseam.simulator.actors.requests import ServerRequest, seal
+from crowseam.simulator.context import SimulationContext
 from crowseam.simulator.scenario.day import Service
 from crowseam.simulator.world.loop import Process
 
-if TYPE_CHECKING:
-    from crowseam.simulator.simulation import Simulation
-
 BEAT_TIMEOUT = 1.0  # s for the answer to a heartbeat
 LEAVE_MOST = 8.0  # s after which a server that is leaving ends unacknowledged
 LAST_WORK = 1.0  # s that one goes on serving after its drain
@@ -26,31 +23,6 @@
 STRAY_CLOSE = 0.002  # chance that an answer is the last of its connection
 
 
-def seal(server: str, attempt: str, body: bytes) -> str:
-    """What a server stamps its answer with."""
-    return f"{server}.{attempt}.{blake2s(body, digest_size=8).hexdigest()}"
-
-
-class Job:
-    """A request that a server has."""
-
-    __slots__ = ("connection", "attempt", "path", "method", "fields", "body", "ends", "running", "dropped", "fails")
-
-    def __init__(
-        self,
-        connection: Connection,
-        attempt: str,
-        path: str,
-        method: str,
-        fields: dict[bytes, bytes],
-        body: bytes,
-        ends: float,
-    ) -> None:
-        self.connection, self.attempt, self.path, self.method = connection, attempt, path, method
-        self.fields, self.body, self.ends = fields, body, ends
-        self.running = self.dropped = self.fails = False
-
-
 class Connection(asyncio.Protocol):
     """A connection that a gateway has opened to a server."""
 
@@ -58,7 +30,7 @@
         self.server = server
         self.transport = None
         self.parser = httptools.HttpRequestParser(self)
-        self.job: Job | None = None
+        self.job: ServerRequest | None = None
         self.mute = False
         self.used_at = 0.0
         self._fresh()
@@ -138,7 +110,7 @@
 
     def __init__(
         self,
-        simulation: Simulation,
+        simulation: SimulationContext,
         service: Service,
         number: int,
         zone: str,
@@ -157,8 +129,8 @@
         self.born = self.world.now
         self.cold_until = self.born + (0.0 if warm else service.cold)
         self.connections: dict[Connection, None] = {}
-        self.running: dict[Job, None] = {}
-        self.queue: deque[Job] = deque()
+        self.running: dict[ServerRequest, None] = {}
+        self.queue: deque[ServerRequest] = deque()
         self.up = True
         self.phase = "up"
         self.seq = 0
@@ -181,7 +153,7 @@
         if not attempt:
             return connection.answer(400, [("X-Not-Run", "1")], b"")
         left = int(fields.get(b"x-time-left", b"30000")) / 1000.0
-        job = Job(connection, attempt, path, method, fields, body, self.world.now + left)
+        job = ServerRequest(connection, attempt, path, method, fields, body, self.world.now + left)
         self.simulation.judge.arrived(self, job)
         connection.job = job
         if len(self.running) < self.service.slots:
@@ -191,7 +163,7 @@
         else:
             self._full(job)
 
-    def _full(self, job: Job) -> None:
+    def _full(self, job: ServerRequest) -> None:
         """What a server does with a request that it has no room for."""
         connection = job.connection
         self.simulation.judge.turned_away += 1
@@ -206,7 +178,7 @@
         else:
             self._refuse(job)
 
-    def _refuse(self, job: Job) -> None:
+    def _refuse(self, job: ServerRequest) -> None:
         connection, job.connection.job = job.connection, None
         connection.answer(503, [("X-Not-Run", "1"), ("X-Attempt-Id", job.attempt), *self._load()], b"")
 
@@ -215,7 +187,7 @@
             return []
         return [("X-Server-Load", f"{len(self.running)},{len(self.queue)},{self.service.slots}")]
 
-    def _run(self, job: Job) -> None:
+    def _run(self, job: ServerRequest) -> None:
         now = self.world.now
         self.running[job] = None
         job.running = True
@@ -230,7 +202,7 @@
             work = FAILS_WITHIN
         self.loop.call_later(min(work, max(0.0, job.ends - now)), self._ran, job, now + work <= job.ends)
 
-    def _ran(self, job: Job, whole: bool) -> None:
+    def _ran(self, job: ServerRequest, whole: bool) -> None:
         if job not in self.running:
             return
         connection = job.connection
@@ -255,7 +227,7 @@
                 connection.answer(200, fields, body, self.phase == "draining" or self.rng.random() < STRAY_CLOSE)
         self._free(job)
 
-    def _free(self, job: Job) -> None:
+    def _free(self, job: ServerRequest) -> None:
         self.running.pop(job, None)
         while self.queue and len(self.running) < self.service.slots:
             following = self.queue.popleft()
@@ -264,7 +236,7 @@
             else:
                 self._run(following)
 
-    def drop(self, job: Job) -> None:
+    def drop(self, job: ServerRequest) -> None:
         """Its connection has closed."""
         job.dropped = True
         if job.running:
--- a/crowseam/simulator/judge.py
+++ b/crowseam/simulator/judge.py
@@ -5,28 +5,50 @@
 from bisect import bisect_left, bisect_right
 from collections import Counter, deque
 from math import inf
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 import msgspec
 
 from crowseam.simulator.actors import http_client
-from crowseam.simulator.actors.servers import Job, Server, seal
+from crowseam.simulator.actors.configurations import SentConfiguration
+from crowseam.simulator.actors.requests import ClientRequest, ServerRequest, seal
+from crowseam.simulator.metrics import WORTH_SPAN, KindFigures, Metrics, quantile
+from crowseam.simulator.scenario.day import Day, Deployment, Service
+from crowseam.simulator.world.loop import World
 
-if TYPE_CHECKING:
-    from crowseam.simulator.actors.clients import Ask
-    from crowseam.simulator.simulation import Simulation
+VIOLATIONS_KEPT = 40  # violations that are kept with their text
+PROMISES = frozenset((429, 503, 408, 421))  # statuses of requests that no server has run
 
-TOLD = 40  # breaks of rules that are kept with their text
-PROMISES = frozenset((429, 503, 408, 421))
-SPAN = 5.0  # s of the windows of which the worst is told
 
+class JudgedServer(Protocol):
+    """What the judge asks of a server."""
 
-class Sent:
+    id: str
+    service: Service
+
+
+class JudgedSimulation(Protocol):
+    """What the judge asks of the simulation."""
+
+    day: Day
+    deployment: Deployment
+    world: World
+    begins: float
+    machines: list
+
+    def machine_at(self, address: str) -> str | None:
+        """The name of the machine with this address (with or without a port)."""
+
+    def life_of(self, name: str, at: float) -> int:
+        """Which life of the gateway of a machine it was at a time."""
+
+
+class Attempt:
     """One try of a client, as servers and the client see it."""
 
     __slots__ = ("ask", "machine", "path", "method", "body", "at", "ran", "arrived", "status", "broke_off")
 
-    def __init__(self, ask: Ask, machine: str, path: str, method: str, body: bytes, at: float) -> None:
+    def __init__(self, ask: ClientRequest, machine: str, path: str, method: str, body: bytes, at: float) -> None:
         self.ask, self.machine, self.at = ask, machine, at
         self.path, self.method, self.body = path, method, body
         self.ran = 0
@@ -35,91 +57,18 @@
         self.broke_off = False  # its server has
 
 
-class Version(msgspec.Struct):
-    """A configuration that was sent: what it allows, when it was sent and acknowledged."""
-
-    ver: int
-    parent: int
-    routes: dict[str, frozenset[str]]
-    keys: dict[str, str]
-    rates: dict[str, tuple[float, float]]
-    body: bytes
-    sent_at: float
-    acked_at: float | None = None
-    refused: int = 0
-
-
-class KindFigures(msgspec.Struct):
-    """Of one route."""
-
-    owed: float
-    earned: float
-    asks: int
-    served: int
-    refused: int
-    failed: int
-    p50: float
-    p99: float
-    outside: float = 0.0  # part of the requests that were not served within their aim
-
-
-class Metrics(msgspec.Struct):
-    """What a day came to. Times in s; `worth` and `share` are parts of what was owed or asked."""
-
-    name: str
-    seed: int
-    asks: int = 0
-    served: int = 0
-    share: float = 0.0
-    worth: float = 0.0
-    worst: float = 0.0
-    worst_kind: float = 0.0
-    outside: float = 0.0  # part of the requests that were not served within their aim
-    outside_short: float = 0.0  # of the kind with the shortest aim
-    turned_away: float = 0.0  # part of the arrivals that a server had no room for
-    busiest: float = 0.0  # requests begun in a second at the busiest server of a service, over the mean
-    refused: int = 0
-    failed: int = 0
-    p50: float = 0.0
-    p99: float = 0.0
-    kinds: dict[str, KindFigures] = {}
-    rules: dict[str, int] = {}
-    told: list[str] = []
-    acks: list[float] = []
-    unacked: int = 0
-    leave_acks: float = 0.0
-    budget: float = 0.0  # most that was used of the retry budget of a window
-    quota: float = 0.0  # most that was used of a quota with its excess
-    again: float = 0.0  # arrivals beyond the first, of all requests
-    connections: int = 0  # opened to servers
-    between_kb: float = 0.0
-    processor: float = 0.0  # s, of gateways and controllers
-    syncs: int = 0
-    ready: float = 0.0  # s until the majority of gateways was ready; the day's end if never
-    events: dict[str, int] = {}
-    failures: list[str] = []
-    spans: list[float] = []  # worth of each span of SPAN s
-    fired: int = 0
-    took: float = 0.0  # s of the real clock
-
-
-def quantile(values: list[float], part: float) -> float:
-    """The value below which this part of the sorted values lies; 0 of none."""
-    return values[min(len(values) - 1, int(part * len(values)))] if values else 0.0
-
-
 class Judge:
     """Is told of everything that clients, servers and operators see."""
 
-    def __init__(self, simulation: Simulation) -> None:
+    def __init__(self, simulation: JudgedSimulation) -> None:
         self.simulation, self.world, self.bounds = simulation, simulation.world, simulation.deployment.bounds
-        self.asks: list[Ask] = []
-        self.sents: dict[str, Sent] = {}
+        self.asks: list[ClientRequest] = []
+        self.sents: dict[str, Attempt] = {}
         self.rules: Counter[str] = Counter()
-        self.told: list[str] = []
-        self.versions: list[Version] = []
+        self.violations: list[str] = []
+        self.versions: list[SentConfiguration] = []
         self.troubles: list[tuple[float, float, str]] = []  # from, until, machine ("" for all)
-        self.runs: list[tuple[float, Sent, str, str]] = []  # at, try, service, gateway
+        self.runs: list[tuple[float, Attempt, str, str]] = []  # at, try, service, gateway
         self.arrivals: list[tuple[float, str, bool]] = []  # at, service, beyond the first
         self.firsts: list[tuple[float, str]] = []
         self.ran_of: dict[str, list[tuple[float, float]]] = {}  # tenant: sent at, arrived at
@@ -133,10 +82,16 @@
         self.turned_away = 0
         self.begun: dict[tuple[str, int], Counter[str]] = {}  # by service and second: runs of each server
 
+    @property
+    def told(self) -> list[str]:
+        """The violations, under the name by which the model checks know them."""
+        return self.violations
+
     def broken(self, rule: str, text: str) -> None:
+        """A rule was broken: count it, and keep the text of the first few."""
         self.rules[rule] += 1
-        if len(self.told) < TOLD:
-            self.told.append(f"t={self.world.now - self.simulation.begins:.3f} {rule}: {text}")
+        if len(self.violations) < VIOLATIONS_KEPT:
+            self.violations.append(f"t={self.world.now - self.simulation.begins:.3f} {rule}: {text}")
 
     # What went wrong, and when
 
@@ -153,7 +108,7 @@
 
     # Clients
 
-    def born(self, ask: Ask) -> None:
+    def born(self, ask: ClientRequest) -> None:
         self.asks.append(ask)
         tenant = ask.tenant
         if tenant is not None and tenant.rate > 0.0 and not ask.route.public:
@@ -170,13 +125,13 @@
                 return version.rates[tenant]
         return rate, burst
 
-    def sent(self, ask: Ask, attempt: str, machine: str, path: str, method: str, body: bytes) -> None:
-        self.sents[attempt] = Sent(ask, machine, path, method, body, self.world.now)
+    def sent(self, ask: ClientRequest, attempt: str, machine: str, path: str, method: str, body: bytes) -> None:
+        self.sents[attempt] = Attempt(ask, machine, path, method, body, self.world.now)
         for service in ask.route.services():
             self.firsts.append((self.world.now, service))
 
     def answered(
-        self, ask: Ask, attempt: str, machine: str, answer: http_client.Answer | None, read: bool = True
+        self, ask: ClientRequest, attempt: str, machine: str, answer: http_client.Answer | None, read: bool = True
     ) -> None:
         """A try has ended; with no answer where the connection closed. `read`: the ingress had its bytes."""
         sent, now = self.sents[attempt], self.world.now
@@ -214,14 +169,14 @@
             if status in (401, 403, 404):
                 self.broken("CONFIG", f"{attempt}: {machine} answers {status} by an older version")
 
-    def allowed(self, ask: Ask, at: float) -> bool:
+    def allowed(self, ask: ClientRequest, at: float) -> bool:
         """Whether every version that may be in force allows the request."""
         return all(
             ask.route.name in v.routes and (ask.route.public or not v.keys or ask.key in v.keys)
             for v in self.in_force(at)
         )
 
-    def in_force(self, at: float, within: float | None = None) -> list[Version]:
+    def in_force(self, at: float, within: float | None = None) -> list[SentConfiguration]:
         """Versions that a machine in touch may go by at a time."""
         within = self.bounds.apply if within is None else within
         first = 0
@@ -232,7 +187,7 @@
 
     # Servers
 
-    def arrived(self, server: Server, job: Job) -> None:
+    def arrived(self, server: JudgedServer, job: ServerRequest) -> None:
         sent, now = self.sents.get(job.attempt), self.world.now
         if sent is None:
             return self.broken("UNASKED", f"{server.id} has {job.attempt}, which nobody sent")
@@ -261,7 +216,7 @@
                 f"{server.id} has {job.attempt} from {gateway} " f"{now - told[0]:.2f} s after its acknowledgement",
             )
 
-    def ran(self, server: Server, job: Job) -> None:
+    def ran(self, server: JudgedServer, job: ServerRequest) -> None:
         sent, now = self.sents.get(job.attempt), self.world.now
         if sent is None:
             return
@@ -279,7 +234,7 @@
         self.begun.setdefault((service, int(now)), Counter())[server.id] += 1
         self.runs.append((now, sent, service, self.simulation.machine_at(job.connection.transport.remote) or ""))
 
-    def broke_off(self, job: Job) -> None:
+    def broke_off(self, job: ServerRequest) -> None:
         """A server gives no answer to what it has."""
         if (sent := self.sents.get(job.attempt)) is not None:
             sent.broke_off = True
@@ -287,10 +242,10 @@
     def opened(self) -> None:
         self.connections += 1
 
-    def leaving(self, server: Server) -> None:
+    def leaving(self, server: JudgedServer) -> None:
         self.leaves[server.id] = self.world.now
 
-    def drained(self, server: Server, at: str) -> None:
+    def drained(self, server: JudgedServer, at: str) -> None:
         machine = self.simulation.machine_at(at) or ""
         self.drains[server.id] = (self.world.now, machine)
         self.leave_acks.append(self.world.now - self.leaves[server.id])
@@ -355,7 +310,7 @@
                 known = next((v for v in self.versions if v.ver == ver), None)
                 if known is None or known.refused:
                     self.broken("CONFIG", f"{ver:08x} is read at the end, which was never taken")
-                elif self.simulation.operator.differs(known, read_back):
+                elif known.differs(read_back):
                     self.broken("CONFIG", f"{ver:08x} differs from what was sent under its number")
         else:
             self.broken("ACK", "no configuration was acknowledged")
@@ -460,12 +415,12 @@
         told.worst_kind = min((k.earned / k.owed for k in told.kinds.values() if k.owed), default=0.0)
         spans: dict[int, list[float]] = {}
         for ask in owed:
-            pair = spans.setdefault(int((ask.born - self.simulation.begins) / SPAN), [0.0, 0.0])
+            pair = spans.setdefault(int((ask.born - self.simulation.begins) / WORTH_SPAN), [0.0, 0.0])
             pair[0] += ask.earned
             pair[1] += ask.route.worth
         told.spans = [spans[n][0] / spans[n][1] for n in sorted(spans)]
         told.worst = min(told.spans, default=0.0)
-        told.rules, told.told = dict(sorted(self.rules.items())), self.told
+        told.rules, told.violations = dict(sorted(self.rules.items())), self.violations
         told.acks = [v.acked_at - v.sent_at for v in self.versions if v.acked_at is not None]
         told.unacked = sum(v.acked_at is None and not v.refused for v in self.versions)
         told.leave_acks = max(self.leave_acks, default=0.0)
--- a/crowseam/simulator/scenario/day.py
+++ b/crowseam/simulator/scenario/day.py
@@ -8,6 +8,42 @@
 import msgspec
 
 ROLES = ("controller", "gateway", "both")
+# What `crowseam.simulator.scenario.faults` can do; a test compares the two.
+FAULT_KINDS = (
+    "kill",
+    "stop",
+    "power",
+    "wipe",
+    "freeze",
+    "slow",
+    "clock",
+    "cut",
+    "cut_out",
+    "cut_in",
+    "flap",
+    "link",
+    "disk_hang",
+    "disk_slow",
+    "disk_full",
+    "server_crash",
+    "server_dark",
+    "server_flap",
+    "server_grey",
+    "server_slow",
+    "lost_answers",
+    "garble",
+    "retire",
+    "release",
+    "load",
+    "lose_zone",
+    "config_shift",
+    "config_race",
+    "config_split",
+    "config_grow",
+    "orders_lost",
+    "revoke",
+    "quota",
+)
 
 
 class DayError(Exception):
@@ -181,8 +217,6 @@
 
 def check(day: Day) -> Day:
     """Raises DayError for what can't be played."""
-    from crowseam.simulator.scenario.faults import KINDS
-
     d = day.deployment
     services = {service.name for service in d.services}
     for field, names in (
@@ -207,8 +241,8 @@
         if route.kind not in ("safe", "unsafe"):
             raise DayError(f"deployment.routes {route.name}: kind is safe or unsafe")
     for number, fault in enumerate(day.faults):
-        if fault.kind not in KINDS:
-            raise DayError(f"faults[{number}].kind: {fault.kind!r} is none of {', '.join(sorted(KINDS))}")
+        if fault.kind not in FAULT_KINDS:
+            raise DayError(f"faults[{number}].kind: {fault.kind!r} is none of {', '.join(sorted(FAULT_KINDS))}")
         if fault.role not in ROLES:
             raise DayError(f"faults[{number}].role: {fault.role!r} is none of {', '.join(ROLES)}")
     if day.length <= 0 or day.settle < 0 or day.load < 0:
--- a/crowseam/simulator/thin_links.py
+++ b/crowseam/simulator/thin_links.py
@@ -20,11 +20,11 @@
 from crowseam.configuration.model import EMPTY
 from crowseam.gateway.controller_session import ControllerSession
 from crowseam.simulator.actors import http_client
-from crowseam.simulator.simulation import MemoryController
+from crowseam.simulator.memory_controller import MemoryController
 from crowseam.simulator.world.disk import DiskImage
 from crowseam.simulator.world.loop import World
 from crowseam.simulator.world.network import Network
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.patches import simulated_environment
 from crowseam.transport import messages as m
 
 RATE = 250_000  # bytes/s of a thin link: 2 Mbit/s
@@ -196,7 +196,7 @@
     def measure(self) -> dict[str, Took]:
         """What the controller and the gateway take, by role; controllers that agree come first."""
         took = {"controller": Took(), "gateway": Took()}
-        with worn(self.world, lambda event, **fields: None):
+        with simulated_environment(self.world, lambda event, **fields: None):
             self.world.run(2.0)
             self.run(3.0)
             self.start(MEMBER)
--- a/crowseam/simulator/world/loop.py
+++ b/crowseam/simulator/world/loop.py
@@ -7,20 +7,28 @@
 from __future__ import annotations
 
 import asyncio
+import traceback
 from asyncio import events
 from collections import deque
 from collections.abc import Callable, Coroutine
 from heapq import heappop, heappush
 from random import Random
-from typing import TYPE_CHECKING, Any
+from typing import Any, Protocol
 
-if TYPE_CHECKING:
-    from crowseam.simulator.world.network import Network
-
-LATE = 0.001  # s, most that a timer fires late
+TIMER_DELAY_MOST = 0.001  # s, most that a timer fires late
 EPOCH = 1_700_000_000.0  # s, time of day at which the simulation begins
 
 
+class Connector(Protocol):
+    """What an event loop needs of the network: to dial and to listen."""
+
+    def dial(self, process: Process, factory: Callable, host: str, port: int, made: asyncio.Future) -> None:
+        """Open a connection; `made` gets (transport, protocol) or the error."""
+
+    def listen(self, process: Process, factory: Callable, host: str, port: int) -> object:
+        """Listen at an address. Raises OSError where another does."""
+
+
 class Handle:
     """A callback that is due, as asyncio's handles are."""
 
@@ -170,8 +178,6 @@
             else:
                 context.run(callback, *args)
         except Exception:
-            import traceback
-
             self.world.failed(traceback.format_exc())
 
     def die(self) -> None:
@@ -195,7 +201,7 @@
 class ProcessLoop(asyncio.AbstractEventLoop):
     """What one process sees as its event loop."""
 
-    network: Network
+    network: Connector
 
     def __init__(self, process: Process) -> None:
         self.process, self.world = process, process.world
@@ -212,7 +218,7 @@
         process = self.process
         when = self.world.now + max(0.0, delay) / process.rate
         if process.cost:
-            when += LATE * process.rng.random()
+            when += TIMER_DELAY_MOST * process.rng.random()
         return self.world.at(when, process, callback, args, context)
 
     def call_at(self, when: float, callback: Callable, *args: Any, context: Any = None) -> Handle:
--- a/crowseam/simulator/world/patches.py
+++ b/crowseam/simulator/world/patches.py
@@ -1,4 +1,4 @@
-"""What the daemons' modules see in place of clocks, polls and logs while an simulation runs."""
+"""What the daemons' modules see in place of clocks, polls and logs while a simulation runs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from crowseam import clock, logs
 from crowseam.simulator.world.loop import EPOCH, World
-from crowseam.simulator.world.network import Select
+from crowseam.simulator.world.transport import Select
 from fennelpoint.net import backends, notice, server
 
 
@@ -30,30 +30,33 @@
         return int(self.time() * 1e9)
 
 
-def _unheard(part: str, text: str, *args: object) -> None:
+def _discard(part: str, text: str, *args: object) -> None:
     """Complaints of the network code are not kept."""
 
 
 @contextmanager
-def worn(world: World, say: Callable[..., None]) -> Iterator[None]:
-    """Within this, the daemons' code lives in `world`, and what it logs goes to `say(event, **fields)`."""
-    told = VirtualTime(world)
-    places = [
-        (clock, "monotonic", told.monotonic),
-        (clock, "time", told.time),
-        (clock, "time_ns", told.time_ns),
+def simulated_environment(world: World, say: Callable[..., None]) -> Iterator[None]:
+    """Within this, the daemons' code takes time from `world`, and what it logs goes to `say(event, **fields)`.
+
+    Clocks, polls and log functions of the modules concerned are replaced, and put back at the end.
+    """
+    virtual_time = VirtualTime(world)
+    replacements = [
+        (clock, "monotonic", virtual_time.monotonic),
+        (clock, "time", virtual_time.time),
+        (clock, "time_ns", virtual_time.time_ns),
         (logs, "say", say),
-        (notice, "complain", _unheard),
-        (backends, "complain", _unheard),
+        (notice, "complain", _discard),
+        (backends, "complain", _discard),
     ]
-    places += [(module, "time", told) for module in (backends, notice, server)]
-    places += [(module, "select", Select) for module in (backends, server)]
-    before = [(module, name, getattr(module, name)) for module, name, _ in places]
-    for module, name, value in places:
+    replacements += [(module, "time", virtual_time) for module in (backends, notice, server)]
+    replacements += [(module, "select", Select) for module in (backends, server)]
+    originals = [(module, name, getattr(module, name)) for module, name, _ in replacements]
+    for module, name, value in replacements:
         setattr(module, name, value)
     try:
         yield
     finally:
-        for module, name, value in before:
+        for module, name, value in originals:
             setattr(module, name, value)
         world.leave()
--- a/tests/crowseam/test_check_cutoff.py
+++ b/tests/crowseam/test_check_cutoff.py
@@ -10,8 +10,8 @@
 from crowseam.gateway.controller_session import ControllerSession
 from crowseam.model_checks.cutoff import check
 from crowseam.settings import Bind, Settings
-from crowseam.simulator.world.network import Trouble
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.patches import simulated_environment
 from crowseam.transport import messages as m
 from tests.crowseam import test_controller
 from tests.crowseam.test_controller import CTL, IPS, heartbeat
@@ -22,7 +22,7 @@
 
     def setUp(self):
         self.system = system = test_controller.System(1)
-        self.enterContext(worn(system.world, lambda event, **fields: None))
+        self.enterContext(simulated_environment(system.world, lambda event, **fields: None))
         system.world.run(3.0)
         self.call("r2", "PUT", "/-/backends/i-1", heartbeat("i-1", "up", 1))
 
--- a/tests/crowseam/test_controller.py
+++ b/tests/crowseam/test_controller.py
@@ -16,11 +16,12 @@
 from crowseam.configuration.model import Configuration
 from crowseam.gateway.controller_session import ControllerSession
 from crowseam.simulator.actors import http_client
-from crowseam.simulator.simulation import MemoryController
+from crowseam.simulator.memory_controller import MemoryController
 from crowseam.simulator.world.disk import DiskImage
+from crowseam.simulator.world.link_faults import Trouble
 from crowseam.simulator.world.loop import World
-from crowseam.simulator.world.network import Network, Trouble
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.network import Network
+from crowseam.simulator.world.patches import simulated_environment
 
 IPS = {"r1": "10.1.0.5", "r2": "10.2.0.5", "r3": "10.3.0.5", "gateway": "10.1.0.9"}
 REGISTRIES = ("r1", "r2", "r3")
@@ -152,7 +153,9 @@
         lines = [[cell.strip() for cell in line.split("|")] for line in text.splitlines() if line.strip()]
         names = lines[0][1:]
         system = System(seed)
-        with worn(system.world, lambda event, **fields: self.assertFalse(event.endswith("failed"), fields)):
+        with simulated_environment(
+            system.world, lambda event, **fields: self.assertFalse(event.endswith("failed"), fields)
+        ):
             for time, *cells in lines[1:]:
                 system.world.run(float(time))
                 line = " | ".join([time, *cells])
@@ -225,7 +228,7 @@
                 """,
                 seed,
             )
-            with worn(system.world, lambda event, **fields: None):
+            with simulated_environment(system.world, lambda event, **fields: None):
                 system.world.run(4.0)
             self.assertEqual(sorted(system.answers[name].status for name in ("r1", "r2")), [200, 412])
             winner = 2 if system.answers["r1"].status == 200 else 3
@@ -371,7 +374,7 @@
             6    |        |    |    |    | ?at r1
             """)
         self.assertEqual(system.controller_session.hop, 1)
-        with worn(system.world, lambda event, **fields: None):
+        with simulated_environment(system.world, lambda event, **fields: None):
             for name in REGISTRIES:
                 system.world.enter(system.processes[name])
                 controller = system.controllers[name]
--- a/tests/crowseam/test_large_states.py
+++ b/tests/crowseam/test_large_states.py
@@ -17,7 +17,7 @@
 from crowseam.model_checks.catchup.check import Padded
 from crowseam.settings import Bind, Settings
 from crowseam.simulator.thin_links import SEEDS, Thin, configuration
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.patches import simulated_environment
 from crowseam.transport import messages as m
 
 BODY = configuration(430, 1700, 23)  # 340 kB, packed 85
@@ -41,7 +41,7 @@
     def test_a_gateway_that_comes_back_gets_the_steps_it_lacks(self):
         thin = Thin(1, BODY, 0.2)
         thin.measure()
-        with worn(thin.world, quiet):
+        with simulated_environment(thin.world, quiet):
             for span in (0.5, 3.0):
                 thin.controller_session.link.close()
                 before, slot = thin.heard.copy(), thin.controller_session.slot
@@ -54,7 +54,7 @@
 
     def test_a_transfer_goes_on_with_another_controller_where_the_first_one_ends(self):
         thin = Thin(2, configuration(1300, 5100, 70), 0.5)
-        with worn(thin.world, quiet):
+        with simulated_environment(thin.world, quiet):
             thin.world.run(2.0)
             thin.change()
             thin.world.run(4.0)
--- a/tests/crowseam/test_leaving.py
+++ b/tests/crowseam/test_leaving.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from crowseam.simulator.world.disk import DiskImage
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.patches import simulated_environment
 from tests.crowseam import test_controller
 from tests.crowseam.test_controller import System, config
 
@@ -27,7 +27,9 @@
         # 7.5  |              |            | stop | a voter
         # then | kill as soon as r3 has ended; r2 takes a change
         system = System(1)
-        with worn(system.world, lambda event, **fields: self.assertFalse(event.endswith("failed"), fields)):
+        with simulated_environment(
+            system.world, lambda event, **fields: self.assertFalse(event.endswith("failed"), fields)
+        ):
             system.world.run(3.0)
             test_controller.IPS["r4"], test_controller.CTL["r4"] = IP, f"{IP}:8407"
             system.disk_images["r4"] = DiskImage(system.world.random("r4"))
@@ -49,7 +51,9 @@
 
     def test_one_of_three_ends_at_once(self):
         system = System(1)
-        with worn(system.world, lambda event, **fields: self.assertFalse(event.endswith("failed"), fields)):
+        with simulated_environment(
+            system.world, lambda event, **fields: self.assertFalse(event.endswith("failed"), fields)
+        ):
             system.world.run(3.0)
             system.controllers["r3"].stop()
             system.world.run(3.35)
--- a/tests/crowseam/test_metrics.py
+++ b/tests/crowseam/test_metrics.py
@@ -19,7 +19,7 @@
 from crowseam.gateway.gateway import Gateway
 from crowseam.gateway.request_reader import Reader
 from crowseam.metrics import exposition, families, latency
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.patches import simulated_environment
 from fennelpoint.interface import Status
 from fennelpoint.net.backends import Answer
 from tests.crowseam import test_controller
@@ -141,7 +141,7 @@
     def test_a_gateway_counts_served_refused_failed_and_gone_and_its_text_can_be_read(self):
         system = test_controller.System(1)
         process = system.network.process("x", "10.1.0.30")
-        with worn(system.world, lambda event, **fields: None):
+        with simulated_environment(system.world, lambda event, **fields: None):
             system.world.enter(process)
             gateway = Gateway(process.loop, system.settings("gateway", False), Random(1), 100)
             gateway.metrics.use(MAKE)
@@ -188,7 +188,7 @@
 
     def test_a_controller_tells_its_own(self):
         system = test_controller.System(1)
-        with worn(system.world, lambda event, **fields: None):
+        with simulated_environment(system.world, lambda event, **fields: None):
             system.world.run(3.0)
             controller = system.controllers["r1"]
             system.world.enter(system.processes["r1"])
--- a/tests/crowseam/test_retirement.py
+++ b/tests/crowseam/test_retirement.py
@@ -28,8 +28,8 @@
 from crowseam.gateway.gateway import Gateway
 from crowseam.simulator import simulation
 from crowseam.simulator.actors import http_client as stack_wire
-from crowseam.simulator.world.network import Trouble
-from crowseam.simulator.world.patches import worn
+from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.patches import simulated_environment
 from tests.crowseam import test_controller
 from tests.crowseam.test_controller import COST, REGISTRIES
 from tests.crowseam.test_load_balancer import ROUTES
@@ -101,7 +101,9 @@
     def play(self, text, seed=1):
         lines = [[part.strip() for part in line.split("|")] for line in text.splitlines() if line.strip()]
         system = System(seed)
-        with worn(system.world, lambda event, **fields: self.assertFalse(event.endswith("failed"), fields)):
+        with simulated_environment(
+            system.world, lambda event, **fields: self.assertFalse(event.endswith("failed"), fields)
+        ):
             for time, *cells in lines[1:]:
                 system.world.run(float(time))
                 for name, words in zip(lines[0][1:], cells, strict=False):
@@ -436,7 +438,7 @@
         system.network.listen(server, Heard, "10.9.0.2", 80)
         system.network.off.add("10.9.0.1")  # a connection there neither comes up nor is refused
         process = system.network.process("x", "10.1.0.30")
-        with worn(system.world, lambda event, **fields: None):
+        with simulated_environment(system.world, lambda event, **fields: None):
             system.world.enter(process)
             gateway = Gateway(process.loop, system.settings("gateway", False), random.Random(1), 100)
             one, two = (Record(f"i-{n}", "s", f"10.9.0.{n}:80", "z", "v", 4) for n in (1, 2))
--- a/tests/crowseam/test_simulator.py
+++ b/tests/crowseam/test_simulator.py
@@ -25,12 +25,13 @@
 from crowseam.gateway.load_balancer import LoadBalancer
 from crowseam.quotas.admission import Admission, Verdict
 from crowseam.quotas.retry_budget import RetryBudget
-from crowseam.simulator import simulation
+from crowseam.simulator import machine, simulation
 from crowseam.simulator.scenario import replay
 from crowseam.simulator.scenario.day import DayError, build, changed, parse
 from crowseam.simulator.world.disk import DiskImage, MemoryDisk, MemoryStore
+from crowseam.simulator.world.link_faults import Trouble
 from crowseam.simulator.world.loop import World
-from crowseam.simulator.world.network import Network, Trouble
+from crowseam.simulator.world.network import Network
 from crowseam.storage.store import Member, Note, Store
 
 
@@ -454,7 +455,7 @@
         rules = self.broken(
             small(6.0, faults=faults),
             (Gateway, "follow", _first_servers),
-            (simulation.GatewayDaemon, "_on_table", _first_table),
+            (machine.GatewayDaemon, "_on_table", _first_table),
         )
         self.assertTrue(rules.get("DRAIN") and rules.get("CONFIG"), rules)
 
