--- a/crowseam/capacity/curves.py
+++ b/crowseam/capacity/curves.py
@@ -129,6 +129,7 @@
 
 
 def balancer(servers: list[Record]) -> LoadBalancer:
+    """A load balancer that knows these servers."""
     rng = Random(1)
     budget = RetryBudget(0.2, 10.0, 60.0, 0.0, earlier=False)
     made = LoadBalancer("zone-0", Admission(0.0, rng), budget, rng, "edge-1")
--- a/crowseam/cli/experiment.py
+++ b/crowseam/cli/experiment.py
@@ -79,6 +79,7 @@
     measures: list[str] = msgspec.field(default_factory=lambda: list(CHIEF))
 
     def numbers(self) -> list[int]:
+        """The seeds that each variant is played with."""
         return self.seeds if isinstance(self.seeds, list) else list(range(1, self.seeds + 1))
 
 
--- a/crowseam/cli/report.py
+++ b/crowseam/cli/report.py
@@ -30,23 +30,23 @@
     return f"<table><tr>{head}</tr>{''.join(lines)}</table>"
 
 
-def _svg(metric: Any) -> str:
+def _svg(figure: Any) -> str:
     out = io.StringIO()
-    metric.savefig(out, format="svg", metadata={"Date": None})
+    figure.savefig(out, format="svg", metadata={"Date": None})
     return out.getvalue().partition("<svg")[1] + out.getvalue().partition("<svg")[2]
 
 
-def _metrics(option: str, instead: str) -> Any:
-    """What makes figures. Raises BadInputError naming the option that asked for them."""
+def _figure_type(option: str, instead: str) -> Any:
+    """The class of matplotlib's figures. Raises BadInputError naming the option that asked for them."""
     try:
         import matplotlib
 
         matplotlib.use("svg")
         matplotlib.rcParams["svg.hashsalt"] = "crowseam"  # the same file for the same results
-        from matplotlib.metric import Metric
+        from matplotlib.figure import Figure
     except ImportError:
         raise BadInputError(option, f"plots need what requirements-tools.txt lists; install it, or {instead}") from None
-    return Metric
+    return Figure
 
 
 def curve(across: str, up: str, lines: dict[str, list[tuple[float, float]]]) -> str:
@@ -54,13 +54,13 @@
 
     Raises BadInputError, which names --plot.
     """
-    Metric = _metrics("--plot", "leave --plot out")
+    new_figure = _figure_type("--plot", "leave --plot out")
     import matplotlib
 
     # Words stay words, in any plain letters: a third of the size.
     with matplotlib.rc_context({"svg.fonttype": "none", "font.sans-serif": ["DejaVu Sans"]}):
-        metric = Metric(figsize=(5.2, 3.2), layout="constrained")
-        axes = metric.subplots()
+        figure = new_figure(figsize=(5.2, 3.2), layout="constrained")
+        axes = figure.subplots()
         for name, points in lines.items():
             axes.plot(*zip(*points, strict=True), "o-", markersize=4, label=name)
         axes.set_xscale("log")
@@ -76,17 +76,17 @@
         axes.set_ylabel(up)
         if len(lines) > 1:
             axes.legend(fontsize="small")
-        return _svg(metric)
+        return _svg(figure)
 
 
 def plots(values: dict, spans: dict[str, list[list[float]]], measures: list[str]) -> list[str]:
     """SVG: each measure by variant, a dot a seed, and the worth along the day. Raises BadInputError."""
-    Metric = _metrics("--report", "give --no-plots")
+    new_figure = _figure_type("--report", "give --no-plots")
     names = list(values)
     drawn = []
     for name in measures:
-        metric = Metric(figsize=(7, 0.9 + 0.45 * len(names)), layout="constrained")
-        axes = metric.subplots()
+        figure = new_figure(figsize=(7, 0.9 + 0.45 * len(names)), layout="constrained")
+        axes = figure.subplots()
         for place, variant in enumerate(names):
             told = [run[name] for run in values[variant].values()]
             axes.plot(told, [place] * len(told), "o", alpha=0.5, color="tab:blue")
@@ -94,9 +94,9 @@
         axes.set_yticks(range(len(names)), names)
         axes.set_ylim(len(names) - 0.5, -0.5)
         axes.set_xlabel(name)
-        drawn.append(_svg(metric))
-    metric = Metric(figsize=(8, 3.2), layout="constrained")
-    axes = metric.subplots()
+        drawn.append(_svg(figure))
+    figure = new_figure(figsize=(8, 3.2), layout="constrained")
+    axes = figure.subplots()
     for variant, runs in spans.items():
         length = min(map(len, runs))
         means = [sum(run[at] for run in runs) / len(runs) for at in range(length)]
@@ -104,7 +104,7 @@
     axes.set_xlabel("s of the load")
     axes.set_ylabel("worth earned / owed")
     axes.legend(fontsize="small")
-    return [*drawn, _svg(metric)]
+    return [*drawn, _svg(figure)]
 
 
 def write(
--- a/crowseam/simulator/actors/clients.py
+++ b/crowseam/simulator/actors/clients.py
@@ -99,6 +99,7 @@
             self.ask(route, tenant)
 
     def ask(self, route: Route, tenant: Tenant | None) -> None:
+        """A client makes a request; the first attempt is sent at once."""
         simulation = self.simulation
         key = old = ""
         if tenant is not None and not route.public:
--- a/crowseam/simulator/actors/http_client.py
+++ b/crowseam/simulator/actors/http_client.py
@@ -33,18 +33,22 @@
         self.body: list[bytes] = []
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """The connection is up."""
         self.transport = transport
 
     @property
     def usable(self) -> bool:
+        """Whether another request can be sent on the connection."""
         return self.transport is not None and not self.transport.is_closing() and not self.transport.ended
 
     def ask(self, data: bytes, done: Callable[[Answer | None], None]) -> None:
+        """Send a request; `done` gets the answer."""
         self.done = done
         self.parser, self.headers, self.body = httptools.HttpResponseParser(self), {}, []
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
+        """Parse what has come; bytes without a request close the connection."""
         if self.done is None:
             self.strays += len(data)
             return self.transport.close()
@@ -55,12 +59,15 @@
             self.transport.close()
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """The parser has read a header field."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
+        """The parser has read a part of the body."""
         self.body.append(body)
 
     def on_message_complete(self) -> None:
+        """The parser has read a whole answer; interim ones (1xx) are passed over."""
         status = self.parser.get_status_code()
         if 100 <= status < 200:
             return
@@ -73,9 +80,11 @@
             done(answer)
 
     def eof_received(self) -> None:
+        """The other end sends no more; the transport is to close."""
         return None
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is gone: what was asked gets no answer."""
         self._over(None)
 
     def leave(self) -> None:
--- a/crowseam/simulator/actors/servers.py
+++ b/crowseam/simulator/actors/servers.py
@@ -39,6 +39,7 @@
         self.url, self.fields, self.body = b"", {}, []
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """A gateway has connected; it is reset where the server is down or has too many connections."""
         self.transport = transport
         self.used_at = self.server.world.now
         server = self.server
@@ -59,6 +60,7 @@
             self.server.loop.call_later(max(left, 0.5), self._idle)
 
     def data_received(self, data: bytes) -> None:
+        """Parse what the gateway sends."""
         if self.mute:
             return
         try:
@@ -68,32 +70,40 @@
             self.transport.abort()
 
     def on_message_begin(self) -> None:
+        """The parser has found the begin of a request."""
         self._fresh()
 
     def on_url(self, url: bytes) -> None:
+        """The parser has read a part of the path."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """The parser has read a header field."""
         self.fields[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
+        """The parser has read a part of the body."""
         self.body.append(body)
 
     def on_message_complete(self) -> None:
+        """The parser has read a whole request: the server takes it."""
         self.used_at = self.server.world.now
         self.server.take(
             self, self.parser.get_method().decode(), self.url.decode("latin-1"), self.fields, b"".join(self.body)
         )
 
     def eof_received(self) -> None:
+        """The gateway sends no more; the transport is to close."""
         return None
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is gone: the server drops its request."""
         self.server.connections.pop(self, None)
         if self.job is not None:
             self.server.drop(self.job)
 
     def answer(self, status: int, fields: list[tuple[str, str]], body: bytes, last: bool = False) -> None:
+        """Write an answer; `last`: and close the connection."""
         if self.transport.is_closing():
             return
         self.used_at = self.server.world.now
@@ -147,6 +157,7 @@
     # Requests
 
     def take(self, connection: Connection, method: str, path: str, fields: dict[bytes, bytes], body: bytes) -> None:
+        """A request has come: run it, queue it, or refuse it."""
         attempt = fields.get(b"x-attempt-id", b"").decode("latin-1")
         if fields.get(b"x-target-instance", self.id.encode()) != self.id.encode():
             return connection.answer(421, [("X-Not-Run", "1"), ("X-Attempt-Id", attempt)], b"")
--- a/crowseam/simulator/judge.py
+++ b/crowseam/simulator/judge.py
@@ -109,6 +109,7 @@
     # Clients
 
     def born(self, ask: ClientRequest) -> None:
+        """A client makes a request; one beyond its tenant's quota is not owed."""
         self.asks.append(ask)
         tenant = ask.tenant
         if tenant is not None and tenant.rate > 0.0 and not ask.route.public:
@@ -126,6 +127,7 @@
         return rate, burst
 
     def sent(self, ask: ClientRequest, attempt: str, machine: str, path: str, method: str, body: bytes) -> None:
+        """A client sends an attempt of a request."""
         self.sents[attempt] = Attempt(ask, machine, path, method, body, self.world.now)
         for service in ask.route.services():
             self.firsts.append((self.world.now, service))
@@ -188,6 +190,7 @@
     # Servers
 
     def arrived(self, server: JudgedServer, job: ServerRequest) -> None:
+        """A server has an attempt: it must be as it was sent, and not come after the drain."""
         sent, now = self.sents.get(job.attempt), self.world.now
         if sent is None:
             return self.broken("UNASKED", f"{server.id} has {job.attempt}, which nobody sent")
@@ -217,6 +220,7 @@
             )
 
     def ran(self, server: JudgedServer, job: ServerRequest) -> None:
+        """A server begins to run an attempt: unsafe ones once, and by a service of the route."""
         sent, now = self.sents.get(job.attempt), self.world.now
         if sent is None:
             return
@@ -240,17 +244,21 @@
             sent.broke_off = True
 
     def opened(self) -> None:
+        """A gateway has opened a connection to a server."""
         self.connections += 1
 
     def leaving(self, server: JudgedServer) -> None:
+        """A server begins to leave."""
         self.leaves[server.id] = self.world.now
 
     def drained(self, server: JudgedServer, at: str) -> None:
+        """The controller at `at` has acknowledged that a server leaves."""
         machine = self.simulation.machine_at(at) or ""
         self.drains[server.id] = (self.world.now, machine)
         self.leave_acks.append(self.world.now - self.leaves[server.id])
 
     def said_ready(self, machine: str) -> None:
+        """The gateway of a machine says that it is ready."""
         self.ready_at.setdefault(machine, self.world.now)
 
     # At the end
--- a/crowseam/simulator/scenario/day.py
+++ b/crowseam/simulator/scenario/day.py
@@ -112,6 +112,7 @@
     bytes_out: int = 800
 
     def services(self) -> dict[str, float]:
+        """The services it goes to, with their weights."""
         return self.split or {self.svc: 1.0}
 
 
--- a/crowseam/simulator/world/disk.py
+++ b/crowseam/simulator/world/disk.py
@@ -103,24 +103,30 @@
         self.disk_image = disk_image
 
     def open(self) -> None:
+        """Open the store. Raises StoreError where the disk is full."""
         if self.disk_image.full:
             raise StoreError("the disk is full")
 
     def load(self) -> Durable:
+        """What a voter reads back after a start."""
         return self.disk_image.durable()
 
     def write(self, records: Iterable[object]) -> None:
+        """Write records in one transaction. Raises StoreError where the disk is full."""
         if self.disk_image.full:
             raise StoreError("the disk is full")
         self.disk_image.keep(records)
 
     def notes(self) -> dict[str, bytes]:
+        """The notes that are kept, by key."""
         return dict(self.disk_image.notes)
 
     def members(self) -> dict[str, bytes]:
+        """The members that are kept, by name."""
         return dict(self.disk_image.members)
 
     def close(self) -> None:
+        """Nothing is to be closed."""
         pass
 
 
@@ -136,6 +142,7 @@
 
     @property
     def out(self) -> int:
+        """Writes that wait or are under way."""
         return len(self.waiting) + len(self.under_way)
 
     def write(self, records: list, done: Callable[[bool], None]) -> None:
@@ -181,4 +188,5 @@
         return late if late > SLOW else 0.0
 
     def close(self) -> None:
+        """No more is written."""
         self.open = False
--- a/crowseam/simulator/world/link_faults.py
+++ b/crowseam/simulator/world/link_faults.py
@@ -20,6 +20,7 @@
     loss: float = 0.0  # chance that a packet has to be sent again
 
     def touches(self, a: str, b: str) -> bool:
+        """Whether this harms the link between `a` and `b`."""
         if a in self.one and b in self.one and self.other is None:
             return False  # those that are cut off together still see each other
         if self.other is None:
--- a/crowseam/simulator/world/loop.py
+++ b/crowseam/simulator/world/loop.py
@@ -38,12 +38,15 @@
         self.callback, self.args, self.context, self.process, self.due = callback, args, context, process, due
 
     def cancel(self) -> None:
+        """The callback is not called any more."""
         self.callback, self.args = None, ()
 
     def cancelled(self) -> bool:
+        """Whether it was cancelled, or has been called."""
         return self.callback is None
 
     def when(self) -> float:
+        """When it is due, by the steady clock of its process, in s."""
         return self.process.clock(self.due)
 
 
@@ -66,6 +69,7 @@
         return Random(f"{self.seed}/{name}")
 
     def at(self, when: float, process: Process, callback: Callable, args: tuple = (), context: Any = None) -> Handle:
+        """Put a callback of a process into the queue, due at `when` (s)."""
         handle = Handle(callback, args, context, process, when)
         self.count += 1
         heappush(self.queue, (when, self.count, handle))
@@ -84,6 +88,7 @@
         self.enter(self.outside)
 
     def enter(self, process: Process) -> None:
+        """This process runs from now on; asyncio finds its loop."""
         if self.current is not process:
             self.current = process
             events._set_running_loop(process.loop)
@@ -93,6 +98,7 @@
         events._set_running_loop(None)
 
     def failed(self, text: str) -> None:
+        """An exception was caught nowhere: keep its text."""
         self.failures.append(f"t={self.now:.3f} process={self.current.name} {text}")
 
 
@@ -120,6 +126,7 @@
         return self.offset + now * self.rate
 
     def fire(self, handle: Handle) -> None:
+        """A callback is due: run it, or queue it behind what the process is busy with."""
         if not self.alive:
             return
         if not self.cost:
@@ -150,6 +157,7 @@
             self.world.at(max(self.busy_until, self.world.now), self, self._next).process = _Turn(self)
 
     def thaw(self) -> None:
+        """A frozen process goes on."""
         if self.frozen:
             self.frozen = False
             self._rank_backlog()
@@ -181,6 +189,7 @@
             self.world.failed(traceback.format_exc())
 
     def die(self) -> None:
+        """The process ends: nothing of it runs any more."""
         self.alive = False
         self.backlog.clear()
         self.listeners.clear()
@@ -195,6 +204,7 @@
         self.process = process
 
     def fire(self, handle: Handle) -> None:
+        """Let the process take its next turn."""
         handle.callback()
 
 
@@ -207,14 +217,17 @@
         self.process, self.world = process, process.world
 
     def time(self) -> float:
+        """The steady clock of the process, in s."""
         return self.process.clock(self.world.now)
 
     def call_soon(self, callback: Callable, *args: Any, context: Any = None) -> Handle:
+        """Call back at this moment, after what is due already."""
         return self.world.at(self.world.now, self.process, callback, args, context)
 
     call_soon_threadsafe = call_soon
 
     def call_later(self, delay: float, callback: Callable, *args: Any, context: Any = None) -> Handle:
+        """Call back after `delay` s of the steady clock of the process, or a little later."""
         process = self.process
         when = self.world.now + max(0.0, delay) / process.rate
         if process.cost:
@@ -222,24 +235,31 @@
         return self.world.at(when, process, callback, args, context)
 
     def call_at(self, when: float, callback: Callable, *args: Any, context: Any = None) -> Handle:
+        """Call back when the steady clock of the process shows `when`."""
         return self.call_later(when - self.time(), callback, *args, context=context)
 
     def create_future(self) -> asyncio.Future:
+        """A future of this loop."""
         return asyncio.Future(loop=self)
 
     def create_task(self, coro: Coroutine, *, name: str | None = None, context: Any = None) -> asyncio.Task:
+        """A task of this loop."""
         return asyncio.Task(coro, loop=self, name=name, context=context)
 
     def get_debug(self) -> bool:
+        """Debugging is off."""
         return False
 
     def is_running(self) -> bool:
+        """The loop always runs."""
         return True
 
     def is_closed(self) -> bool:
+        """The loop is never closed."""
         return False
 
     def call_exception_handler(self, context: dict) -> None:
+        """Keep an exception that was caught nowhere."""
         # What a process leaves behind when it is killed is nobody's fault.
         if self.process.alive:
             self.world.failed(f"{context.get('message')}: {context.get('exception')!r}")
@@ -247,6 +267,7 @@
     default_exception_handler = call_exception_handler
 
     async def create_connection(self, protocol_factory: Callable, host: str, port: int, **_: Any) -> tuple:
+        """Dial over the simulated network. Raises OSError."""
         made = self.create_future()
         self.network.dial(self.process, protocol_factory, host, port, made)
         try:
@@ -256,4 +277,5 @@
             raise
 
     async def create_server(self, protocol_factory: Callable, host: str, port: int, **_: Any) -> object:
+        """Listen on the simulated network. Raises OSError."""
         return self.network.listen(self.process, protocol_factory, host, port)
--- a/crowseam/simulator/world/network.py
+++ b/crowseam/simulator/world/network.py
@@ -36,11 +36,13 @@
     port: int
 
     def close(self) -> None:
+        """Stop listening."""
         if self.process.listeners.get(self.port) is self:
             del self.process.listeners[self.port]
             self.network.listeners.pop((self.host, self.port), None)
 
     def is_serving(self) -> bool:
+        """Whether it still listens."""
         return self.process.listeners.get(self.port) is self
 
 
@@ -63,6 +65,7 @@
         self.last_port = FIRST_PORT
 
     def process(self, name: str, ip: str, cost: float = 0.0, **clock: float) -> Process:
+        """A new process at an address; `cost`: s of the processor that a callback takes."""
         process = Process(self.world, name, ip, cost, **clock)
         process.loop.network = self
         return process
@@ -92,6 +95,7 @@
     # Connections
 
     def listen(self, process: Process, factory: Callable, host: str, port: int) -> Listener:
+        """Listen at an address. Raises OSError where another does."""
         if (host, port) in self.listeners:
             raise OSError(errno.EADDRINUSE, f"{host}:{port} is taken")
         listener = Listener(self, process, factory, host, port)
--- a/crowseam/simulator/world/patches.py
+++ b/crowseam/simulator/world/patches.py
@@ -21,12 +21,15 @@
         self.world = world
 
     def monotonic(self) -> float:
+        """The steady clock of the running process, in s."""
         return self.world.current.clock(self.world.now)
 
     def time(self) -> float:
+        """The time of day as the running process has it, in s since the epoch."""
         return EPOCH + self.world.now + self.world.current.skew
 
     def time_ns(self) -> int:
+        """The time of day as the running process has it, in ns since the epoch."""
         return int(self.time() * 1e9)
 
 
--- a/crowseam/simulator/world/transport.py
+++ b/crowseam/simulator/world/transport.py
@@ -33,6 +33,7 @@
         self.transport = transport
 
     def setsockopt(self, level: int, name: int, value: object) -> None:
+        """Take the options that matter here: TCP_USER_TIMEOUT (ms), and SO_LINGER for a reset."""
         if level == socket.IPPROTO_TCP and name == socket.TCP_USER_TIMEOUT:
             self.transport.user_timeout = value / 1000.0
         elif level == socket.SOL_SOCKET and name == socket.SO_LINGER:
@@ -50,9 +51,11 @@
         self.watched: list[Transport] = []
 
     def register(self, transport: Transport, flags: int = 0) -> None:
+        """Watch a transport."""
         self.watched.append(transport)
 
     def poll(self, timeout: float = 0.0) -> list:
+        """The watched transports that have something to read, or have ended."""
         return [(one, 1) for one in self.watched if one.unread or one.ended or one.closed]
 
 
@@ -93,11 +96,13 @@
     # What protocols call
 
     def attach(self, protocol: asyncio.BaseProtocol) -> None:
+        """The connection is up: it belongs to this protocol."""
         self.protocol = protocol
         self.buffered = isinstance(protocol, asyncio.BufferedProtocol)
         protocol.connection_made(self)
 
     def get_extra_info(self, name: str, default: object = None) -> object:
+        """The socket, or an address as (host, port)."""
         if name == "socket":
             return SocketStub(self)
         if name in ("peername", "sockname"):
@@ -106,31 +111,39 @@
         return default
 
     def is_closing(self) -> bool:
+        """Whether this end is closed."""
         return self.closed
 
     def get_write_buffer_size(self) -> int:
+        """Bytes that were written and that the kernel has not taken in."""
         return max(0, self.out - KERNEL_BUFFER)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
+        """Set the sizes (bytes) at which the protocol is paused and resumed."""
         self.high = HIGH_WATER if high is None else high
         self.low = self.high // 4 if low is None else low
 
     def pause_reading(self) -> None:
+        """Keep what comes until `resume_reading`."""
         self.paused = True
 
     def resume_reading(self) -> None:
+        """Hand on what came meanwhile, and what comes."""
         if self.paused:
             self.paused = False
             if self.unread:
                 self.process.world.at(self.process.world.now, self.process, self._read)
 
     def is_reading(self) -> bool:
+        """Whether what comes is handed on."""
         return not self.paused
 
     def can_write_eof(self) -> bool:
+        """Half-closes are possible."""
         return True
 
     def write(self, data: bytes) -> None:
+        """Send bytes; the protocol is paused where too many wait."""
         if self.closed or self.wrote_end or not data:
             return
         data = bytes(data)
@@ -141,20 +154,24 @@
             self.protocol.pause_writing()
 
     def writelines(self, lines: list[bytes]) -> None:
+        """Send bytes."""
         self.write(b"".join(lines))
 
     def write_eof(self) -> None:
+        """Send no more, and go on reading."""
         if not (self.closed or self.wrote_end):
             self.wrote_end = True
             self.network.carry(self, "end", b"")
 
     def close(self) -> None:
+        """Close this end; with unread bytes the peer is reset."""
         if not self.closed:
             self.closed = True
             self.network.carry(self, "reset" if self.unread or self.resets else "end", b"")
             self._lose(None)
 
     def abort(self) -> None:
+        """Close this end at once."""
         if not self.lost:
             if not self.closed:
                 self.closed = True
@@ -176,6 +193,7 @@
     # What the network calls, in the process that this end belongs to
 
     def arrive(self, kind: str, data: bytes) -> None:
+        """A packet of a kind ("data", "end" or "reset") has come."""
         if self.closed or not self.process.alive:
             if kind == "data":
                 self.network.answer_reset(self)
--- a/crowseam/storage/store.py
+++ b/crowseam/storage/store.py
@@ -50,7 +50,7 @@
     value: bytes | None
 
 
-class _Damaged(Exception):
+class _DamagedRowsError(Exception):
     """Rows that may not be lost are damaged."""
 
 
@@ -91,13 +91,13 @@
             self.path.parent.mkdir(parents=True, exist_ok=True)
             try:
                 self._connect()
-            except (sqlite3.DatabaseError, UnicodeDecodeError, _Damaged) as error:
+            except (sqlite3.DatabaseError, UnicodeDecodeError, _DamagedRowsError) as error:
                 # Texts of errors that quote damaged names cannot even be decoded.
                 if isinstance(error, sqlite3.OperationalError) and not _looks_damaged(error):
                     raise
                 self._put_away()
                 self._connect()
-        except (sqlite3.Error, UnicodeDecodeError, OSError, _Damaged) as error:
+        except (sqlite3.Error, UnicodeDecodeError, OSError, _DamagedRowsError) as error:
             self.close()
             raise StoreError(f"cannot open the store: {error}") from error
 
@@ -105,7 +105,7 @@
         new = not self.path.exists()
         if new and self._journal().exists():
             # A journal without its database says nothing that could be trusted.
-            raise _Damaged("journal without a database")
+            raise _DamagedRowsError("journal without a database")
         self._connection = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False, timeout=0.0)
         self._connection.text_factory = lambda text: text.decode(errors="replace")
         run = self._connection.execute
@@ -117,17 +117,17 @@
         run("PRAGMA cache_size=-2048")
         run("PRAGMA temp_store=MEMORY")
         if run("PRAGMA quick_check(1)").fetchone()[0] != "ok":
-            raise _Damaged("pages do not fit together")
+            raise _DamagedRowsError("pages do not fit together")
         found = {name for (name,) in run("SELECT name FROM sqlite_master WHERE type = 'table'")}
         if found and not found.issuperset(_TABLES):
-            raise _Damaged("a table is missing")
+            raise _DamagedRowsError("a table is missing")
         self._connection.executescript("BEGIN IMMEDIATE;" + _SCHEMA + "COMMIT;")
         for table in _CRITICAL:
             for _ in self._rows(table):
                 pass
         held = dict(self._rows("identity"))
         if "id" not in held and any(next(self._rows(table), None) for table in ("promises", "votes")):
-            raise _Damaged("promises without an id")
+            raise _DamagedRowsError("promises without an id")
         # The names of the files last only once the folder is synced.
         _sync_folder(self.path.parent)
 
@@ -167,12 +167,12 @@
         return self._connection.execute(sql, values)
 
     def _rows(self, table: str, mend: bool = False) -> Iterable[tuple]:
-        """Key and body of each row; a damaged one is skipped if `mend`, else it raises _Damaged."""
+        """Key and body of each row; a damaged one is skipped if `mend`, else it raises _DamagedRowsError."""
         for key, body, check in self._run(f"SELECT key, body, sum FROM {table} ORDER BY key"):
             if isinstance(body, bytes) and check == _checksum(table, key, body):
                 yield key, body
             elif not mend:
-                raise _Damaged(f"a row of {table}")
+                raise _DamagedRowsError(f"a row of {table}")
 
     def _put(self, table: str, key: int | str, body: bytes) -> None:
         row = (key, body, _checksum(table, key, body))
@@ -202,7 +202,7 @@
             for _, body in self._rows("saved", mend=True):
                 durable.saved = _decode_saved(body)
             return durable
-        except (sqlite3.Error, msgspec.DecodeError, _Damaged, ValueError) as error:
+        except (sqlite3.Error, msgspec.DecodeError, _DamagedRowsError, ValueError) as error:
             raise StoreError(f"cannot read the store: {error}") from error
 
     def write(self, records: Iterable[Record | Note | Member]) -> None:
