--- a/crowseam/controller/peers.py
+++ b/crowseam/controller/peers.py
@@ -69,7 +69,8 @@
             link.send(hello)
             self._told.pop(addr, None)
             now = clock.monotonic()
-            self._ping(addr, now, self.names(now))
+            # Only an answer shows that both ways are open, and duties wait for that: not until its next ping is due.
+            self._ping(addr, now, self.names(now), prompt=True)
             # Either of us may have been away: what was missed is not to wait for its turn.
             link.send(self.offer(now))
 
@@ -86,6 +87,8 @@
             self._echoes.pop(hello.addr, None)  # it was no message of this life
             logs.say("controller_met", addr=hello.addr)
         self.know(hello.addr)
+        if (dialer := self.dialers.get(hello.addr)) is not None:
+            dialer.hasten()
         self._alive(hello.addr, clock.monotonic())
 
     def pinged(self, addr: str, ping: m.Ping, now: float) -> None:
@@ -198,7 +201,8 @@
             self._ping(addr, now, [], True)
 
     def _ping(self, addr: str, now: float, names: list[str], prompt: bool = False) -> None:
-        if (dialer := self.dialers.get(addr)) is not None:
+        # What was heard of a peer is kept to be answered until there is a link to it.
+        if (dialer := self.dialers.get(addr)) is not None and dialer.link is not None:
             dialer.send(m.Ping(now, self._echoes.pop(addr, 0.0), self.node.last, names, prompt))
 
     # Which gateways have a session with whom
--- a/crowseam/transport/links.py
+++ b/crowseam/transport/links.py
@@ -119,6 +119,7 @@
         self.loop, self.host, self.port, self.heard, self.made = loop, host, port, heard, made
         self.link: Link | None = None
         self.wanted, self.pause = True, self.PAUSE
+        self._retry: asyncio.TimerHandle | None = None  # while the next attempt is waited for
         self.task: asyncio.Task | None = loop.create_task(self._dial())
 
     async def _dial(self) -> None:
@@ -143,10 +144,17 @@
 
     def _later(self) -> None:
         if self.wanted:
-            self.loop.call_later(self.pause, self._again)
+            self._retry = self.loop.call_later(self.pause, self._again)
             self.pause = min(self.PAUSE_MOST, self.pause * 1.6)
 
+    def hasten(self) -> None:
+        """Dial at once where the next attempt is waited for, as the other end has just shown that it is up."""
+        if self._retry is not None:
+            self._retry.cancel()
+            self._again()
+
     def _again(self) -> None:
+        self._retry = None
         if self.wanted and self.link is None:
             self.task = self.loop.create_task(self._dial())
 
--- a/tests/crowseam/test_controller.py
+++ b/tests/crowseam/test_controller.py
@@ -8,6 +8,7 @@
 ``?ready``.
 """
 
+import itertools
 import json
 import unittest
 from random import Random
@@ -15,6 +16,7 @@
 from crowseam import settings as settings_file
 from crowseam.configuration.model import Configuration
 from crowseam.gateway.controller_session import ControllerSession
+from crowseam.quotas.shards import KEYS
 from crowseam.simulator.actors import http_client
 from crowseam.simulator.memory_controller import MemoryController
 from crowseam.simulator.world.disk import DiskImage
@@ -129,6 +131,13 @@
     def wipe(self, name):
         self.disk_images[name].wipe()
 
+    def held(self):
+        """The duties that some controller holds."""
+        nows = {name: process.clock(self.world.now) for name, process in self.processes.items()}
+        return {
+            key for key in KEYS if any(each.duties.holds(key, nows[name]) for name, each in self.controllers.items())
+        }
+
     def on_table(self, table):
         self.table = table
 
@@ -269,6 +278,18 @@
             6.5  |                           | ?200 1  |         | ?200    | ?ver 2
             """)
 
+    def test_duties_are_held_a_tenth_of_a_second_after_a_majority_is_back(self):
+        for first, second, third in itertools.permutations(REGISTRIES):
+            system = self.play(f"""
+                time | events
+                3    | kill r1; kill r2; kill r3
+                4    | start {first}
+                4.4  | start {second}
+                4.42 | start {third}
+                4.52 |
+                """)
+            self.assertEqual(system.held(), set(KEYS), first)
+
     def test_one_that_lost_its_disk_votes_again_under_a_new_id(self):
         system = self.play("""
             time | events            | r1      | r2      | r3      | gateway
