--- a/crowseam/gateway/load_balancer.py
+++ b/crowseam/gateway/load_balancer.py
@@ -276,7 +276,8 @@
         t.out[number] = (server, now)
         t.tried.append(server.id)
         server.out += 1
-        self.admission.sent(t.tenant, kind.work, now, number == 0)
+        if self._has_tenant(t):
+            self.admission.sent(t.tenant, kind.work, now, number == 0)
         if number == 0:
             self.budget.first(t.svc, now)
         out: list = [Send(t.id, number, server)]
@@ -371,7 +372,7 @@
         server.out -= 1
         self._learn(t, server, sent, status, load, now)
         if status is Status.OK:
-            self.admission.answered(t.tenant, now - t.begun, t.route.target, now)
+            self._answered(t, now - t.begun, now)
             for other, begun in t.out.values():  # nobody tells of those that were slower
                 other.out -= 1
                 ratio = min(SLOW, (now - begun) / self.kind(t.svc, t.route).work)
@@ -405,10 +406,11 @@
                         self.budget.spend(t.svc, now)
                     return out
         if not t.ran:
-            self.admission.give_back(t.tenant, now)
+            if self._has_tenant(t):
+                self.admission.give_back(t.tenant, now)
             return self._refuse(t, now, status.value)
         del self.tries[t.id]
-        self.admission.answered(t.tenant, max(now - t.begun, t.route.target * 1.5), t.route.target, now)
+        self._answered(t, max(now - t.begun, t.route.target * 1.5), now)
         if t.answer is not None and t.answer.status not in NOT_RUN:
             return [Give(t.id, 0, answer=t.answer)]
         return [Give(t.id, 504 if now >= t.ends - LEAST_LEFT else 502, reason=status.value)]
@@ -438,7 +440,7 @@
         if t is None:
             return []
         self._leave(t, now)
-        self.admission.answered(t.tenant, now - t.begun, t.route.target, now)
+        self._answered(t, now - t.begun, now)
         return [Give(number, 504, reason="deadline")]
 
     def passed(self, number: int, attempt: int, whole: bool, now: float) -> None:
@@ -451,7 +453,7 @@
         self._leave(t, now)
         if whole:
             server.fails, server.answered_at = 0, now
-            self.admission.answered(t.tenant, now - t.begun, t.route.target, now)
+            self._answered(t, now - t.begun, now)
         elif sent >= server.failed_at:
             self._fail(server, sent, now)
 
@@ -467,6 +469,15 @@
             if now - sent > self.kind(t.svc, t.route).tail:
                 self._fail(server, sent, now)
 
+    def _has_tenant(self, t: Try) -> bool:
+        """Whether the configuration in force still has its tenant: a request under way outlives a change."""
+        return t.tenant in self.admission.tenants
+
+    def _answered(self, t: Try, latency: float, now: float) -> None:
+        """Tell admission that the request was answered `latency` s after it came."""
+        if self._has_tenant(t):
+            self.admission.answered(t.tenant, latency, t.route.target, now)
+
     # What answers tell
 
     def _learn(
--- a/tests/crowseam/test_load_balancer.py
+++ b/tests/crowseam/test_load_balancer.py
@@ -496,6 +496,23 @@
                 self.assertEqual(world.given, {"1": told})
                 self.assertAlmostEqual(world.admission.held(0.1)["t"].level, level, 2)
 
+    def test_a_request_under_way_outlives_its_tenant(self):
+        for ended, told in (("ok", 200), ("error", 500), ("full", 503), ("reset", 502), ("over", 504)):
+            with self.subTest(ended):
+                world = World(self, ["a", "b"])
+                world.admission.configure({"t": TenantTerms()}, 0.0)
+                world.ask("1", "once", 0.0, tenant="t")
+                world.ask("2", "safe", 0.0, tenant="t")
+                world.admission.configure({}, 0.1)
+                (second,) = world.out["2"]
+                world.outcome("2", second, Status.RESET, 0.2)  # and is sent to one more server
+                if ended == "over":
+                    world.do(world.balancer.over("1", 0.3))
+                else:
+                    world.outcome("1", 0, OUTCOMES[ended], 0.3)
+                world.outcome("2", 1, Status.OK, 0.3)
+                self.assertEqual(world.given, {"1": told, "2": 200})
+
     def test_beyond_the_slice_the_reserve_is_asked_once_and_its_no_is_remembered(self):
         world = World(self, ["a"])
         world.admission.configure({"t": TenantTerms(1.0, 5.0)}, 0.0)
