--- a/crowseam/gateway/request_reader.py
+++ b/crowseam/gateway/request_reader.py
@@ -8,7 +8,7 @@
 from crowseam.configuration.routing import Route, Table
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.flow import Upload
-from fennelpoint.net.server import BadRequest, sort_fields
+from fennelpoint.net.request_fields import BadRequest, sort_fields
 
 ID = re.compile(rb"[!-~]{1,200}")
 MOST_LEFT_MS = 600_000  # ms; a longer wait is not meant
--- a/fennelpoint/net/reader.py
+++ b/fennelpoint/net/reader.py
@@ -10,7 +10,7 @@
 from fennelpoint.net.backends import HOP_BY_HOP
 from fennelpoint.net.flow import Upload
 from fennelpoint.net.host import Asked
-from fennelpoint.net.server import BadRequest, sort_fields
+from fennelpoint.net.request_fields import BadRequest, sort_fields
 
 MOST_LEFT_MS = 600_000  # ms; a longer wait is not meant
 MOST_CUSTOMER = 1 << 33
--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -23,10 +23,10 @@
 from fennelpoint.net import flow
 from fennelpoint.net.backends import HOP_BY_HOP, Answer, UpstreamConnection
 from fennelpoint.net.flow import Upload, Waiting
+from fennelpoint.net.request_fields import BadRequest, RequestReader
 
 if TYPE_CHECKING:
     from fennelpoint.net.host import Asked, Host
-    from fennelpoint.net.reader import Reader
 
 MOST_HEAD = 16 * 1024  # bytes of request line and fields together
 MOST_TAKEN = 512 * 1024  # bytes of one request as it comes, beyond its body and that one's usual framing
@@ -57,44 +57,6 @@
     idle_time: float = IDLE_TIMEOUT  # s
 
 
-class BadRequest(ValueError):
-    """What is wrong with a request, with the status that says so."""
-
-    def __init__(self, text: str, status: int = 400, headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
-        super().__init__(text)
-        self.status, self.headers = status, headers
-
-
-def sort_fields(
-    first: bytes,
-    headers: list[tuple[bytes, bytes]],
-    once: frozenset[bytes],
-    dropped: frozenset[bytes],
-    kept: frozenset[bytes],
-) -> tuple[dict[bytes, bytes], list[bytes]]:
-    """The fields that the routing goes by, and the lines that go on, the `first` one included.
-
-    A field of `once` may be given once.  What is `dropped`, or named by `Connection`, does not go on, but for
-    what is `kept`.  Raises BadRequest.
-    """
-    found: dict[bytes, bytes] = {}
-    options: set[bytes] = set()  # fields that are for this connection only, by the client's word
-    lines = [first]
-    for name, value in headers:
-        if name in once:
-            if name in found:  # which of them counts would be anybody's guess
-                raise BadRequest(f"{name.decode()} is given twice")
-            found[name] = value
-        elif name == b"connection":
-            options.update(word.strip().lower() for word in value.split(b","))
-        if name not in dropped:
-            lines.append(name + b": " + value)
-    if options:
-        options -= kept
-        lines[1:] = [line for line in lines[1:] if line.partition(b":")[0] not in options]
-    return found, lines
-
-
 @dataclass(slots=True, eq=False)
 class Turn:
     """What is to be answered in its turn: a request, a fault, or the path that asks whether we are ready."""
@@ -606,7 +568,7 @@
         loop: asyncio.AbstractEventLoop,
         host: Host,
         most: int,
-        reader: Reader,
+        reader: RequestReader,
         bounds: Bounds | None = None,
     ) -> None:
         self.loop, self.host, self.most = loop, host, most
--- a/tests/crowseam/test_request_reader.py
+++ b/tests/crowseam/test_request_reader.py
@@ -10,7 +10,8 @@
 from crowseam.configuration.routing import Table
 from crowseam.gateway.request_reader import Asked, Reader
 from fennelpoint.net import flow
-from fennelpoint.net.server import BadRequest, ClientConnection, Server
+from fennelpoint.net.request_fields import BadRequest
+from fennelpoint.net.server import ClientConnection, Server
 
 
 def item(group, name, **spec):
--- a/tests/test_library.py
+++ b/tests/test_library.py
@@ -7,6 +7,7 @@
 import pytest
 from conftest import make_settings
 
+import fennelpoint
 from fennelpoint import Controller
 from fennelpoint import interface as api
 
@@ -56,3 +57,20 @@
     one, two = (Controller(make_settings(), seed=3, now=0.0) for _ in range(2))
     assert run(one) == run(two)
     assert run(Controller(make_settings(), seed=4, now=0.0)) != run(one)
+
+
+def test_modules_do_not_import_each_other_in_a_circle():
+    """Imports for type checks count too: whoever reads one module of a circle has to read them all."""
+    root = Path(fennelpoint.__file__).parent
+    files = {".".join(p.relative_to(root.parent).with_suffix("").parts): p for p in root.rglob("*.py")}
+    imports: dict[str, set[str]] = {}
+    for name, path in files.items():
+        imports[name] = set()
+        for node in ast.walk(ast.parse(path.read_text())):
+            if isinstance(node, ast.ImportFrom) and node.module:
+                told = {node.module, *(f"{node.module}.{each.name}" for each in node.names)}
+                imports[name] |= told & files.keys()
+    while leaves := [name for name, wanted in imports.items() if not wanted & imports.keys()]:
+        for name in leaves:
+            del imports[name]
+    assert not imports
