--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -32,6 +32,7 @@
 MOST_TAKEN = 512 * 1024  # bytes of one request as it comes, beyond its body and that one's usual framing
 MOST_WAITING = 16  # requests written behind one another on one connection
 MOST_BEHIND = 64 * 1024  # bytes of their bodies
+WAITED_LEAST = 0.001  # s that a request has waited behind another before it is taken off its time
 MOST_UNREAD = 128 * 1024  # bytes of answers that a client leaves unread before it is served no more
 HEAD_TIMEOUT = 2.5  # s for a head to come whole, from the connect or its first byte; for a small body
 BODY_SPAN, BODY_LEAST = 2.0, 16 * 1024  # of a large body: in so many s, so many bytes
@@ -64,6 +65,7 @@
     what: Asked | BadRequest | bytes
     keep: bool  # the connection stays after it
     old: bool = False  # its client knows no chunks
+    since: float = 0.0  # when it was read; its time runs while it waits behind another
 
 
 class ClientConnection(asyncio.BufferedProtocol):
@@ -317,6 +319,7 @@
 
     def _wait(self, turn: Turn) -> Turn:
         """It is served in its turn."""
+        turn.since = time.monotonic()
         self.waiting.append(turn)
         if self.open is None and len(self.waiting) <= 1:
             return turn  # the usual client: one at a time
@@ -356,6 +359,10 @@
             elif isinstance(what, bytes):
                 status, text = (200, b"ready\n") if self.server.ready else (503, b"not ready\n")
                 self._write(status, (), text, self.turn.keep)
+            elif not self._has_time(what, time.monotonic() - self.turn.since):
+                # It was never passed on, and won't be.
+                self._drop(self.turn)
+                self._write(503, (), b"its time was up before its turn\n", self.turn.keep)
             elif self.server.host.is_open(what.txn):
                 # Guards against a second copy in another's name: an id is new with every request.
                 self.server.host.doubled(what)
@@ -370,6 +377,13 @@
                 self.open = request if self.open == -1 else self.open
         self._continue()
 
+    @staticmethod
+    def _has_time(asked: Asked, waited: float) -> bool:
+        """Take off the seconds that a request waited behind others; whether some of its time is left."""
+        if waited >= WAITED_LEAST:
+            asked.time_left -= waited
+        return asked.time_left > 0.0
+
     def answered(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """The answer, as it is to go out."""
         self._answer(status, headers, body)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -210,6 +210,24 @@
     run(play())
 
 
+def test_time_of_a_request_runs_while_it_waits_behind_another():
+    async def play() -> None:
+        backend = Backend(lambda line, fields, body: ok(b"yes") if fields["x-txn"] != "first" else None)
+        async with world(backend) as made:
+            reader, writer = await made.connect()
+            writer.write(
+                request("book", b"x", left=300, X_Txn="first")
+                + request("book", b"x", left=100, X_Txn="short")
+                + request("book", b"x", left=5000, X_Txn="long")
+            )
+            assert [(await read_message(reader))[0].split()[1] for _ in range(3)] == ["502", "503", "200"]
+            assert [fields["x-txn"] for _, fields, _ in backend.seen] == ["first", "long"]
+            assert int(backend.seen[1][1]["x-remaining-ms"]) <= 4700
+            writer.close()
+
+    run(play())
+
+
 def test_flood_on_one_connection_is_cut_off_and_the_rest_goes_on():
     async def play() -> None:
         backend = Backend(lambda *_: None)
