--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -416,7 +416,7 @@
         self.source, self.passing = source, Waiting(self.budget, self.transport)
         self.chunked = length is None and not self.turn.old
         self.framed = self.chunked or length is not None
-        if self.server.draining or not self.framed:
+        if self._ends_here() or not self.framed:
             self.turn.keep = False  # where no length can be told, the end is the connection's
         lines = [b"HTTP/1.1 %d %b" % (answer.status, REASONS.get(answer.status, b"Answer"))]
         lines += [name + b": " + value for name, value in answer.headers if name not in HOP_BY_HOP]
@@ -448,7 +448,7 @@
         if not self.lost:
             if self.chunked:
                 self.transport.write(b"0\r\n\r\n")
-            keep = self.turn.keep and not self.server.draining and not self.deaf
+            keep = self.turn.keep and not self._ends_here() and not self.deaf
             self._leave_answer()
             self._settle(keep)
             self._then()
@@ -477,7 +477,7 @@
             self.transport.set_write_buffer_limits(high=MOST_UNREAD)
 
     def _write(self, status: int, headers, body: bytes, keep: bool) -> None:
-        keep = keep and not self.server.draining
+        keep = keep and not self._ends_here()
         lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b"Answer"))]
         lines += [name + b": " + value for name, value in headers]
         lines.append(b"content-length: %d" % len(body))
@@ -486,6 +486,10 @@
         self.transport.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
         self._settle(keep)
 
+    def _ends_here(self) -> bool:
+        """Whether the server drains and each request that was read here has its answer with this one."""
+        return self.server.draining and not self.waiting
+
     def _settle(self, keep: bool) -> None:
         """An answer is written: wait for the next request, or leave."""
         if keep:
--- a/tests/crowseam/test_request_reader.py
+++ b/tests/crowseam/test_request_reader.py
@@ -309,7 +309,7 @@
             client.data_received(head + b"X-Attempt-Id: x\r\nContent-Length: 90000\r\n\r\n" + bytes(70_000))
             if ends == "answered last":
                 self.assertGreater(budget.used, 60_000)
-                server.stopping = True
+                client.turn.keep = False  # a server that stops would serve it first
                 client.answered(200, [], b"")
             elif ends == "broken":
                 client.broken()
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -210,6 +210,25 @@
     run(play())
 
 
+def test_stop_serves_what_was_read_behind_another_request():
+    async def play() -> None:
+        backend = Backend(lambda *_: None)
+        async with world(backend) as made:
+            reader, writer = await made.connect()
+            writer.write(b"".join(request("book", b"x", left=5000, X_Txn=f"t{i}") for i in range(3)))
+            await until(lambda: any(len(c.waiting) == 2 for c in made.ingress.server.connections))
+            made.ingress.stop()
+            backend.answer = lambda line, fields, body: ok(fields["x-txn"].encode())
+            backend.writers[0].write(ok(b"t0"))
+            told = [await read_message(reader) for _ in range(3)]
+            assert [body for _, _, body in told] == [b"t0", b"t1", b"t2"]
+            assert ["connection" in fields for _, fields, _ in told] == [False, False, True]
+            assert await reader.read() == b""
+            writer.close()
+
+    run(play())
+
+
 def test_time_of_a_request_runs_while_it_waits_behind_another():
     async def play() -> None:
         backend = Backend(lambda line, fields, body: ok(b"yes") if fields["x-txn"] != "first" else None)
