--- a/crowseam/gateway/gateway.py
+++ b/crowseam/gateway/gateway.py
@@ -34,6 +34,7 @@
 # time, and buckets begin empty
 NOT_RUN = frozenset((429, 503, 408, 421))  # a promise: it has not run and never will
 REASON = b"x-refused-by"
+OVERTIME = 0.2  # s past a request's time that a large answer which is on its way may take to end
 
 
 @dataclass(slots=True, eq=False)
@@ -293,7 +294,7 @@
         self, ticket: Ticket, number: int, status: Status, answer: Answer | None, passing: Passing | None = None
     ) -> None:
         if ticket.client is not None and ticket.passing is not None and ticket.passing is passing:
-            self.balancer.passed(ticket.id, number, status is Status.OK, clock.monotonic())
+            self.balancer.passed(ticket.id, number, status, clock.monotonic())
             if status is Status.OK:
                 self._finish(ticket, lambda c: c.finish(), 200)
             else:
@@ -358,11 +359,19 @@
         """The client's time is up: it is answered, unless it has been or a large answer is on its way."""
         if ticket.client is not None and ticket.passing is None:
             self._time_out(ticket)
+        elif ticket.client is not None:
+            self.loop.call_later(OVERTIME, self._break_off, ticket)
         # Guards the connections: what was slower than the answer may never end by itself.
         for number, exchange in list(ticket.out.items()):
             if ticket.passing is None or number != ticket.passing.number:
                 exchange.give_up(Status.TIMEOUT)
 
+    @staticmethod
+    def _break_off(ticket: Ticket) -> None:
+        """End a large answer that is still on its way: its client sees that it isn't whole."""
+        if ticket.client is not None and (exchange := ticket.out.get(ticket.passing.number)) is not None:
+            exchange.give_up(Status.TIMEOUT)
+
     def _time_out(self, ticket: Ticket) -> None:
         """Answer a request that has waited as long as its client does."""
         self._do(self.balancer.over(ticket.id, clock.monotonic()))
--- a/crowseam/gateway/load_balancer.py
+++ b/crowseam/gateway/load_balancer.py
@@ -443,19 +443,22 @@
         self._answered(t, now - t.begun, now)
         return [Give(number, 504, reason="deadline")]
 
-    def passed(self, number: int, attempt: int, whole: bool, now: float) -> None:
-        """A large answer of this attempt has gone to the client as it came, `whole` or broken off."""
+    def passed(self, number: int, attempt: int, status: Status, now: float) -> None:
+        """A large answer of this attempt has gone to the client as it came.
+
+        OK: whole.  TIMEOUT: broken off by us, as its time was up.  Else the server broke off.
+        """
         t = self.tries.pop(number, None)
         if t is None or attempt not in t.out:
             return
         server, sent = t.out.pop(attempt)
         server.out -= 1
         self._leave(t, now)
-        if whole:
+        if status is Status.OK:
             server.fails, server.answered_at = 0, now
             self._answered(t, now - t.begun, now)
-        elif sent >= server.failed_at:
-            self._fail(server, sent, now)
+        elif status is not Status.TIMEOUT and sent >= server.failed_at:
+            self._fail(server, sent, now)  # a timeout may be the client's doing, who reads slowly
 
     def gone(self, number: int, now: float) -> None:
         """The client has left."""
--- /dev/null
+++ b/tests/crowseam/test_gateway.py
@@ -0,0 +1,97 @@
+"""A gateway's timers and attempts, with servers played by the test: what a client gets, and when."""
+
+import contextlib
+import unittest
+from random import Random
+from unittest import mock
+
+from crowseam.discovery.service_registry import Record
+from crowseam.gateway.gateway import OVERTIME, Gateway
+from crowseam.simulator.world.patches import worn
+from fennelpoint.interface import Status
+from fennelpoint.net.backends import Answer
+from tests.crowseam import test_controller
+from tests.crowseam.test_load_balancer import ROUTES
+
+TIMEOUT = 2.0  # s that each request here may take
+PRICED = 0.25  # s past its route's timeout from which on a request that is held costs
+SERVERS = [Record(f"i-{number}", "s", f"10.9.0.{number}:80", "z", "v", 4) for number in (1, 2, 3)]
+
+
+class Case(unittest.TestCase):
+    def setUp(self):
+        system = test_controller.System(1)
+        self.world, process = system.world, system.network.process("x", "10.1.0.30")
+        stack = contextlib.ExitStack()
+        self.addCleanup(stack.close)
+        stack.enter_context(worn(self.world, lambda event, **fields: None))
+        self.process = process
+        self.world.enter(process)
+        self.gateway = Gateway(process.loop, system.settings("gateway", False), Random(1), 100)
+        self.gateway.budget.gateways(1, 0.0)
+        self.gateway.budget._slack_from = 0.0  # as if it had run for a window
+        self.gateway.follow(SERVERS, True)
+        self.exchanges, self.answers = [], []
+        self.gateway.backends.begin = lambda exchange, ident: self.exchanges.append(exchange)
+
+    def ask(self, kind):
+        """A request of this kind of route; its answers go to `answers` as (time, call, arguments)."""
+        client = mock.Mock()
+        for name in ("answered", "begin", "piece", "finish", "broken"):
+            getattr(client, name).side_effect = lambda *args, name=name: self.answers.append(
+                (self.world.now, name, args)
+            )
+        asked = mock.Mock(txn=b"%d" % len(self.exchanges), route=ROUTES[kind], tenant="", upload=None)
+        asked.time_left = TIMEOUT
+        self.begun = self.world.now
+        return self.gateway.admit(client, asked)
+
+    def wait(self, until):
+        """Let the world go on until so many seconds after the request."""
+        self.world.run(self.begun + until)
+        self.world.enter(self.process)
+
+    def connect(self, exchange):
+        """The exchange has its connection, and the server its request."""
+        exchange.connection = mock.Mock(written=True)
+
+    def told(self):
+        return [(name, *args[:1]) for _, name, args in self.answers]
+
+
+class InTime(Case):
+    def test_a_silent_server_is_not_waited_for_past_the_timeout(self):
+        self.ask("once")
+        self.connect(self.exchanges[0])
+        self.wait(TIMEOUT + PRICED)
+        self.assertEqual(self.told(), [("answered", 504)])
+        self.assertLess(self.answers[0][0] - self.begun, TIMEOUT + PRICED)
+
+    def test_a_large_answer_under_way_is_broken_off_soon_after_the_timeout(self):
+        self.ask("once")
+        exchange = self.exchanges[0]
+        self.connect(exchange)
+        exchange.receiver.begin(Answer(200, [], b"a part"), None, mock.Mock())
+        self.wait(TIMEOUT + 0.5 * OVERTIME)
+        self.assertEqual(self.told()[1:], [])
+        self.wait(TIMEOUT + PRICED)
+        self.assertEqual(self.told()[1:], [("broken",)])
+        self.assertLess(self.answers[1][0] - self.begun, TIMEOUT + PRICED)
+        for server in self.gateway.balancer.servers.values():
+            self.assertEqual((server.fails, server.out), (0, 0))  # it may be the client who reads slowly
+        self.assertEqual(self.gateway.under_way, 0)
+
+    def test_a_large_answer_that_ends_soon_after_the_timeout_is_whole(self):
+        self.ask("once")
+        exchange = self.exchanges[0]
+        self.connect(exchange)
+        exchange.receiver.begin(Answer(200, [], b"a part"), None, mock.Mock())
+        self.wait(TIMEOUT + 0.5 * OVERTIME)
+        exchange.receiver.piece(b"the rest")
+        exchange.end(Status.OK)
+        self.wait(TIMEOUT + 1.0)
+        self.assertEqual([name for _, name, _ in self.answers], ["begin", "piece", "finish"])
+
+
+if __name__ == "__main__":
+    unittest.main()
