--- a/crowseam/gateway/gateway.py
+++ b/crowseam/gateway/gateway.py
@@ -286,10 +286,16 @@
             receiver=passing,
             echo=asked.txn,
             idle=None if asked.route.safe else UNSAFE_IDLE,
+            silent=lambda: self._silent(ticket, number),
         )
         ticket.out[number] = exchange
         self.backends.begin(exchange, server.id)
 
+    def _silent(self, ticket: Ticket, number: int) -> None:
+        """An answer has fallen silent midway: another server may be asked, but this one is still waited for."""
+        if ticket.client is not None:
+            self._do(self.balancer.silent_amid(ticket.id, number, clock.monotonic()))
+
     def _outcome(
         self, ticket: Ticket, number: int, status: Status, answer: Answer | None, passing: Passing | None = None
     ) -> None:
--- a/crowseam/gateway/load_balancer.py
+++ b/crowseam/gateway/load_balancer.py
@@ -434,6 +434,20 @@
         self.budget.spend(t.svc, now)
         return out
 
+    def silent_amid(self, number: int, attempt: int, now: float) -> list:
+        """The answer of this attempt has fallen silent midway: as if it were late, and the server is told of."""
+        t = self.tries.get(number)
+        if t is None or attempt not in t.out:
+            return []
+        server, sent = t.out[attempt]
+        if sent > server.overdue_at:
+            server.overdue_at = now
+            self._tell(server, now)
+        if not t.route.safe:
+            return []
+        t.hedge_at = min(t.hedge_at, now)
+        return self.late(number, now)
+
     def over(self, number: int, now: float) -> list:
         """The client's time is up."""
         t = self.tries.pop(number, None)
--- a/fennelpoint/net/backends.py
+++ b/fennelpoint/net/backends.py
@@ -99,6 +99,7 @@
         "ended",
         "echo",
         "idle",
+        "silent",
     )
 
     def __init__(
@@ -110,12 +111,16 @@
         receiver: Receiver | None = None,
         echo: bytes | None = None,
         idle: tuple[float, float] | None = None,
+        silent: Callable[[], None] | None = None,
     ) -> None:
         self.echo = echo  # the id that its answer names, in dialects that have one
         self.idle = idle  # s that a connection which is used again may have stood: least and most
         self.render = render  # the bytes to send, made when they can be written
         self.done = done  # told the outcome, once; with no answer where that was passed on in pieces
         self.sent = sent  # told that the last byte is written
+        self.silent = (
+            silent  # told that an answer falls silent midway, which ends the exchange where there is none
+        )
         self.upload = upload  # what follows these bytes as it comes
         self.receiver = receiver  # who takes an answer too large to hold
         self.connection: UpstreamConnection | None = None
@@ -470,7 +475,10 @@
             and not self.passing
             and 0.0 < self.heard <= time.monotonic() - 0.99 * self.pool.stalled
         ):
-            self._spoilt("does not come whole")
+            if self.exchange.silent is not None:
+                self.exchange.silent()
+            else:
+                self._spoilt("does not come whole")
 
     def overdue(self, now: float) -> None:
         """A large body that neither comes nor goes is given up; while we don't read, the backend may wait."""
@@ -478,7 +486,8 @@
             before = self.waiting.size
             if self.waiting.look() < before or self.flushed:
                 self.moved = now
-        if self.reading and now - self.moved > flow.STALLED:
+        patient = self.passing and self.exchange.silent is not None
+        if self.reading and not patient and now - self.moved > flow.STALLED:
             self._spoilt("does not come whole" if self.passing else "comes before its request is taken")
 
     def eof_received(self) -> None:
--- a/tests/crowseam/test_gateway.py
+++ b/tests/crowseam/test_gateway.py
@@ -93,5 +93,37 @@
         self.assertEqual([name for _, name, _ in self.answers], ["begin", "piece", "finish"])
 
 
+class Silence(Case):
+    def test_an_answer_that_falls_silent_is_waited_for_beside_another_try(self):
+        self.ask("safe3")
+        first = self.exchanges[0]
+        self.connect(first)
+        first.silent()
+        first.silent()
+        self.assertEqual(len(self.exchanges), 2)
+        self.assertEqual(self.answers, [])
+        first.end(Status.OK, Answer(200, [], b"whole"))
+        self.assertEqual(self.told(), [("answered", 200)])
+
+    def test_what_may_run_once_is_not_ended_by_its_servers_silence(self):
+        self.ask("unsafe3")
+        first = self.exchanges[0]
+        self.connect(first)
+        self.wait(0.6)
+        first.silent()
+        self.assertEqual((len(self.exchanges), self.answers), (1, []))
+        first.end(Status.OK, Answer(200, [], b"whole"))
+        self.assertEqual(self.told(), [("answered", 200)])
+
+    def test_the_fleet_hears_of_a_server_that_falls_silent(self):
+        self.ask("once")
+        self.exchanges[0].end(Status.OK, Answer(200, [], b""))
+        self.ask("unsafe3")
+        self.wait(0.1)
+        self.exchanges[1].silent()
+        self.exchanges[1].silent()
+        self.assertEqual(list(self.gateway.balancer.ill_news(self.world.now).values()), [1])
+
+
 if __name__ == "__main__":
     unittest.main()
