--- a/crowseam/gateway/gateway.py
+++ b/crowseam/gateway/gateway.py
@@ -379,7 +379,10 @@
             exchange.give_up(Status.TIMEOUT)
 
     def _time_out(self, ticket: Ticket) -> None:
-        """Answer a request that has waited as long as its client does."""
+        """Answer a request that has waited as long as its client does: refused, if it came to no server."""
+        for exchange in list(ticket.out.values()):
+            if exchange.connection is None:
+                exchange.give_up(Status.TIMEOUT)
         self._do(self.balancer.over(ticket.id, clock.monotonic()))
         if ticket.client is not None and ticket.drawing:
             # It waits for the reserve: no server has had it.
--- a/tests/crowseam/test_gateway.py
+++ b/tests/crowseam/test_gateway.py
@@ -92,6 +92,23 @@
         self.wait(TIMEOUT + 1.0)
         self.assertEqual([name for _, name, _ in self.answers], ["begin", "piece", "finish"])
 
+    def test_what_came_to_no_server_is_refused_at_its_timeout(self):
+        for kind in ("once", "safe3"):
+            self.exchanges.clear()
+            self.answers.clear()
+            self.ask(kind)  # its connection does not come up
+            self.wait(TIMEOUT + PRICED)
+            self.assertEqual(self.told(), [("answered", 503)], kind)
+            self.assertEqual(self.gateway.under_way, 0)
+
+    def test_one_that_a_server_has_had_is_promised_nothing_at_its_timeout(self):
+        self.ask("safe3")
+        self.connect(self.exchanges[0])
+        self.wait(1.9)  # it is late, and a second try waits for its connection
+        self.assertEqual(len(self.exchanges), 2)
+        self.wait(TIMEOUT + PRICED)
+        self.assertEqual(self.told(), [("answered", 504)])
+
 
 class Silence(Case):
     def test_an_answer_that_falls_silent_is_waited_for_beside_another_try(self):
