--- a/crowseam/cli/file_checks.py
+++ b/crowseam/cli/file_checks.py
@@ -18,6 +18,8 @@
 SERVES = ("edge", "ctl")
 BINDS = {"edge": ("http", "readyz"), "ctl": ("ctl",)}
 HELPERS = ("env", "npx", "sh", "bash", "nohup", "sudo", "exec")
+# Names of Debian packages, by its policy (5.6.1).
+_PACKAGE = re.compile(r"[a-z0-9][a-z0-9+.-]+", re.ASCII)
 
 
 class Machine(Struct):
@@ -102,8 +104,9 @@
 
 
 class DeployFile(Struct, forbid_unknown_fields=True):
-    """The deploy file."""
+    """The deploy file; `packages` are the Debian packages that building and running need."""
 
+    packages: list[str]
     build: str
     roles: dict[str, Role]
 
@@ -211,10 +214,12 @@
         data = tomllib.loads(body.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         return [("", str(error))]
-    found: list[Fault] = [(name, "is no field of a deploy file") for name in data.keys() - {"build", "roles"}]
+    fields = {each.name for each in msgspec.structs.fields(DeployFile)}
+    found: list[Fault] = [(name, "is no field of a deploy file") for name in data.keys() - fields]
     good = _fields({"roles": {}} | data, DeployFile, "", found, {"roles": _NoFields})
     if not good.get("build", "x").strip():
         found.append(("build", "is empty"))
+    found += _package_faults(good.get("packages"))
     tables = data.get("roles")
     if not isinstance(tables, dict) or not tables:
         return [*found, ("roles", "names no role")]
@@ -260,6 +265,22 @@
     return found
 
 
+def _package_faults(packages: list[str] | None) -> list[Fault]:
+    """Return the faults of the list of Debian packages; None is a list whose fault was found before."""
+    if packages is None:
+        return []
+    if not packages:
+        return [("packages", "is empty, so a machine would have no interpreter")]
+    found: list[Fault] = []
+    for place, name in enumerate(packages):
+        field = f"packages[{place}]"
+        if _PACKAGE.fullmatch(name) is None:
+            found.append((field, f"{name!r} is not the name of a Debian package"))
+        elif name in packages[:place]:
+            found.append((field, f"{name!r} is named twice"))
+    return found
+
+
 class _NoFields(Struct):
     pass
 
--- a/tests/crowseam/test_cli.py
+++ b/tests/crowseam/test_cli.py
@@ -401,6 +401,7 @@
 
     def test_deploy(self):
         good = """
+            packages = ["python3", "libstdc++6"]
             build = "make"
             [roles.gateway]
             run = "python3 -m crowseam gateway"
@@ -429,12 +430,23 @@
             ('build = "make"', "", "build"),
             ("count = 2", "count = 2\nports = 1", "roles.controller.ports"),
             ("[roles.gateway]", "[roles", ""),
+            ('packages = ["python3", "libstdc++6"]', "", "packages"),
+            ('["python3", "libstdc++6"]', "[]", "packages"),
+            ('["python3", "libstdc++6"]', '"python3"', "packages"),
+            ('"libstdc++6"', "6", "packages[1]"),
+            ('"libstdc++6"', '""', "packages[1]"),
+            ('"libstdc++6"', '"Python3 "', "packages[1]"),
+            ('"libstdc++6"', '"python3=3.11"', "packages[1]"),
+            ('"libstdc++6"', '"python3"', "packages[1]"),
         ]
         for old, new, field in cases:
             with self.subTest(new=new):
                 found = file_checks.check_deploy(good.replace(old, new, 1).encode())
                 self.assertIn(field, [each for each, _ in found])
 
+    def test_the_deploy_file_of_the_system_is_without_fault(self):
+        self.assertEqual(file_checks.check_deploy(Path("deploy/system.toml").read_bytes()), [])
+
 
 if __name__ == "__main__":
     unittest.main()
