--- a/tests/crowseam/test_logs.py
+++ b/tests/crowseam/test_logs.py
@@ -10,8 +10,9 @@
 from crowseam import clock, logs
 
 ROOT = Path(__file__).parents[2]
-PACKAGES = {"gateway": ("gateway",), "controller": ("controller",), "transport": ("gateway", "controller")}
-ROLES = {"gateway": ("gateway",), "controller": ("controller",), "both": ("gateway", "controller")}
+BOTH = ("gateway", "controller")
+PACKAGES = {"gateway": ("gateway",), "controller": ("controller",), "transport": BOTH, "metrics": BOTH}
+ROLES = {"gateway": ("gateway",), "controller": ("controller",), "both": BOTH}
 
 
 def said():
