--- a/crowseam/capacity/page.py
+++ b/crowseam/capacity/page.py
@@ -8,13 +8,13 @@
 from __future__ import annotations
 
 from pathlib import Path
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 from msgspec import Struct
 
-from crowseam.capacity.scale_run import row as _summary
-from crowseam.cli.commands import Args, _json, _out, _write
+from crowseam.capacity.scale_record import RunRecord, summary
+from crowseam.cli.console import Args, print_json, print_text, write_file
 from crowseam.cli.errors import DONE, BadInputError
 
 LATE_MOST = 0.05  # s by which hollow looks may be late on average: beyond, the run measured itself
@@ -108,16 +108,16 @@
 def _least_squares(points: list[tuple[float, float]], degree: int) -> tuple[list[float], float] | None:
     """Coefficients from the constant on, and the root of the mean square of the residue."""
     scale = max(abs(x) for x, _ in points) or 1.0  # keeps the sums of powers alike in size
-    told = [(x / scale, y) for x, y in points]
+    scaled = [(x / scale, y) for x, y in points]
     rows = [
-        [sum(x ** (i + j) for x, _ in told) for j in range(degree + 1)] + [sum(y * x**i for x, y in told)]
+        [sum(x ** (i + j) for x, _ in scaled) for j in range(degree + 1)] + [sum(y * x**i for x, y in scaled)]
         for i in range(degree + 1)
     ]
     found = _solve(rows)
     if found is None:
         return None
-    left = sum((y - sum(c * x**i for i, c in enumerate(found))) ** 2 for x, y in told)
-    return [c / scale**i for i, c in enumerate(found)], (left / len(told)) ** 0.5
+    left = sum((y - sum(c * x**i for i, c in enumerate(found))) ** 2 for x, y in scaled)
+    return [c / scale**i for i, c in enumerate(found)], (left / len(scaled)) ** 0.5
 
 
 def fit(points: list[tuple[float, float]], size: float) -> Fit | None:
@@ -138,25 +138,25 @@
     return Fit(a, b, 0.0, residue, True, a + b * size)
 
 
-def trouble(record: dict[str, Any]) -> str:
+def unfit(record: RunRecord) -> str:
     """Why a run gives no slopes; empty if it does."""
-    calm = record.get("calm")
-    if calm is None:
+    if record.calm is None:
         return "ended before its calm time"
-    if calm["events"].get("left silent", 0):
-        return f"sessions left as silent in calm ({calm['events']['left silent']})"
-    if calm["hollow_late_s"]["mean"] > LATE_MOST:
-        return f"the hollow gateways were late themselves ({calm['hollow_late_s']['mean']} s on average)"
-    if not record.get("mass_start", {}).get("done"):
+    if silent := record.calm.events.get("left silent", 0):
+        return f"sessions left as silent in calm ({silent})"
+    if record.calm.hollow_late_s.mean > LATE_MOST:
+        return f"the hollow gateways were late themselves ({record.calm.hollow_late_s.mean} s on average)"
+    if record.mass_start is None or not record.mass_start.done:
         return "not all gateways came up"
     return ""
 
 
-def _deep(record: dict[str, Any], path: str) -> float | None:
-    told: Any = record
+def _at(record: RunRecord, path: str) -> float | None:
+    """The value at a dotted path of attributes; None where a part was not reached."""
+    value: Any = record
     for name in path.split("."):
-        told = told.get(name) if isinstance(told, dict) else None
-    return told
+        value = getattr(value, name, None)
+    return value
 
 
 TIMES = (
@@ -174,60 +174,78 @@
 )
 USES = (
     ("cores", "cores"),
-    ("rss_MB", "MB"),
+    ("memory", "MB"),
     ("files", "descriptors"),
-    ("in_kB_s", "kB/s in"),
-    ("out_kB_s", "kB/s out"),
-    ("disk_kB_s", "kB/s to disk"),
+    ("read", "kB/s in"),
+    ("written", "kB/s out"),
+    ("disk", "kB/s to disk"),
 )
 
 
-def series(records: list[dict[str, Any]], curves: dict[str, Any] | None, sweeps: list[Sweep]) -> list[Series]:
-    """All quantities of the records, by role."""
-    found: dict[tuple[str, str, str, str, str], list[tuple[float, float]]] = {}
-
-    def add(
-        role: str,
-        quantity: str,
-        unit: str,
-        size: float,
-        value: float | None,
-        by: str = "gateways",
-        how: str = "measured",
-    ) -> None:
+class SeriesKey(NamedTuple):
+    """What sets one series apart from the others."""
+
+    role: str
+    quantity: str
+    unit: str
+    by: str = "gateways"
+    how: str = "measured"
+
+
+class Points:
+    """Values by size, collected by series."""
+
+    def __init__(self) -> None:
+        self._points: dict[SeriesKey, list[tuple[float, float]]] = {}
+
+    def add(self, key: SeriesKey, size: float, value: float | None) -> None:
+        """Add a value; None is none."""
         if value is not None:
-            found.setdefault((role, quantity, unit, by, how), []).append((float(size), float(value)))
+            self._points.setdefault(key, []).append((float(size), float(value)))
+
+    def series(self) -> list[Series]:
+        """All series, in the order in which they came."""
+        return [
+            Series(key.role, key.quantity, key.unit, key.by, sorted(points), key.how)
+            for key, points in self._points.items()
+        ]
+
 
+def series(records: list[RunRecord], curves: dict[str, Any] | None, sweeps: list[Sweep]) -> list[Series]:
+    """All quantities of the records, by role."""
+    points = Points()
     for record in records:
-        if trouble(record):
-            continue
-        size, calm = record["gateways"], record["calm"]
-        hollow = max(1, calm["open"])
-        for role in ("gateway", "controller"):
-            used = [each for name, each in calm["processes"].items() if name.startswith(f"{role}-")]
-            for key, unit in USES if used else ():
-                add(role, f"calm, {unit}", unit, size, sum(each[key] for each in used) / len(used))
-        add("controller", "disk held", "MB", size, max(record["disk_MB"].values(), default=None))
-        add("hollow gateway", "calm, all messages", "kB/s", size, calm["gateway_kB_s"])
-        add("hollow gateway", "tenants named in a report", "tenants", size, calm["tenants_named"])
-        add("hollow gateway", "draws wanted", "a second", size, calm["draws_wanted_s"] / hollow)
-        for what, told in calm["traffic"].items():
-            add("hollow gateway", what, "kB/s", size, told["kB_s"] / hollow)
-        for quantity, unit, path in TIMES:
-            add("times", quantity, unit, size, _deep(record, path))
-        if not record["load"].get("ramp"):
-            add("times", "mass start, worst", "s", size, _deep(record, "mass_start.catch_up_s.worst"))
+        if not unfit(record):
+            _add_run(points, record)
     for each in (curves or {}).get("processor", ()):
         by = "servers_of_a_service" if each["by"] == "servers of a service" else each["by"]
-        add("code", each["what"], "µs", each["size"], each["us"], by, "trial")
+        points.add(SeriesKey("code", each["what"], "µs", by, "trial"), each["size"], each["us"])
     for sweep in sweeps:
-        for each in sweep.rows:
-            for size, value in each.values.items():
-                add(each.role, each.quantity, each.unit, float(size), value, sweep.by, sweep.name)
-    return [
-        Series(role, quantity, unit, by, sorted(points), how)
-        for (role, quantity, unit, by, how), points in found.items()
-    ]
+        for row in sweep.rows:
+            for size, value in row.values.items():
+                points.add(SeriesKey(row.role, row.quantity, row.unit, sweep.by, sweep.name), float(size), value)
+    return points.series()
+
+
+def _add_run(points: Points, record: RunRecord) -> None:
+    """Add what one run has measured."""
+    size, calm = record.gateways, record.calm
+    for role in ("gateway", "controller"):
+        used = [each for name, each in calm.processes.items() if name.startswith(f"{role}-")]
+        for key, unit in USES if used else ():
+            mean = sum(getattr(each, key) for each in used) / len(used)
+            points.add(SeriesKey(role, f"calm, {unit}", unit), size, mean)
+    points.add(SeriesKey("controller", "disk held", "MB"), size, max(record.disk.values(), default=None))
+    hollow, role = max(1, calm.open), "hollow gateway"
+    points.add(SeriesKey(role, "calm, all messages", "kB/s"), size, calm.gateway_kilobytes)
+    points.add(SeriesKey(role, "tenants named in a report", "tenants"), size, calm.tenants_named)
+    points.add(SeriesKey(role, "draws wanted", "a second"), size, calm.draws_wanted_s / hollow)
+    for what, rate in calm.traffic.items():
+        points.add(SeriesKey(role, what, "kB/s"), size, rate.kilobytes / hollow)
+    for quantity, unit, path in TIMES:
+        points.add(SeriesKey("times", quantity, unit), size, _at(record, path))
+    if not record.load.get("ramp"):
+        points.add(SeriesKey("times", "mass start, worst", "s"), size, _at(record, "mass_start.catch_up_s.worst"))
 
 
 def number(value: float) -> str:
@@ -235,48 +253,49 @@
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
-def rows(told: list[Series], goals: Goals) -> list[dict[str, str]]:
+def rows(found: list[Series], goals: Goals) -> list[dict[str, str]]:
     """A row of the table for each series: what was measured, its slope, and where that leads."""
     known = {goal.row: goal for goal in goals.rows}
-    out = []
-    for each in told:
-        size = goals.size.get(each.by)
-        found = None if size is None else fit(each.points, size)
-        goal = known.get(each.name, Goal(each.name))
-        slope, at, value = "one size only", "-", None
-        if found is not None:
-            values = [y for _, y in each.points]
-            mean = sum(values) / len(values)
-            slope = f"{number(found.b)} each, residue {number(found.residue)}"
-            if not found.line:
-                slope = f"no line: {number(found.b)} and {number(found.c)} by the square"
-            if each.role == "times":
-                at = "as measured, while no controller is full"  # beyond that no line leads anywhere
-            elif len(each.points) < FEWEST:
-                at = f"not carried on from {len(each.points)} sizes"
-            elif max(values) - min(values) <= LOOSE * mean or found.line and found.b <= 0.0:
-                slope, value = f"{slope}: does not grow", mean
-            else:
-                value = found.at
-        if value is not None:
-            at = number(value)
-            if goal.most is not None:
-                at += " (within)" if value <= goal.most else " (beyond)"
-            if size > FAR * each.points[-1][0]:
-                at += f", far: measured to {each.points[-1][0]:,.0f}"
-        out.append(
-            {
-                "role": each.role,
-                "quantity": f"{each.quantity} ({each.unit})",
-                "measured": ", ".join(f"{x:,.0f}: {number(y)}" for x, y in each.points),
-                "slope": slope,
-                "at the size to come": at,
-                "allowance": "-" if goal.most is None else number(goal.most),
-                "how": each.how,
-                "mechanism": goal.mechanism or "-",
-            }
-        )
-    return out
+    return [_row(each, known.get(each.name, Goal(each.name)), goals.size.get(each.by)) for each in found]
+
+
+def _row(each: Series, goal: Goal, size: float | None) -> dict[str, str]:
+    slope, at = _carried(each, goal, size)
+    return {
+        "role": each.role,
+        "quantity": f"{each.quantity} ({each.unit})",
+        "measured": ", ".join(f"{x:,.0f}: {number(y)}" for x, y in each.points),
+        "slope": slope,
+        "at the size to come": at,
+        "allowance": "-" if goal.most is None else number(goal.most),
+        "how": each.how,
+        "mechanism": goal.mechanism or "-",
+    }
+
+
+def _carried(each: Series, goal: Goal, size: float | None) -> tuple[str, str]:
+    """The slope of a series in words, and where it leads at the size to come."""
+    found = None if size is None else fit(each.points, size)
+    if found is None:
+        return "one size only", "-"
+    values = [y for _, y in each.points]
+    mean = sum(values) / len(values)
+    slope = f"{number(found.b)} each, residue {number(found.residue)}"
+    if not found.line:
+        slope = f"no line: {number(found.b)} and {number(found.c)} by the square"
+    if each.role == "times":
+        return slope, "as measured, while no controller is full"  # beyond that no line leads anywhere
+    if len(each.points) < FEWEST:
+        return slope, f"not carried on from {len(each.points)} sizes"
+    value = found.at
+    if max(values) - min(values) <= LOOSE * mean or found.line and found.b <= 0.0:
+        slope, value = f"{slope}: does not grow", mean
+    at = number(value)
+    if goal.most is not None:
+        at += " (within)" if value <= goal.most else " (beyond)"
+    if size > FAR * each.points[-1][0]:
+        at += f", far: measured to {each.points[-1][0]:,.0f}"
+    return slope, at
 
 
 def markdown(table: list[dict[str, Any]]) -> str:
@@ -313,44 +332,43 @@
         raise BadInputError(file.name, str(error)) from None
 
 
-def _record(file: Path) -> Any:
+def _json(file: Path, kind: type) -> Any:
     try:
-        return msgspec.json.decode(file.read_bytes())
+        return msgspec.json.decode(file.read_bytes(), type=kind)
     except (msgspec.MsgspecError, OSError, ValueError) as error:
         raise BadInputError(file.name, str(error)) from None
 
 
-def read(folder: Path) -> tuple[list[dict[str, Any]], dict[str, Any] | None, list[Sweep], Goals]:
+def read(folder: Path) -> tuple[list[RunRecord], dict[str, Any] | None, list[Sweep], Goals]:
     """The records, curves, sweeps and goals of a directory. Raises BadInputError naming the file."""
     goals = _toml(folder / "goals.toml", Goals)
-    records = sorted((_record(file) for file in folder.glob("scale-run-*.json")), key=lambda record: record["gateways"])
+    files = folder.glob("scale-run-*.json")
+    records = sorted((_json(file, RunRecord) for file in files), key=lambda record: record.gateways)
     curves = folder / "curves.json"
     sweeps = [_toml(file, Sweep) for file in sorted(folder.glob("sweep-*.toml"))]
-    return records, _record(curves) if curves.exists() else None, sweeps, goals
+    return records, _json(curves, dict[str, Any]) if curves.exists() else None, sweeps, goals
 
 
-def runs(records: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def runs(records: list[RunRecord]) -> list[dict[str, Any]]:
     """A row for each run: what it found, how busy the machine was, and whether it counts."""
     found = []
     for record in records:
-        summary = {name: value for name, value in _summary(record).items() if name != "failed"}
-        found.append(
-            summary
-            | {
-                "load average": f"{record['machine']['load_average_before'][0]:g} to "
-                f"{record['machine']['load_average_after'][0]:g}",
-                "failed": "; ".join(record["failed"]) or "nothing",
-                "no slopes, as": trouble(record) or "-",
-            }
-        )
+        before, after = record.machine.load_average_before[0], record.machine.load_average_after[0]
+        row = {name: value for name, value in summary(record).items() if name != "failed"}
+        row |= {
+            "load average": f"{before:g} to {after:g}",
+            "failed": "; ".join(record.failed) or "nothing",
+            "no slopes, as": unfit(record) or "-",
+        }
+        found.append(row)
     return found
 
 
 def tables(
-    records: list[dict[str, Any]], curves: dict[str, Any] | None, sweeps: list[Sweep], goals: Goals
+    records: list[RunRecord], curves: dict[str, Any] | None, sweeps: list[Sweep], goals: Goals
 ) -> dict[str, list[dict[str, Any]]]:
     """All tables of the page by name."""
-    told = rows(series(records, curves, sweeps), goals)
+    found = rows(series(records, curves, sweeps), goals)
     parts: dict[str, list[dict[str, Any]]] = {"runs": runs(records)}
     for name, roles in (
         ("gateway", ("gateway", "hollow gateway")),
@@ -358,9 +376,9 @@
         ("times", ("times",)),
         ("code", ("code",)),
     ):
-        parts[name] = [each for each in told if each["role"] in roles]
+        parts[name] = [each for each in found if each["role"] in roles]
     known = {each["role"] for part in parts.values() for each in part if "role" in each}
-    parts["sweeps"] = [each for each in told if each["role"] not in known]
+    parts["sweeps"] = [each for each in found if each["role"] not in known]
     return parts
 
 
@@ -368,16 +386,16 @@
     """`crowseam capacity`: print the tables, or write them into a page. Raises BadInputError."""
     found = tables(*read(Path(args["--records"])))
     if args["--json"]:
-        _json(found)
+        print_json(found)
         return DONE
     if args["--page"]:
         try:
             page = Path(args["--page"]).read_text(encoding="utf-8")
         except OSError as error:
             raise BadInputError("--page", f"{args['--page']}: {error.strerror}") from None
-        told = {name: markdown(table) for name, table in found.items()}
-        _write(args["--page"], fill(page, told).encode(), "--page")
+        texts = {name: markdown(table) for name, table in found.items()}
+        write_file(args["--page"], fill(page, texts).encode(), "--page")
         return DONE
     for name, table in found.items():
-        _out(f"{name}\n{markdown(table)}\n")
+        print_text(f"{name}\n{markdown(table)}\n")
     return DONE
--- a/crowseam/cli/commands.py
+++ b/crowseam/cli/commands.py
@@ -11,45 +11,11 @@
 import msgspec
 
 from crowseam.cli import configuration_diff, control_client, file_checks
+from crowseam.cli.console import Args, number, print_json, print_text, read_file, write_file
 from crowseam.cli.errors import BAD_INPUT, DONE, FAILED, BadInputError, CommandError, UnclearError
 from crowseam.cli.tables import cell, rows, table
 from crowseam.configuration.model import Configuration, ConfigurationError, version
 
-Args = dict[str, Any]
-
-
-def _out(text: str) -> None:
-    sys.stdout.write(text)
-
-
-def _json(data: Any) -> None:
-    _out(msgspec.json.format(msgspec.json.encode(data), indent=2).decode() + "\n")
-
-
-def _read(path: str, field: str) -> bytes:
-    try:
-        return sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
-    except OSError as error:
-        raise BadInputError(field, f"{path}: {error.strerror or error}") from None
-
-
-def _write(path: str, body: bytes, field: str) -> None:
-    try:
-        Path(path).write_bytes(body)
-    except OSError as error:
-        raise BadInputError(field, f"{path}: {error.strerror or error}") from None
-
-
-def number(args: Args, name: str, kind: type) -> Any:
-    """Return an option as a number above 0. Raises BadInputError."""
-    try:
-        value = kind(args[name])
-    except ValueError:
-        raise BadInputError(name, f"{args[name]!r} is not a number") from None
-    if not 0 < value < 1e9:
-        raise BadInputError(name, f"{args[name]} is not above 0")
-    return value
-
 
 def _addresses(args: Args) -> list[str]:
     listed, field = args["--at"], "--at"
@@ -61,7 +27,7 @@
             raise BadInputError("--at", "is missing, and CROWSEAM_BOOT names no settings file")
         field = "seeds"
         try:
-            addresses = msgspec.json.decode(_read(path, "CROWSEAM_BOOT"))["seeds"]
+            addresses = msgspec.json.decode(read_file(path, "CROWSEAM_BOOT"))["seeds"]
         except (msgspec.DecodeError, KeyError, TypeError):
             raise BadInputError("seeds", f"cannot be read from {path}") from None
     for address in addresses:
@@ -100,16 +66,16 @@
 def check(args: Args) -> int:
     """Check a file and print every fault."""
     kind = next(name for name in ("settings", "deploy", "config") if args[name])
-    body = _read(args["FILE"][0], "FILE")
+    body = read_file(args["FILE"][0], "FILE")
     found = {
         "settings": file_checks.check_settings,
         "deploy": file_checks.check_deploy,
         "config": file_checks.check_config,
     }[kind](body)
     if args["--json"]:
-        _json([{"field": field, "text": text} for field, text in found])
+        print_json([{"field": field, "text": text} for field, text in found])
     elif not found:
-        _out("ok\n")
+        print_text("ok\n")
     else:
         for field, text in found:
             sys.stderr.write(f"{field or kind}: {text}\n")
@@ -120,15 +86,15 @@
     """Print the newest configuration, whole."""
     body = _call(args, "config").body
     if args["--out"]:
-        _write(args["--out"], body, "--out")
+        write_file(args["--out"], body, "--out")
     else:
-        _out(body.decode("utf-8", "replace") + "\n")
+        print_text(body.decode("utf-8", "replace") + "\n")
     return DONE
 
 
 def config_put(args: Args) -> int:
     """Send a whole configuration, or a PATCH where the file holds one, until a clear answer comes."""
-    body = _read(args["FILE"][0], "FILE")
+    body = read_file(args["FILE"][0], "FILE")
     patch = file_checks.is_patch(body)
     if not args["--no-check"]:
         found = file_checks.check_config(body)
@@ -140,9 +106,9 @@
     except (msgspec.DecodeError, KeyError, TypeError):
         ver = None
     if args["--json"]:
-        _json({"taken": True, "ver": ver})
+        print_json({"taken": True, "ver": ver})
     else:
-        _out(f"taken: version {cell(ver)}\n")
+        print_text(f"taken: version {cell(ver)}\n")
     return DONE
 
 
@@ -155,11 +121,11 @@
 
 def config_diff(args: Args) -> int:
     """Print what differs between two files, or between the configuration in force and a file."""
-    new = _configuration(_read(args["NEW"], "NEW"), "NEW")
+    new = _configuration(read_file(args["NEW"], "NEW"), "NEW")
     if args["OLD"] is None:
         old = _configuration(_call(args, "config").body, "the configuration in force")
     else:
-        old = _configuration(_read(args["OLD"], "OLD"), "OLD")
+        old = _configuration(read_file(args["OLD"], "OLD"), "OLD")
     if args["--as-patch"] is not None:
         try:
             ver = version(args["--as-patch"], "--as-patch")
@@ -167,22 +133,24 @@
             raise BadInputError(error.field, error.text) from None
         if ver <= old.ver:
             raise BadInputError("--as-patch", f"{args['--as-patch']} is not above {old.ver:08x}")
-        _out(configuration_diff.as_patch(old, new, args["--as-patch"]).decode() + "\n")
+        print_text(configuration_diff.as_patch(old, new, args["--as-patch"]).decode() + "\n")
         return DONE
     found = configuration_diff.differences(old, new)
     if args["--json"]:
-        _json({"from": f"{old.ver:08x}", "to": f"{new.ver:08x}", "items": found})
+        print_json({"from": f"{old.ver:08x}", "to": f"{new.ver:08x}", "items": found})
     else:
-        _out("".join(f"{line}\n" for line in [f"{old.ver:08x} -> {new.ver:08x}", *configuration_diff.lines(found)]))
+        print_text(
+            "".join(f"{line}\n" for line in [f"{old.ver:08x} -> {new.ver:08x}", *configuration_diff.lines(found)])
+        )
     return DONE
 
 
 def _listing(args: Args, name: str) -> int:
     data = _data(_call(args, name))
     if args["--json"]:
-        _json(data)
+        print_json(data)
     else:
-        _out(table(rows(data, name)))
+        print_text(table(rows(data, name)))
     return DONE
 
 
@@ -258,17 +226,17 @@
     """Print, on one screen, what is wrong now. FAILED when anything is."""
     view = summed(sorted(caller(args).each("status"), key=lambda each: each[0]))
     if args["--json"]:
-        _json(view)
+        print_json(view)
     else:
-        _out("".join(f"WRONG {line}\n" for line in view["wrong"][:20]) or "nothing is wrong\n")
+        print_text("".join(f"WRONG {line}\n" for line in view["wrong"][:20]) or "nothing is wrong\n")
         if len(view["wrong"]) > 20:
-            _out(f"and {len(view['wrong']) - 20} more\n")
+            print_text(f"and {len(view['wrong']) - 20} more\n")
         told = [
             {"addr": address} | {name: value for name, value in each.items() if name != "wrong"}
             for address, each in view["at"].items()
         ]
         if told:
-            _out("\n" + table(told))
+            print_text("\n" + table(told))
     return FAILED if view["wrong"] else DONE
 
 
@@ -290,11 +258,11 @@
     answer = _call(args, "retire", msgspec.json.encode(body))
     data = _data(answer) if answer.body.strip() else {}
     if not args["--json"]:
-        _out(("back in use" if body["undo"] else "retired") + f": {cell(data)}\n")
+        print_text(("back in use" if body["undo"] else "retired") + f": {cell(data)}\n")
     if args["--wait"]:
         data["servers"] = _until_safe(args, data.get("found") or [], most)
     if args["--json"]:
-        _json(data)
+        print_json(data)
     return DONE
 
 
@@ -313,7 +281,7 @@
         idents, most
     )
     if not args["--json"]:
-        _out(f"safe to switch off: {cell([row['id'] for row in rows])}\n")
+        print_text(f"safe to switch off: {cell([row['id'] for row in rows])}\n")
     return rows
 
 
@@ -323,21 +291,21 @@
     if args["--wait"]:
         found = _until_safe(args, [args["ID"]] if args["ID"] else [], most)
         if args["--json"]:
-            _json({"servers": found})
+            print_json({"servers": found})
         return DONE
     result = caller(args).call("retiring", ident=args["ID"] or "")
     if result.is_error():
         raise result.error
     data = _data(result.ok)
     if args["--json"]:
-        _json(data)
+        print_json(data)
         return DONE
-    _out(table(rows(data, "servers")))
+    print_text(table(rows(data, "servers")))
     for name in ("away", "silent"):
         if data.get(name):
-            _out(f"{name}: {cell(data[name])}\n")
+            print_text(f"{name}: {cell(data[name])}\n")
     if not data.get("in_touch"):
-        _out("the controller asked has no majority\n")
+        print_text("the controller asked has no majority\n")
     return DONE
 
 
@@ -345,14 +313,14 @@
     """Print the events of one request out of several logs."""
     from crowseam.cli.trace import follow
 
-    logs = [(path, _read(path, "FILE").decode("utf-8", "replace").splitlines()) for path in args["FILE"]]
+    logs = [(path, read_file(path, "FILE").decode("utf-8", "replace").splitlines()) for path in args["FILE"]]
     found = follow(args["ID"], logs)
     if args["--json"]:
-        _json(found)
+        print_json(found)
     else:
         for event in found:
             told = " ".join(f"{name}={cell(value)}" for name, value in event.items() if name not in ("log", "line"))
-            _out(f"{event['log']}:{event['line']} {told}\n")
+            print_text(f"{event['log']}:{event['line']} {told}\n")
     if not found:
         sys.stderr.write(f"ID: no event holds {args['ID']!r}\n")
         return FAILED
@@ -364,7 +332,7 @@
     from crowseam.cli.schema import SCHEMAS
     from crowseam.cli.schema import schema as written
 
-    _json(written(next((name for name in SCHEMAS if args[name]), "config")))
+    print_json(written(next((name for name in SCHEMAS if args[name]), "config")))
     return DONE
 
 
@@ -394,10 +362,10 @@
             shutil.rmtree(folder, ignore_errors=True)
     tenants = [{"tenant": name} | msgspec.to_builtins(count) for name, count in sorted(seen.tenants.items())]
     if args["--json"]:
-        _json({"tenants": tenants, "shown": [{"ok": ok, "what": what} for ok, what in shown]})
+        print_json({"tenants": tenants, "shown": [{"ok": ok, "what": what} for ok, what in shown]})
     else:
-        _out("\n" + table(tenants) + "\n")
-        _out("".join(f"{'ok   ' if ok else 'WRONG'} {what}\n" for ok, what in shown))
+        print_text("\n" + table(tenants) + "\n")
+        print_text("".join(f"{'ok   ' if ok else 'WRONG'} {what}\n" for ok, what in shown))
     return DONE if all(ok for ok, _ in shown) else FAILED
 
 
@@ -405,10 +373,10 @@
     from crowseam.cli import demo_files as cell_of_three
 
     for role, file in cell_of_three.write(folder):
-        _out(f"CROWSEAM_BOOT={file} python3 -m crowseam {role}\n")
+        print_text(f"CROWSEAM_BOOT={file} python3 -m crowseam {role}\n")
     at = f"{cell_of_three.MACHINES[0]}:{cell_of_three.PORTS['ctl']}"
-    _out(f"python3 -m crowseam config put {folder / 'configuration.json'} --at {at}\n")
-    _out(
+    print_text(f"python3 -m crowseam config put {folder / 'configuration.json'} --at {at}\n")
+    print_text(
         f"curl -H 'Host: {cell_of_three.HOST}' -H 'Authorization: Bearer {cell_of_three.KEYS['kitchen']}' "
         f"-H 'X-Attempt-Id: 1' -H 'X-Time-Left: 2000' "
         f"http://{cell_of_three.MACHINES[0]}:{cell_of_three.PORTS['http']}/menu/today\n"
--- a/crowseam/cli/dispatch.py
+++ b/crowseam/cli/dispatch.py
@@ -31,13 +31,13 @@
 
 
 def _scale(args):
-    from crowseam.capacity.message_costs import scale
+    from crowseam.capacity.scale_command import scale
 
     return scale(args)
 
 
 def _scale_run(args):
-    from crowseam.capacity.scale_run import scale_run
+    from crowseam.capacity.scale_run_command import scale_run
 
     return scale_run(args)
 
--- a/crowseam/cli/metrics_table.py
+++ b/crowseam/cli/metrics_table.py
@@ -7,7 +7,8 @@
 from typing import Any
 
 from crowseam.cli import errors
-from crowseam.cli.commands import Args, _json, _out, caller
+from crowseam.cli.commands import caller
+from crowseam.cli.console import Args, print_json, print_text
 from crowseam.cli.tables import table
 from crowseam.metrics.latency import FAILED, LATE, LEAST, LONGEST, OUTCOMES, REFUSED, SERVED, library
 
@@ -113,11 +114,11 @@
             missed[address] = f"the answer can't be read: {error}"
     rows = merged.rows()
     if args["--json"]:
-        _json({"routes": rows, "at": at, "missed": missed})
+        print_json({"routes": rows, "at": at, "missed": missed})
     else:
         if at:
-            _out(table(rows) if rows else "no requests yet\n")
-            _out(
+            print_text(table(rows) if rows else "no requests yet\n")
+            print_text(
                 "\n"
                 + table([{"addr": address} | {name: told.get(name) for name in PLAIN} for address, told in at.items()])
             )
--- a/crowseam/cli/model_check.py
+++ b/crowseam/cli/model_check.py
@@ -14,7 +14,7 @@
 from importlib import import_module
 from typing import Any
 
-from crowseam.cli.commands import number
+from crowseam.cli.console import number
 from crowseam.cli.errors import DONE, FAILED, BadInputError
 from crowseam.model_checks.schedules import Mutant, Report
 
--- a/crowseam/cli/simulation_commands.py
+++ b/crowseam/cli/simulation_commands.py
@@ -10,7 +10,7 @@
 
 from crowseam.cli import experiment as experiments
 from crowseam.cli import planner
-from crowseam.cli.commands import Args, _json, _out, _read, _write, number
+from crowseam.cli.console import Args, number, print_json, print_text, read_file, write_file
 from crowseam.cli.errors import DONE, FAILED, BadInputError
 from crowseam.cli.tables import table
 from crowseam.simulator import simulation
@@ -31,7 +31,7 @@
 
 def _day(path: str, field: str) -> Day:
     try:
-        return parse(_read(path, field))
+        return parse(read_file(path, field))
     except DayError as error:
         raise BadInputError(field, f"{path}: {error}") from None
 
@@ -93,11 +93,11 @@
     except ValueError as error:
         raise BadInputError("--set", str(error)) from None
     if args["--log"]:
-        _write(args["--log"], "".join(f"{line}\n" for line in lines).encode(), "--log")
+        write_file(args["--log"], "".join(f"{line}\n" for line in lines).encode(), "--log")
     if args["--json"]:
-        _json(msgspec.to_builtins(metrics))
+        print_json(msgspec.to_builtins(metrics))
     else:
-        _out(_told(metrics))
+        print_text(_told(metrics))
     return FAILED if metrics.rules or metrics.failures else DONE
 
 
@@ -109,7 +109,7 @@
 def again(args: Args) -> int:
     """Play what was asked on a day, by its logs, in the deployment of another."""
     day = _day(args["--day"], "--day")
-    logs = [_read(path, "LOG").decode("utf-8", "replace").splitlines() for path in args["LOG"]]
+    logs = [read_file(path, "LOG").decode("utf-8", "replace").splitlines() for path in args["LOG"]]
     try:
         asked = replay.trace(logs, number(args, "--seed", int))
     except replay.ReplayError as error:
@@ -146,12 +146,12 @@
         drawings = [] if args["--no-plots"] else report.plots(values, spans, told.measures)
         report.write(args["--report"], told.name, rows, earlier, broken[:60], drawings)
     if args["--json"]:
-        _json({"experiment": told.name, "rows": rows, "earlier": earlier, "broken": broken})
+        print_json({"experiment": told.name, "rows": rows, "earlier": earlier, "broken": broken})
     else:
-        _out(table(rows))
+        print_text(table(rows))
         if earlier:
-            _out("\nAgainst the results kept last:\n" + table(earlier))
-        _out("".join(f"BROKEN {line}\n" for line in broken[:20]))
+            print_text("\nAgainst the results kept last:\n" + table(earlier))
+        print_text("".join(f"BROKEN {line}\n" for line in broken[:20]))
     return FAILED if broken else DONE
 
 
@@ -175,7 +175,7 @@
     jobs = planner.jobs(days, _seeds(args))
     rows = planner.summed(jobs, experiments.run(jobs, _jobs(args)))
     if args["--json"]:
-        _json(rows)
+        print_json(rows)
     else:
-        _out(table(rows))
+        print_text(table(rows))
     return DONE
--- a/tests/crowseam/test_capacity.py
+++ b/tests/crowseam/test_capacity.py
@@ -10,8 +10,14 @@
 
 import msgspec
 
-from crowseam.capacity import hollow_peers, loads, page, procfs, scale_run
-from crowseam.capacity.page import fill, fit, trouble
+from crowseam.capacity import loads, page, procfs
+from crowseam.capacity.hollow_gateways import Gateways
+from crowseam.capacity.hollow_link import HollowLink, Traffic
+from crowseam.capacity.hollow_protocol import Job, MessageCount, Order
+from crowseam.capacity.hollow_servers import ControllerConnection, HollowServer
+from crowseam.capacity.page import fill, fit, unfit
+from crowseam.capacity.scale_record import RunRecord, Spread, spread, summed_counts
+from crowseam.capacity.tenant_requests import TenantRequests
 from crowseam.cli.dispatch import run
 from crowseam.cli.errors import BadInputError
 from crowseam.configuration.model import Configuration, parse_change
@@ -66,7 +72,7 @@
 
 class AccountTest(unittest.TestCase):
     def test_what_a_gateway_asks_fades_and_what_has_no_slice_is_drawn(self):
-        asked = hollow_peers.Asked({"t": 10.0})
+        asked = TenantRequests({"t": 10.0})
         self.assertFalse(asked.ask("t", 0.0, 100.0))
         self.assertAlmostEqual(asked.report(100.0)["t"], 0.347, delta=0.001)
         asked.dry("t", 105.0)
@@ -76,40 +82,40 @@
         self.assertEqual(asked.report(200.0), {})
 
     def test_a_link_counts_by_type_and_passes_over_what_it_does_not_know(self):
-        traffic, heard = hollow_peers.Traffic(), []
-        link = hollow_peers.HollowLink(lambda link, message: heard.append(message), lambda link: None, traffic)
+        traffic, heard = Traffic(), []
+        link = HollowLink(lambda link, message: heard.append(message), lambda link: None, traffic)
         link.transport = type("Open", (), {"is_closing": lambda self: False})()
         new = msgspec.msgpack.encode(["newer", 1, 2])
         data = frame(m.Quiet([])) + len(new).to_bytes(4, "big") + new + frame(m.Bye())
         link.data_received(data[:9])
         link.data_received(data[9:])
         self.assertEqual(heard, [m.Quiet([]), m.Bye()])
-        told = traffic.told()
+        counts = traffic.counts()
         self.assertEqual(
-            {what: count for what, (count, _) in told.items()}, {"in Quiet": 1, "in newer": 1, "in Bye": 1}
+            {what: count.messages for what, count in counts.items()}, {"in Quiet": 1, "in newer": 1, "in Bye": 1}
         )
-        self.assertEqual(sum(size for _, size in told.values()), len(data))
+        self.assertEqual(sum(count.bytes for count in counts.values()), len(data))
 
     def test_the_answers_of_controllers_are_read_in_order(self):
         class Crowd:
-            traffic, answers, lost_servers = hollow_peers.Traffic(), [], []
+            traffic, answers, lost_servers = Traffic(), [], []
 
-            def answered(self, server, method, status, body, sent):
+            def answered(self, server, method, status, body):
                 self.answers.append((server, method, status, body))
 
             def lost(self, server):
                 self.lost_servers.append(server)
 
         crowd = Crowd()
-        pipe = hollow_peers.Pipe(crowd, "127.0.0.1:1")
-        pipe.connection_made(type("Out", (), {"write": lambda self, data: None})())
-        servers = [hollow_peers.HollowServer(n, 0, SMALL) for n in range(3)]
+        connection = ControllerConnection(crowd, "127.0.0.1:1")
+        connection.connection_made(type("Out", (), {"write": lambda self, data: None})())
+        servers = [HollowServer(n, 0, SMALL) for n in range(3)]
         for server in servers:
-            pipe.call(server, "PUT", server.body(), 0.0)
+            connection.call(server, "PUT", server.body(), 0.0)
         data = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"
         for byte in data:
-            pipe.data_received(bytes([byte]))
-        pipe.connection_lost(None)
+            connection.data_received(bytes([byte]))
+        connection.connection_lost(None)
         self.assertEqual(crowd.answers, [(servers[0], "PUT", 200, b"{}"), (servers[1], "PUT", 503, b"")])
         self.assertEqual(crowd.lost_servers, servers[2:])
 
@@ -127,12 +133,10 @@
             self.assertIsNone(procfs.usage(8, Path(folder)))
 
     def test_quantiles_are_of_the_values(self):
-        self.assertEqual(
-            scale_run.spread([0.001 * n for n in range(1, 101)]),
-            {"count": 100, "p50": 50.0, "p99": 99.0, "worst": 100.0},
-        )
-        self.assertEqual(scale_run.spread([])["worst"], None)
-        self.assertEqual(scale_run.summed([{"a": [1, 2]}, {"a": [3, 4], "b": [1, 1]}]), {"a": [4, 6], "b": [1, 1]})
+        self.assertEqual(spread([0.001 * n for n in range(1, 101)]), Spread(100, 50.0, 99.0, 100.0))
+        self.assertEqual(spread([]).worst, None)
+        counts = [{"a": MessageCount(1, 2)}, {"a": MessageCount(3, 4), "b": MessageCount(1, 1)}]
+        self.assertEqual(summed_counts(counts), {"a": MessageCount(4, 6), "b": MessageCount(1, 1)})
 
 
 class FitTest(unittest.TestCase):
@@ -154,11 +158,15 @@
 
     def test_runs_that_measured_something_else_give_no_slope(self):
         good = {"calm": {"events": {}, "hollow_late_s": {"mean": 0.01}}, "mass_start": {"done": True}}
-        self.assertEqual(trouble(good), "")
-        self.assertIn("late", trouble(good | {"calm": {"events": {}, "hollow_late_s": {"mean": 0.2}}}))
-        self.assertIn("silent", trouble(good | {"calm": good["calm"] | {"events": {"left silent": 2}}}))
-        self.assertIn("came up", trouble(good | {"mass_start": {"done": False}}))
-        self.assertIn("ended", trouble({}))
+
+        def why(**changes):
+            return unfit(msgspec.convert(good | changes, RunRecord))
+
+        self.assertEqual(why(), "")
+        self.assertIn("late", why(calm={"events": {}, "hollow_late_s": {"mean": 0.2}}))
+        self.assertIn("silent", why(calm=good["calm"] | {"events": {"left silent": 2}}))
+        self.assertIn("came up", why(mass_start={"done": False}))
+        self.assertIn("ended", unfit(RunRecord()))
 
     def test_tables_go_between_their_markers_and_nothing_else_changes(self):
         text = "a\n<!-- capacity runs begin -->\nold\n<!-- capacity runs end -->\nb\n"
@@ -229,16 +237,16 @@
 
             server = await loop.create_server(lambda: Link(heard, lambda link: None), "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
-            crowd = hollow_peers.Gateways(loop, hollow_peers.Job(SMALL, ["127.0.0.1:8407"], port, 0, 2))
+            crowd = Gateways(loop, Job(SMALL, ["127.0.0.1:8407"], port, 0, 2))
             await asyncio.wait_for(done.wait(), 8.0)
-            told = crowd.order({"do": "tell"})
+            report = crowd.order(Order("tell"))
             server.close()
             for gateway in crowd.gateways:
                 gateway.link.close()
-            return opened, reported, told
+            return opened, reported, report
 
-        opened, reported, told = asyncio.run(play())
+        opened, reported, counted = asyncio.run(play())
         self.assertEqual({each.gateway for each in opened}, {"hollow-0000", "hollow-0001"})
-        self.assertEqual((told["whole"], told["slot"]), (2, 3))
+        self.assertEqual((counted.whole, counted.slot), (2, 3))
         self.assertTrue(any(report.asks for report in reported))
-        self.assertEqual(told["traffic"]["in State"][0], 2)
+        self.assertEqual(counted.traffic["in State"].messages, 2)
