--- a/crowseam/capacity/loads.py
+++ b/crowseam/capacity/loads.py
@@ -91,10 +91,10 @@
     total = sum(raw)
     order = list(range(load.tenants))
     Random(load.seed).shuffle(order)  # names say nothing of who asks most
-    told = [0.0] * load.tenants
+    parts = [0.0] * load.tenants
     for rank, number in enumerate(order):
-        told[number] = raw[rank] / total
-    return told
+        parts[number] = raw[rank] / total
+    return parts
 
 
 def quota(load: Load, weight: float) -> float:
--- a/crowseam/capacity/procfs.py
+++ b/crowseam/capacity/procfs.py
@@ -30,8 +30,8 @@
     place = root / str(pid)
     try:
         # The name of the program, in brackets, may hold blanks.
-        told = (place / "stat").read_text().rpartition(")")[2].split()
-        if told[0] == "Z":
+        fields = (place / "stat").read_text().rpartition(")")[2].split()
+        if fields[0] == "Z":
             return None
         pages = int((place / "statm").read_text().split()[1])
         io = dict(line.split(": ") for line in (place / "io").read_text().splitlines())
@@ -39,7 +39,7 @@
     except (OSError, IndexError, ValueError):
         return None
     return Usage(
-        (int(told[11]) + int(told[12])) / TICKS,
+        (int(fields[11]) + int(fields[12])) / TICKS,
         pages * PAGE,
         files,
         int(io["rchar"]),
--- a/crowseam/cli/commands.py
+++ b/crowseam/cli/commands.py
@@ -174,47 +174,47 @@
     return _listing(args, "duties")
 
 
-def faults(told: dict[str, Any]) -> list[str]:
+def faults(status: dict[str, Any]) -> list[str]:
     """Return what one controller's status shows to be wrong; a field that is missing shows nothing."""
     found = []
-    if told.get("in_touch") is False:
+    if status.get("in_touch") is False:
         found.append("reaches no majority of the voters")
-    if told.get("voter") is False and told.get("voting") is True:
+    if status.get("voter") is False and status.get("voting") is True:
         found.append("has a disk and no vote")
-    if late := told.get("disk_late_s"):
+    if late := status.get("disk_late_s"):
         found.append(f"its disk has not written for {late:.1f} s")
-    if silent := told.get("silent"):
+    if silent := status.get("silent"):
         found.append(f"servers that give no sign of life: {', '.join(map(str, silent))}")
-    found += [f"knows of no {what}" for what in ("gateways", "servers") if told.get(what) == 0]
+    found += [f"knows of no {what}" for what in ("gateways", "servers") if status.get(what) == 0]
     return found
 
 
-def summed(heard: list[tuple[str, Any]]) -> dict[str, Any]:
+def summed(answers: list[tuple[str, Any]]) -> dict[str, Any]:
     """Return one view out of the status of several addresses: `wrong` (lines) and `at` (by address).
 
-    heard: (address, Result of an Answer). Listed are what the status of each address shows to be wrong,
+    answers: (address, Result of an Answer). Listed are what the status of each address shows to be wrong,
     addresses that do not answer, and versions of the configuration that differ.
     """
     wrong: dict[str, None] = {}
     at: dict[str, Any] = {}
     versions: dict[str, list[str]] = {}
-    for address, result in heard:
+    for address, result in answers:
         if result.is_error():
             wrong[f"{address} does not answer: {result.error}"] = None
             continue
         try:
-            told = _data(result.ok)
+            status = _data(result.ok)
         except CommandError as error:
             wrong[f"{address}: {error}"] = None
             continue
-        if not isinstance(told, dict):
+        if not isinstance(status, dict):
             wrong[f"{address}: the answer is no object"] = None
             continue
-        at[address] = told
-        for line in faults(told):
+        at[address] = status
+        for line in faults(status):
             wrong[f"{address}: {line}"] = None
-        if "ver" in told:
-            versions.setdefault(cell(told["ver"]), []).append(address)
+        if "ver" in status:
+            versions.setdefault(cell(status["ver"]), []).append(address)
     if len(versions) > 1:
         wrong[
             "versions differ: " + "; ".join(f"{ver} at {', '.join(where)}" for ver, where in sorted(versions.items()))
@@ -231,12 +231,12 @@
         print_text("".join(f"WRONG {line}\n" for line in view["wrong"][:20]) or "nothing is wrong\n")
         if len(view["wrong"]) > 20:
             print_text(f"and {len(view['wrong']) - 20} more\n")
-        told = [
+        records = [
             {"addr": address} | {name: value for name, value in each.items() if name != "wrong"}
             for address, each in view["at"].items()
         ]
-        if told:
-            print_text("\n" + table(told))
+        if records:
+            print_text("\n" + table(records))
     return FAILED if view["wrong"] else DONE
 
 
@@ -319,8 +319,8 @@
         print_json(found)
     else:
         for event in found:
-            told = " ".join(f"{name}={cell(value)}" for name, value in event.items() if name not in ("log", "line"))
-            print_text(f"{event['log']}:{event['line']} {told}\n")
+            pairs = " ".join(f"{name}={cell(value)}" for name, value in event.items() if name not in ("log", "line"))
+            print_text(f"{event['log']}:{event['line']} {pairs}\n")
     if not found:
         sys.stderr.write(f"ID: no event holds {args['ID']!r}\n")
         return FAILED
--- a/crowseam/cli/control_client.py
+++ b/crowseam/cli/control_client.py
@@ -128,24 +128,24 @@
             tries += 1
             pause = min(FIRST_PAUSE_S * 2 ** ((tries - 1) // len(self._addresses)), LONGEST_PAUSE_S)
             self._sleep(min(pause * self._rng.uniform(0.5, 1.0), max(end - self._clock(), 0.0)))
-        told = "" if method == "GET" else "; it may have been done or not"
-        return Error(UnclearError(f"no clear answer within {self._within:g} s{told} (last {last})"))
+        caution = "" if method == "GET" else "; it may have been done or not"
+        return Error(UnclearError(f"no clear answer within {self._within:g} s{caution} (last {last})"))
 
     def each(self, name: str) -> list[tuple[str, Result[Answer, CommandError]]]:
         """Ask every address once, and return what each of them said."""
         method, path = CALLS[name]
-        heard = []
+        answers = []
         for address in self._addresses:
             try:
                 answer = self._send(address, method, path, b"", SILENCE_S)
             except NoAnswerError as error:
-                heard.append((address, Error(UnclearError(str(error)))))
+                answers.append((address, Error(UnclearError(str(error)))))
                 continue
             if 200 <= answer.status < 300:
-                heard.append((address, Ok(answer)))
+                answers.append((address, Ok(answer)))
             else:
-                heard.append((address, Error(RefusedError(answer.status, _line(answer.body)))))
-        return heard
+                answers.append((address, Error(RefusedError(answer.status, _line(answer.body)))))
+        return answers
 
     def _follow(self, address: str, method: str, path: str, body: bytes, left: float) -> Answer:
         timeout = SILENCE_S + len(body) / BYTES_PER_S
--- a/crowseam/cli/demo_files.py
+++ b/crowseam/cli/demo_files.py
@@ -141,10 +141,10 @@
         processes = []
         for place in range(len(MACHINES)):
             for role in ("controller", "gateway"):
-                told = settings(place, role, folder)
-                Path(told["datadir"]).mkdir(exist_ok=True)
-                file = folder / f"{told['hostname']}-{role}.json"
-                file.write_bytes(msgspec.json.format(msgspec.json.encode(told)))
+                values = settings(place, role, folder)
+                Path(values["datadir"]).mkdir(exist_ok=True)
+                file = folder / f"{values['hostname']}-{role}.json"
+                file.write_bytes(msgspec.json.format(msgspec.json.encode(values)))
                 processes.append((role, file))
     except OSError as error:
         raise BadInputError("DIR", str(error)) from None
--- a/crowseam/cli/dispatch.py
+++ b/crowseam/cli/dispatch.py
@@ -101,13 +101,13 @@
 def run(argv: list[str]) -> int:
     """Run one command of the command line, given the words after the program's name; return its exit code.
 
-    Bad input and failures are told in one line on standard error.
+    Bad input and failures are reported in one line on standard error.
     """
     try:
         args = docopt(USAGE, argv)
     except DocoptExit:
-        told = " ".join(argv) or "no command"
-        sys.stderr.write(f"arguments: {told!r} is not understood; `crowseam --help` shows what is\n")
+        words = " ".join(argv) or "no command"
+        sys.stderr.write(f"arguments: {words!r} is not understood; `crowseam --help` shows what is\n")
         return BAD_INPUT
     # `check config` holds a word that begins other commands, so those come last.
     command = next((COMMANDS[name] for name in COMMANDS if args[name]), None)
--- a/crowseam/cli/experiment.py
+++ b/crowseam/cli/experiment.py
@@ -113,11 +113,11 @@
         day = read(folder / experiment.day)
         jobs = []
         for variant in experiment.variants:
-            told = msgspec.to_builtins(varied(day, variant))
+            values = msgspec.to_builtins(varied(day, variant))
             source = str((folder / variant.source).resolve()) if variant.source else ""
             for setting in {} if source else variant.set:
                 _place(setting)
-            jobs += [Job(variant.name, seed, told, variant.set, source) for seed in experiment.numbers()]
+            jobs += [Job(variant.name, seed, values, variant.set, source) for seed in experiment.numbers()]
     except DayError as error:
         raise BadInputError("day", str(error)) from None
     return experiment, jobs
@@ -187,7 +187,7 @@
 
 def _elsewhere(job: Job) -> dict[str, Any]:
     path = os.pathsep.join([job.source, str(Path(job.source) / "target" / "deps"), *filter(None, sys.path)])
-    told = subprocess.run(
+    finished = subprocess.run(
         [sys.executable, "-m", "crowseam", "simulate", "-", f"--seed={job.seed}", "--json"],
         input=msgspec.json.encode(job.day),
         capture_output=True,
@@ -196,9 +196,9 @@
         env=os.environ | {"PYTHONPATH": path},
     )
     try:
-        return msgspec.json.decode(told.stdout)
+        return msgspec.json.decode(finished.stdout)
     except msgspec.DecodeError:
-        last = (told.stderr.decode("utf-8", "replace").strip().splitlines() or ["it says nothing"])[-1]
+        last = (finished.stderr.decode("utf-8", "replace").strip().splitlines() or ["it says nothing"])[-1]
         raise CommandError(f"{job.source} can't play {job.variant}: {last}") from None
 
 
@@ -212,10 +212,10 @@
 
 def measure(metrics: dict[str, Any]) -> dict[str, float]:
     """The numbers that are compared, of one run."""
-    told = {name: float(metrics[name]) for name in MEASURES if name in metrics}
-    told["broken"] = float(sum(metrics["rules"].values()) + len(metrics["failures"]))
-    told["ack"] = max(metrics["acks"], default=0.0)
-    return told
+    values = {name: float(metrics[name]) for name in MEASURES if name in metrics}
+    values["broken"] = float(sum(metrics["rules"].values()) + len(metrics["failures"]))
+    values["ack"] = max(metrics["acks"], default=0.0)
+    return values
 
 
 Values = dict[str, dict[int, dict[str, float]]]  # variant, seed, measure
@@ -245,13 +245,13 @@
     rows = []
     for variant, runs in values.items():
         for name in measures:
-            told = [run[name] for run in runs.values()]
+            figures = [run[name] for run in runs.values()]
             row = {
                 "variant": variant,
                 "measure": name,
-                "runs": len(told),
-                "mean": statistics.fmean(told),
-                "spread": statistics.stdev(told) if len(told) > 1 else 0.0,
+                "runs": len(figures),
+                "mean": statistics.fmean(figures),
+                "spread": statistics.stdev(figures) if len(figures) > 1 else 0.0,
                 "difference": None,
                 "low": None,
                 "high": None,
--- a/crowseam/cli/metrics_table.py
+++ b/crowseam/cli/metrics_table.py
@@ -118,10 +118,8 @@
     else:
         if at:
             print_text(table(rows) if rows else "no requests yet\n")
-            print_text(
-                "\n"
-                + table([{"addr": address} | {name: told.get(name) for name in PLAIN} for address, told in at.items()])
-            )
+            plain = [{"addr": addr} | {name: figures.get(name) for name in PLAIN} for addr, figures in at.items()]
+            print_text("\n" + table(plain))
         for address, text in missed.items():
             sys.stderr.write(f"{address}: {text}\n")
     return errors.DONE if at else errors.FAILED
--- a/crowseam/cli/model_check.py
+++ b/crowseam/cli/model_check.py
@@ -100,11 +100,11 @@
     for mutant in getattr(import_module(PARTS[part]), "MUTANTS", ()):
         found = next((seed for seed in range(first, first + seeds) if mutant.run([seed]).violations), None)
         if found is None:
-            told = f"not found in {seeds} schedules" + (f": {mutant.why}" if mutant.why else "")
+            result = f"not found in {seeds} schedules" + (f": {mutant.why}" if mutant.why else "")
         else:
-            told = f"seed {found}, {found - first + 1} schedules"
+            result = f"seed {found}, {found - first + 1} schedules"
         unseen |= found is None and not mutant.why
-        sys.stdout.write(f"{part}: without {mutant.guard}: {told}\n")
+        sys.stdout.write(f"{part}: without {mutant.guard}: {result}\n")
         sys.stdout.flush()
     return unseen
 
--- a/crowseam/cli/planner.py
+++ b/crowseam/cli/planner.py
@@ -30,21 +30,21 @@
     if not (zones or retired or doubled or loads):
         zones, doubled = known["--lose-zone"], known["--double"]
     long = day.length + day.after + 100.0
-    told: dict[str, dict[str, Any]] = {"as it is": {"faults": []}}
+    cases: dict[str, dict[str, Any]] = {"as it is": {"faults": []}}
     for zone in zones:
-        told[f"zone {zone} lost"] = {"faults": [{"kind": "lose_zone", "at": 0.0, "target": zone, "span": long}]}
+        cases[f"zone {zone} lost"] = {"faults": [{"kind": "lose_zone", "at": 0.0, "target": zone, "span": long}]}
     for service, count in retired:
-        told[f"{count} of {service} retired"] = {
+        cases[f"{count} of {service} retired"] = {
             "faults": [{"kind": "retire", "at": 0.0, "target": service, "count": count}]
         }
     for tenant in doubled:
-        told[f"{tenant} doubled"] = {
+        cases[f"{tenant} doubled"] = {
             "faults": [{"kind": "load", "at": 0.0, "target": tenant, "amount": 2.0, "span": long}]
         }
     for factor in loads:
-        told[f"load x {factor:g}"] = {"faults": [], "load": day.load * factor}
+        cases[f"load x {factor:g}"] = {"faults": [], "load": day.load * factor}
     try:
-        return {name: changed(day, changes) for name, changes in told.items()}
+        return {name: changed(day, changes) for name, changes in cases.items()}
     except DayError as error:
         raise BadInputError("DAY", str(error)) from None
 
--- a/crowseam/cli/report.py
+++ b/crowseam/cli/report.py
@@ -88,9 +88,9 @@
         figure = new_figure(figsize=(7, 0.9 + 0.45 * len(names)), layout="constrained")
         axes = figure.subplots()
         for place, variant in enumerate(names):
-            told = [run[name] for run in values[variant].values()]
-            axes.plot(told, [place] * len(told), "o", alpha=0.5, color="tab:blue")
-            axes.plot([sum(told) / len(told)], [place], "|", markersize=18, color="black")
+            figures = [run[name] for run in values[variant].values()]
+            axes.plot(figures, [place] * len(figures), "o", alpha=0.5, color="tab:blue")
+            axes.plot([sum(figures) / len(figures)], [place], "|", markersize=18, color="black")
         axes.set_yticks(range(len(names)), names)
         axes.set_ylim(len(names) - 0.5, -0.5)
         axes.set_xlabel(name)
@@ -112,7 +112,7 @@
     title: str,
     rows: list[dict[str, Any]],
     earlier: list[dict[str, Any]],
-    told: list[str],
+    broken: list[str],
     drawings: list[str],
 ) -> None:
     """Write the report. Raises BadInputError."""
@@ -125,8 +125,8 @@
     ]
     if earlier:
         parts += ["<h2>Against the results kept last</h2>", _table(earlier)]
-    if told:
-        parts += ["<h2>Broken rules</h2><ul>", *(f"<li>{html.escape(line)}</li>" for line in told), "</ul>"]
+    if broken:
+        parts += ["<h2>Broken rules</h2><ul>", *(f"<li>{html.escape(line)}</li>" for line in broken), "</ul>"]
     parts += drawings
     try:
         with open(path, "w", encoding="utf-8") as file:
--- a/crowseam/cli/retirement_wait.py
+++ b/crowseam/cli/retirement_wait.py
@@ -1,4 +1,4 @@
-"""Waiting until servers that leave are safe to switch off, with what it waits for told on the way."""
+"""Waiting until servers that leave are safe to switch off, and what is reported meanwhile."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -20,23 +20,23 @@
     for row in waiting:
         for gateway, count in row.get("under_way", {}).items():
             busy[gateway] = busy.get(gateway, 0) + count
-    told = [
+    lines = [
         f"{len(waiting)} not yet safe ({', '.join(row['id'] for row in waiting[:3])}"
         + (", ..." if len(waiting) > 3 else "")
         + ")"
     ]
     if busy:
-        told.append(
+        lines.append(
             f"{sum(busy.values())} requests under way at {', '.join(sorted(busy)[:5])}"
             + (f" and {len(busy) - 5} more" if len(busy) > 5 else "")
         )
     if late := sorted({gateway for row in waiting for gateway in row.get("unconfirmed", [])}):
-        told.append(f"not confirmed by {', '.join(late[:5])}" + (", ..." if len(late) > 5 else ""))
+        lines.append(f"not confirmed by {', '.join(late[:5])}" + (", ..." if len(late) > 5 else ""))
     if away := view.get("away"):
-        told.append("away: " + ", ".join(f"{gateway} for {span:.0f} s" for gateway, span in sorted(away.items())))
+        lines.append("away: " + ", ".join(f"{gateway} for {span:.0f} s" for gateway, span in sorted(away.items())))
     if not view.get("in_touch"):
-        told.append("the controller asked has no majority")
-    return "; ".join(told)
+        lines.append("the controller asked has no majority")
+    return "; ".join(lines)
 
 
 class Wait:
--- a/crowseam/cli/simulation_commands.py
+++ b/crowseam/cli/simulation_commands.py
@@ -37,13 +37,13 @@
 
 
 def _constants(args: Args) -> dict[str, str]:
-    told = {}
+    constants = {}
     for each in filter(None, (args["--set"] or "").split(",")):
         name, equals, value = each.partition("=")
         if not equals:
             raise BadInputError("--set", f"{each!r} is not module:NAME=VALUE")
-        told[name.strip()] = value.strip()
-    return told
+        constants[name.strip()] = value.strip()
+    return constants
 
 
 def _seeds(args: Args) -> list[int]:
@@ -54,7 +54,7 @@
     return number(args, "--jobs", int) if args["--jobs"] else os.cpu_count() or 1
 
 
-def _told(metrics: simulation.Metrics) -> str:
+def _summary(metrics: simulation.Metrics) -> str:
     """The figures of one run for people."""
     head = {
         name: getattr(metrics, name)
@@ -97,7 +97,7 @@
     if args["--json"]:
         print_json(msgspec.to_builtins(metrics))
     else:
-        print_text(_told(metrics))
+        print_text(_summary(metrics))
     return FAILED if metrics.rules or metrics.failures else DONE
 
 
@@ -123,15 +123,15 @@
 
 def experiment(args: Args) -> int:
     """Play the variants of an experiment side by side, and tell what differs."""
-    told, jobs = experiments.load(args["FILE"][0])
+    described, jobs = experiments.load(args["FILE"][0])
     found = experiments.run(jobs, _jobs(args))
     values = experiments.gather(jobs, found)
     base = next(iter(values.values()))
-    rows = experiments.compare(values, base, told.measures)
+    rows = experiments.compare(values, base, described.measures)
     earlier: list[dict[str, Any]] = []
     if args["--keep"]:
-        kept = experiments.keep(args["--keep"], told.name, jobs, values)
-        earlier = experiments.since(values, kept, told.measures)
+        kept = experiments.keep(args["--keep"], described.name, jobs, values)
+        earlier = experiments.since(values, kept, described.measures)
     broken = [
         f"{job.variant}, seed {job.seed}: {line}"
         for job, metrics in zip(jobs, found, strict=True)
@@ -143,10 +143,10 @@
         spans: dict[str, list[list[float]]] = {}
         for job, metrics in zip(jobs, found, strict=True):
             spans.setdefault(job.variant, []).append(metrics["spans"])
-        drawings = [] if args["--no-plots"] else report.plots(values, spans, told.measures)
-        report.write(args["--report"], told.name, rows, earlier, broken[:60], drawings)
+        drawings = [] if args["--no-plots"] else report.plots(values, spans, described.measures)
+        report.write(args["--report"], described.name, rows, earlier, broken[:60], drawings)
     if args["--json"]:
-        print_json({"experiment": told.name, "rows": rows, "earlier": earlier, "broken": broken})
+        print_json({"experiment": described.name, "rows": rows, "earlier": earlier, "broken": broken})
     else:
         print_text(table(rows))
         if earlier:
--- a/crowseam/simulator/actors/clients.py
+++ b/crowseam/simulator/actors/clients.py
@@ -144,10 +144,10 @@
         if not may or ask.tries > repeats or now >= ask.ends:
             return
         wait = 0.02 + 0.05 * self.rng.random() * ask.tries
-        told = answer.headers.get(b"retry-after") if answer is not None else None
-        if told is not None and not impatient:
+        retry_after = answer.headers.get(b"retry-after") if answer is not None else None
+        if retry_after is not None and not impatient:
             try:
-                wait = max(wait, min(float(told), (ask.ends - now) / 3.0))
+                wait = max(wait, min(float(retry_after), (ask.ends - now) / 3.0))
             except ValueError:
                 self.simulation.judge.broken("MIXED", "Retry-After is no number")
         self.loop.call_later(wait, self._try, ask)
--- a/crowseam/simulator/judge.py
+++ b/crowseam/simulator/judge.py
@@ -5,17 +5,18 @@
 from bisect import bisect_left, bisect_right
 from collections import Counter, deque
 from math import inf
-from typing import Protocol
+from typing import NamedTuple, Protocol
 
 import msgspec
 
 from crowseam.simulator.actors import http_client
 from crowseam.simulator.actors.configurations import SentConfiguration
 from crowseam.simulator.actors.requests import ClientRequest, ServerRequest, seal
-from crowseam.simulator.metrics import WORTH_SPAN, KindFigures, Metrics, quantile
+from crowseam.simulator.metrics import Metrics, add_requests
 from crowseam.simulator.scenario.day import Day, Deployment, Service
 from crowseam.simulator.world.loop import World
 
+DENIED_MOST, DENIED_PART = 5, 1 / 500  # requests that may be denied: a few, and a part of all tries
 VIOLATIONS_KEPT = 40  # violations that are kept with their text
 PROMISES = frozenset((429, 503, 408, 421))  # statuses of requests that no server has run
 
@@ -43,6 +44,59 @@
         """Which life of the gateway of a machine it was at a time."""
 
 
+class Trouble(NamedTuple):
+    """A machine ("" for all) may be out of touch from `since` to `until` (s)."""
+
+    since: float
+    until: float
+    machine: str
+
+
+class Run(NamedTuple):
+    """A server of a service has begun to run an attempt that came from the gateway of a machine."""
+
+    at: float
+    attempt: Attempt
+    service: str
+    gateway: str
+
+
+class Arrival(NamedTuple):
+    """An attempt has come to a server of a service; `again`: not the first time."""
+
+    at: float
+    service: str
+    again: bool
+
+
+class Drain(NamedTuple):
+    """A controller, on `machine`, has acknowledged that a server leaves."""
+
+    at: float
+    machine: str
+
+
+class Delivery(NamedTuple):
+    """When a client sent what a server ran, and when it began to run."""
+
+    sent_at: float
+    run_at: float
+
+
+class Bucket(NamedTuple):
+    """How much of a tenant's quota was left at a time."""
+
+    level: float
+    at: float
+
+
+class ProvenVersion(NamedTuple):
+    """The newest version that a gateway has proven to have, and when."""
+
+    version: int
+    at: float
+
+
 class Attempt:
     """One try of a client, as servers and the client see it."""
 
@@ -67,16 +121,16 @@
         self.rules: Counter[str] = Counter()
         self.violations: list[str] = []
         self.versions: list[SentConfiguration] = []
-        self.troubles: list[tuple[float, float, str]] = []  # from, until, machine ("" for all)
-        self.runs: list[tuple[float, Attempt, str, str]] = []  # at, try, service, gateway
-        self.arrivals: list[tuple[float, str, bool]] = []  # at, service, beyond the first
-        self.firsts: list[tuple[float, str]] = []
-        self.ran_of: dict[str, list[tuple[float, float]]] = {}  # tenant: sent at, arrived at
-        self.drains: dict[str, tuple[float, str]] = {}
-        self.leaves: dict[str, float] = {}
+        self.troubles: list[Trouble] = []
+        self.runs: list[Run] = []
+        self.arrivals: list[Arrival] = []
+        self.firsts: list[tuple[float, str]] = []  # when a client sent an attempt, and for which service
+        self.deliveries: dict[str, list[Delivery]] = {}  # by tenant
+        self.drains: dict[str, Drain] = {}  # by server
+        self.leaves: dict[str, float] = {}  # when a server began to leave
         self.leave_acks: list[float] = []
-        self.denied = 0
-        self.buckets: dict[str, tuple[float, float]] = {}
+        self.denied = 0  # proper requests that got 3xx or 4xx
+        self.buckets: dict[str, Bucket] = {}  # by tenant
         self.ready_at: dict[str, float] = {}
         self.connections = 0
         self.turned_away = 0
@@ -98,13 +152,13 @@
     def trouble(self, machines: list[str], since: float, until: float) -> None:
         """These machines (all, if none is named) are not in touch then."""
         for name in machines or [""]:
-            self.troubles.append((since, until, name))
+            self.troubles.append(Trouble(since, until, name))
 
     def in_touch(self, machine: str, since: float, until: float | None = None) -> bool:
         """Whether the machine was in touch all the time, `contact` before included."""
         until = since if until is None else until
         begun = since - self.bounds.contact
-        return all(b > until or e < begun for b, e, name in self.troubles if name in ("", machine))
+        return all(each.since > until or each.until < begun for each in self.troubles if each.machine in ("", machine))
 
     # Clients
 
@@ -114,10 +168,10 @@
         tenant = ask.tenant
         if tenant is not None and tenant.rate > 0.0 and not ask.route.public:
             rate, burst = self.quota_of(tenant.name, tenant.rate, tenant.burst)
-            level, at = self.buckets.get(tenant.name, (burst, self.world.now))
+            level, at = self.buckets.get(tenant.name, Bucket(burst, self.world.now))
             level = min(burst, level + rate * (self.world.now - at))
             ask.owed = level >= 1.0
-            self.buckets[tenant.name] = (level - ask.owed, self.world.now)
+            self.buckets[tenant.name] = Bucket(level - ask.owed, self.world.now)
 
     def quota_of(self, tenant: str, rate: float, burst: float) -> tuple[float, float]:
         """The terms of the tenant in the newest acknowledged version."""
@@ -195,7 +249,7 @@
         if sent is None:
             return self.broken("UNASKED", f"{server.id} has {job.attempt}, which nobody sent")
         sent.arrived += 1
-        self.arrivals.append((now, server.service.name, sent.arrived > 1))
+        self.arrivals.append(Arrival(now, server.service.name, sent.arrived > 1))
         fields, ask = job.fields, sent.ask
         if (job.method, job.path, job.body) != (sent.method, sent.path, sent.body):
             self.broken("UNASKED", f"{job.attempt} was changed on its way")
@@ -204,20 +258,18 @@
         named = fields.get(b"x-tenant", b"").decode()
         if ask.key and not any(v.keys.get(ask.key) == named for v in self.versions):
             self.broken("UNASKED", f"{job.attempt}: tenant {named!r} does not hold the key")
-        told = self.drains.get(server.id)
+        self._check_drain(server, sent, job)
+
+    def _check_drain(self, server: JudgedServer, attempt: Attempt, job: ServerRequest) -> None:
+        """A server that leaves gets nothing new from gateways in touch once the time for that is over."""
+        drain, now = self.drains.get(server.id), self.world.now
         gateway = self.simulation.machine_at(job.connection.transport.remote)
-        if (
-            told is not None
-            and gateway is not None
-            and sent.at > told[0]
-            and now > told[0] + self.bounds.drain
-            and self.in_touch(gateway, now)
-            and self.in_touch(told[1], told[0])
-        ):
-            self.broken(
-                "DRAIN",
-                f"{server.id} has {job.attempt} from {gateway} " f"{now - told[0]:.2f} s after its acknowledgement",
-            )
+        if drain is None or gateway is None:
+            return
+        late = attempt.at > drain.at and now > drain.at + self.bounds.drain
+        if late and self.in_touch(gateway, now) and self.in_touch(drain.machine, drain.at):
+            after = f"{now - drain.at:.2f} s after its acknowledgement"
+            self.broken("DRAIN", f"{server.id} has {job.attempt} from {gateway} {after}")
 
     def ran(self, server: JudgedServer, job: ServerRequest) -> None:
         """A server begins to run an attempt: unsafe ones once, and by a service of the route."""
@@ -234,9 +286,10 @@
         if not any(service in v.routes.get(ask.route.name, ()) for v in self.versions):
             self.broken("ROUTE", f"{job.attempt} of {ask.route.name} is run by {service}")
         if ask.tenant is not None and ask.key:
-            self.ran_of.setdefault(ask.tenant.name, []).append((sent.at, now))
+            self.deliveries.setdefault(ask.tenant.name, []).append(Delivery(sent.at, now))
         self.begun.setdefault((service, int(now)), Counter())[server.id] += 1
-        self.runs.append((now, sent, service, self.simulation.machine_at(job.connection.transport.remote) or ""))
+        gateway = self.simulation.machine_at(job.connection.transport.remote) or ""
+        self.runs.append(Run(now, sent, service, gateway))
 
     def broke_off(self, job: ServerRequest) -> None:
         """A server gives no answer to what it has."""
@@ -254,7 +307,7 @@
     def drained(self, server: JudgedServer, at: str) -> None:
         """The controller at `at` has acknowledged that a server leaves."""
         machine = self.simulation.machine_at(at) or ""
-        self.drains[server.id] = (self.world.now, machine)
+        self.drains[server.id] = Drain(self.world.now, machine)
         self.leave_acks.append(self.world.now - self.leaves[server.id])
 
     def said_ready(self, machine: str) -> None:
@@ -269,59 +322,63 @@
         self._check_acks()
         self._check_budget()
         self._check_quotas()
-        if self.denied > 5 + len(self.sents) / 500:
+        if self.denied > DENIED_MOST + len(self.sents) * DENIED_PART:
             self.broken("DENIED", f"{self.denied} proper requests got 3xx or 4xx")
 
     def _check_config(self, read_back: bytes | None) -> None:
-        proven: dict[tuple[str, int], tuple[int, float]] = {}  # life of a gateway: newest version seen, when
-        for now, sent, service, gateway in self.runs:
-            if not gateway:
-                continue
-            ask = sent.ask
-            by = [
-                v.ver
-                for v in self.versions
-                if service in v.routes.get(ask.route.name, ())
-                and (not ask.key or not v.keys or ask.key in v.keys)
-                and not v.refused
-            ]
-            if not by:
-                self.broken("CONFIG", f"{ask.route.name} was run by {service}, which no version allows")
-                continue
-            newest, oldest = max(by), min(by)
-            must = [v.ver for v in self.versions if v.acked_at is not None and v.acked_at + self.bounds.apply < sent.at]
-            if must and newest < must[-1] and self.in_touch(gateway, sent.at, now):
-                late = sent.at - self._acked(must[-1])
-                self.broken(
-                    "CONFIG",
-                    f"{gateway} handles {ask.route.name} as only {newest:08x} allows, "
-                    f"{late:.2f} s after {must[-1]:08x} was acknowledged",
-                )
-            life = (gateway, self.simulation.life_of(gateway, sent.at))
-            seen = proven.get(life)
-            if seen is not None and sent.at > seen[1] + self.bounds.revert and newest < seen[0]:
-                self.broken("CONFIG", f"{gateway} goes back from {seen[0]:08x} to {newest:08x}")
-            if seen is None or oldest > seen[0]:
-                proven[life] = (oldest, now)
+        proven: dict[tuple[str, int], ProvenVersion] = {}  # by life of a gateway
+        for run in self.runs:
+            if run.gateway:
+                self._check_version(run, proven)
         acked = [v for v in self.versions if v.acked_at is not None]
-        parents = Counter(v.parent for v in acked)
-        for parent, count in parents.items():
+        for parent, count in Counter(v.parent for v in acked).items():
             if count > 1:
                 self.broken("CONFIG", f"{count} changes on top of {parent:08x} were acknowledged")
-        if acked:
-            if read_back is None:
-                self.broken("LOST", "the configuration can't be read at the end of the day")
-            else:
-                ver = int(msgspec.json.decode(read_back)["ver"], 16)
-                if ver < acked[-1].ver:
-                    self.broken("LOST", f"{ver:08x} is read at the end, {acked[-1].ver:08x} was acknowledged")
-                known = next((v for v in self.versions if v.ver == ver), None)
-                if known is None or known.refused:
-                    self.broken("CONFIG", f"{ver:08x} is read at the end, which was never taken")
-                elif known.differs(read_back):
-                    self.broken("CONFIG", f"{ver:08x} differs from what was sent under its number")
-        else:
+        if not acked:
             self.broken("ACK", "no configuration was acknowledged")
+        elif read_back is None:
+            self.broken("LOST", "the configuration can't be read at the end of the day")
+        else:
+            self._check_read_back(acked[-1].ver, read_back)
+
+    def _check_version(self, run: Run, proven: dict[tuple[str, int], ProvenVersion]) -> None:
+        """By what it was run for, a gateway neither lags behind nor goes back."""
+        ask, sent_at = run.attempt.ask, run.attempt.at
+        allowing = [
+            v.ver
+            for v in self.versions
+            if run.service in v.routes.get(ask.route.name, ())
+            and (not ask.key or not v.keys or ask.key in v.keys)
+            and not v.refused
+        ]
+        if not allowing:
+            self.broken("CONFIG", f"{ask.route.name} was run by {run.service}, which no version allows")
+            return
+        newest, oldest = max(allowing), min(allowing)
+        due = [v for v in self.versions if v.acked_at is not None and v.acked_at + self.bounds.apply < sent_at]
+        if due and newest < due[-1].ver and self.in_touch(run.gateway, sent_at, run.at):
+            self.broken(
+                "CONFIG",
+                f"{run.gateway} handles {ask.route.name} as only {newest:08x} allows, "
+                f"{sent_at - due[-1].acked_at:.2f} s after {due[-1].ver:08x} was acknowledged",
+            )
+        life = (run.gateway, self.simulation.life_of(run.gateway, sent_at))
+        known = proven.get(life)
+        if known is not None and sent_at > known.at + self.bounds.revert and newest < known.version:
+            self.broken("CONFIG", f"{run.gateway} goes back from {known.version:08x} to {newest:08x}")
+        if known is None or oldest > known.version:
+            proven[life] = ProvenVersion(oldest, run.at)
+
+    def _check_read_back(self, acknowledged: int, read_back: bytes) -> None:
+        """What is read at the end is the newest that was acknowledged, or a newer one that was sent."""
+        ver = int(msgspec.json.decode(read_back)["ver"], 16)
+        if ver < acknowledged:
+            self.broken("LOST", f"{ver:08x} is read at the end, {acknowledged:08x} was acknowledged")
+        known = next((v for v in self.versions if v.ver == ver), None)
+        if known is None or known.refused:
+            self.broken("CONFIG", f"{ver:08x} is read at the end, which was never taken")
+        elif known.differs(read_back):
+            self.broken("CONFIG", f"{ver:08x} differs from what was sent under its number")
 
     def _check_acks(self) -> None:
         for v in self.versions:
@@ -330,9 +387,6 @@
             if (waits or (v.acked_at or 0.0) > until) and self.in_touch("", v.sent_at, until):
                 self.broken("ACK", f"{v.ver:08x} was not acknowledged within {self.bounds.ack:g} s of calm")
 
-    def _acked(self, ver: int) -> float:
-        return next(v.acked_at for v in self.versions if v.ver == ver)
-
     def _check_budget(self) -> None:
         bounds, self.most_budget = self.bounds, 0.0
         width = bounds.retry_window
@@ -360,7 +414,7 @@
         for tenant in self.simulation.deployment.tenants:
             if not tenant.rate:
                 continue
-            times = sorted(self.ran_of.get(tenant.name, ()))
+            times = sorted(self.deliveries.get(tenant.name, ()))
             terms = [v.rates[tenant.name] for v in self.versions if tenant.name in v.rates]
             rate = max([rate for rate, _ in terms] or [tenant.rate])
             burst = max([burst for _, burst in terms] or [tenant.burst])
@@ -384,59 +438,19 @@
 
     def metrics(self) -> Metrics:
         """The day in numbers. Requests beyond a tenant's quota are not owed."""
-        told = Metrics(self.simulation.day.name, self.world.seed)
-        owed = [ask for ask in self.asks if ask.owed]
-        told.asks, told.served = len(owed), sum(ask.answered_at is not None for ask in owed)
-        latencies = sorted(ask.answered_at - ask.born for ask in owed if ask.answered_at is not None)
-        told.p50, told.p99 = quantile(latencies, 0.5), quantile(latencies, 0.99)
-        worth = sum(ask.route.worth for ask in owed)
-        told.share = told.served / len(owed) if owed else 0.0
-        told.worth = sum(ask.earned for ask in owed) / worth if worth else 0.0
-        told.refused = sum(ask.refused and ask.answered_at is None for ask in owed)
-        told.failed = len(owed) - told.served - told.refused
-        for route in self.simulation.deployment.routes:
-            asks = [ask for ask in owed if ask.route is route]
-            if not asks:
-                continue
-            times = sorted(ask.answered_at - ask.born for ask in asks if ask.answered_at is not None)
-            refused = sum(ask.refused and ask.answered_at is None for ask in asks)
-            told.kinds[route.name] = KindFigures(
-                len(asks) * route.worth,
-                sum(ask.earned for ask in asks),
-                len(asks),
-                len(times),
-                refused,
-                len(asks) - len(times) - refused,
-                quantile(times, 0.5),
-                quantile(times, 0.99),
-                1.0 - sum(time <= route.target for time in times) / len(asks),
-            )
-        told.outside = sum(k.outside * k.asks for k in told.kinds.values()) / max(1, len(owed))
-        short = min(
-            (r for r in self.simulation.deployment.routes if r.name in told.kinds),
-            key=lambda route: route.target,
-            default=None,
-        )
-        told.outside_short = told.kinds[short.name].outside if short is not None else 0.0
-        told.turned_away = self.turned_away / max(1, len(self.arrivals))
-        told.busiest = self._busiest()
-        told.worst_kind = min((k.earned / k.owed for k in told.kinds.values() if k.owed), default=0.0)
-        spans: dict[int, list[float]] = {}
-        for ask in owed:
-            pair = spans.setdefault(int((ask.born - self.simulation.begins) / WORTH_SPAN), [0.0, 0.0])
-            pair[0] += ask.earned
-            pair[1] += ask.route.worth
-        told.spans = [spans[n][0] / spans[n][1] for n in sorted(spans)]
-        told.worst = min(told.spans, default=0.0)
-        told.rules, told.violations = dict(sorted(self.rules.items())), self.violations
-        told.acks = [v.acked_at - v.sent_at for v in self.versions if v.acked_at is not None]
-        told.unacked = sum(v.acked_at is None and not v.refused for v in self.versions)
-        told.leave_acks = max(self.leave_acks, default=0.0)
-        told.budget, told.quota = self.most_budget, self.most_quota
-        told.again = sum(again for *_, again in self.arrivals) / max(1, len(self.sents))
-        told.connections = self.connections
+        simulation = self.simulation
+        metrics = Metrics(simulation.day.name, self.world.seed)
+        add_requests(metrics, [ask for ask in self.asks if ask.owed], simulation.deployment.routes, simulation.begins)
+        metrics.turned_away = self.turned_away / max(1, len(self.arrivals))
+        metrics.busiest = self._busiest()
+        metrics.rules, metrics.violations = dict(sorted(self.rules.items())), self.violations
+        metrics.acks = [v.acked_at - v.sent_at for v in self.versions if v.acked_at is not None]
+        metrics.unacked = sum(v.acked_at is None and not v.refused for v in self.versions)
+        metrics.leave_acks = max(self.leave_acks, default=0.0)
+        metrics.budget, metrics.quota = self.most_budget, self.most_quota
+        metrics.again = sum(arrival.again for arrival in self.arrivals) / max(1, len(self.sents))
+        metrics.connections = self.connections
         ready = sorted(self.ready_at.values())
-        half = len(self.simulation.machines) // 2
-        told.ready = ready[half] if len(ready) > half else inf
-        told.ready = min(told.ready, self.world.now)
-        return told
+        half = len(simulation.machines) // 2
+        metrics.ready = min(ready[half] if len(ready) > half else inf, self.world.now)
+        return metrics
--- a/crowseam/simulator/scenario/day.py
+++ b/crowseam/simulator/scenario/day.py
@@ -260,10 +260,10 @@
         raise DayError(str(error)) from None
 
 
-def build(told: dict[str, Any]) -> Day:
-    """The day that is told in plain lists and dicts. Raises DayError."""
+def build(values: dict[str, Any]) -> Day:
+    """The day that plain lists and dicts describe. Raises DayError."""
     try:
-        return check(msgspec.convert(told, Day))
+        return check(msgspec.convert(values, Day))
     except msgspec.MsgspecError as error:
         raise DayError(str(error)) from None
 
@@ -285,10 +285,10 @@
 
     Entries of lists are named by their `name`. Raises DayError.
     """
-    told = msgspec.to_builtins(day)
+    values = msgspec.to_builtins(day)
     for path, value in changes.items():
         *steps, last = path.split(".")
-        at = told
+        at = values
         try:
             for step in steps:
                 at = next(one for one in at if one["name"] == step) if isinstance(at, list) else at[step]
@@ -297,4 +297,4 @@
         except (KeyError, StopIteration, TypeError):
             raise DayError(f"{path}: there is no such place in the day") from None
         at[last] = value
-    return build(told)
+    return build(values)
--- a/crowseam/simulator/scenario/replay.py
+++ b/crowseam/simulator/scenario/replay.py
@@ -28,12 +28,12 @@
         for line in lines:
             if f"event={ASKED} " not in line:
                 continue
-            told = dict(_PAIR.findall(line))
+            fields = dict(_PAIR.findall(line))
             try:
-                until, span = float(told["t"]), float(told["span"])
+                until, span = float(fields["t"]), float(fields["span"])
             except (KeyError, ValueError):
                 continue
-            for route, tenant, count in _COUNT.findall(told.get("counts", "").strip('"')):
+            for route, tenant, count in _COUNT.findall(fields.get("counts", "").strip('"')):
                 found += [(until - span * rng.random(), route, tenant) for _ in range(int(count))]
     if not found:
         raise ReplayError(f"no line tells event={ASKED} with t, span and counts")
--- a/crowseam/simulator/world/disk.py
+++ b/crowseam/simulator/world/disk.py
@@ -73,18 +73,18 @@
 
     def durable(self) -> Durable:
         """What a voter reads back after a start."""
-        told = Durable(
+        durable = Durable(
             id=self.identity.get("id"),
             floor=self.identity.get("floor", 0),
             saved=self.saved,
             chosen=dict(sorted(self.chosen.items())),
         )
         for slot, ballot in sorted(self.promises.items()):
-            told.votes[slot] = Vote(promised=ballot)
+            durable.votes[slot] = Vote(promised=ballot)
         for slot, (ballot, entry) in sorted(self.votes.items()):
-            promised = told.votes.get(slot, Vote()).promised
-            told.votes[slot] = Vote(ballot if promised is None else max(ballot, promised), ballot, entry)
-        return told
+            promised = durable.votes.get(slot, Vote()).promised
+            durable.votes[slot] = Vote(ballot if promised is None else max(ballot, promised), ballot, entry)
+        return durable
 
 
 def _set(values: dict[str, bytes], key: str, value: bytes | None) -> None:
@@ -156,8 +156,8 @@
     def _begin(self) -> None:
         world, disk_image = self.loop.world, self.disk_image
         self.under_way, self.waiting = self.waiting[:BATCH_MOST], self.waiting[BATCH_MOST:]
-        took = disk_image.sync * disk_image.slow * (0.8 + 0.4 * disk_image.rng.random())
-        world.at(max(world.now, disk_image.hangs_until) + took, world.outside, self._synced)
+        duration = disk_image.sync * disk_image.slow * (0.8 + 0.4 * disk_image.rng.random())
+        world.at(max(world.now, disk_image.hangs_until) + duration, world.outside, self._synced)
 
     def _synced(self) -> None:
         if not self.under_way:
--- a/tests/crowseam/test_large_states.py
+++ b/tests/crowseam/test_large_states.py
@@ -1,4 +1,4 @@
-"""Large configurations over thin links: the daemons on the virtual clock, and what old versions still get."""
+"""Large configurations over slow links: the daemons on the virtual clock, and what old versions still get."""
 
 import hashlib
 import random
@@ -16,7 +16,7 @@
 from crowseam.model_checks.agreement.check import Ledger, Order
 from crowseam.model_checks.catchup.check import Padded
 from crowseam.settings import Bind, Settings
-from crowseam.simulator.thin_links import SEEDS, Thin, configuration
+from crowseam.simulator.slow_links import SEEDS, SlowLinks, configuration
 from crowseam.simulator.world.patches import simulated_environment
 from crowseam.transport import messages as m
 
@@ -29,50 +29,50 @@
 
 class Daemons(unittest.TestCase):
     def test_an_empty_controller_and_an_empty_gateway_get_it_while_changes_go_on(self):
-        thin = Thin(1, BODY, 0.5)
-        took = thin.measure()
+        scenario = SlowLinks(1, BODY, 0.5)
+        took = scenario.measure()
         for name, one in took.items():
             self.assertIsNotNone(one.seconds, name)
             self.assertLess(one.seconds, 3.0, name)
             self.assertLess(one.bytes, 250_000, name)
             self.assertLess(one.gap, 0.7, name)
-        self.assertEqual((took["gateway"].left, thin.heard["State"], thin.world.failures), (0, 0, []))
+        self.assertEqual((took["gateway"].left, scenario.heard["State"], scenario.world.failures), (0, 0, []))
 
     def test_a_gateway_that_comes_back_gets_the_steps_it_lacks(self):
-        thin = Thin(1, BODY, 0.2)
-        thin.measure()
-        with simulated_environment(thin.world, quiet):
+        scenario = SlowLinks(1, BODY, 0.2)
+        scenario.measure()
+        with simulated_environment(scenario.world, quiet):
             for span in (0.5, 3.0):
-                thin.controller_session.link.close()
-                before, slot = thin.heard.copy(), thin.controller_session.slot
-                thin.run(span)
-                thin.world.run(thin.world.now + 1.0)
-                self.assertGreater(thin.controller_session.slot, slot)
-                self.assertEqual(thin.controller_session.config.ver, thin.ver)
+                scenario.controller_session.link.close()
+                before, slot = scenario.heard.copy(), scenario.controller_session.slot
+                scenario.run(span)
+                scenario.world.run(scenario.world.now + 1.0)
+                self.assertGreater(scenario.controller_session.slot, slot)
+                self.assertEqual(scenario.controller_session.config.ver, scenario.ver)
                 for kind in ("State", "SnapshotOffer", "SnapshotPart"):
-                    self.assertEqual(thin.heard[kind], before[kind], kind)
+                    self.assertEqual(scenario.heard[kind], before[kind], kind)
 
     def test_a_transfer_goes_on_with_another_controller_where_the_first_one_ends(self):
-        thin = Thin(2, configuration(1300, 5100, 70), 0.5)
-        with simulated_environment(thin.world, quiet):
-            thin.world.run(2.0)
-            thin.change()
-            thin.world.run(4.0)
-            thin.start_gateway()
+        scenario = SlowLinks(2, configuration(1300, 5100, 70), 0.5)
+        with simulated_environment(scenario.world, quiet):
+            scenario.world.run(2.0)
+            scenario.change()
+            scenario.world.run(4.0)
+            scenario.start_gateway()
             while not (
-                thin.controller_session
-                and thin.controller_session.fetch
-                and len(thin.controller_session.fetch.parts) >= 4
+                scenario.controller_session
+                and scenario.controller_session.fetch
+                and len(scenario.controller_session.fetch.parts) >= 4
             ):
-                thin.world.run(thin.world.now + 0.05)
-            first, parts = thin.controller_session.at, thin.heard["SnapshotPart"]
+                scenario.world.run(scenario.world.now + 0.05)
+            first, parts = scenario.controller_session.at, scenario.heard["SnapshotPart"]
             ip = first.partition(":")[0]
-            thin.network.ended(thin.controllers[ip].loop.process)
-            thin.world.run(thin.world.now + 6.0)
-        self.assertEqual(thin.controller_session.config.ver, 1)
-        self.assertNotEqual(thin.controller_session.at, first)
-        size = len(m.pack(thin.controllers[next(s for s in SEEDS if s != ip)].machine.config.dump()))
-        self.assertLessEqual(thin.heard["SnapshotPart"], -(-size // (32 << 10)) + 2, parts)
+            scenario.network.ended(scenario.controllers[ip].loop.process)
+            scenario.world.run(scenario.world.now + 6.0)
+        self.assertEqual(scenario.controller_session.config.ver, 1)
+        self.assertNotEqual(scenario.controller_session.at, first)
+        size = len(m.pack(scenario.controllers[next(s for s in SEEDS if s != ip)].machine.config.dump()))
+        self.assertLessEqual(scenario.heard["SnapshotPart"], -(-size // (32 << 10)) + 2, parts)
 
 
 class Gateway(unittest.TestCase):
