--- a/tests/crowseam/test_sessions.py
+++ b/tests/crowseam/test_sessions.py
@@ -1,8 +1,8 @@
 """Membership and failure detection.
 
-Timelines have one column for each controller. A cell holds ``open DESK LIFE [HOP]``, ``renew DESK``,
-``close DESK LIFE``, ``tick``, ``tell X`` (all or what changed, as X needs), ``restart LIFE``, and what is
-expected: ``?members DESK=REGISTRY ...``, ``?count N``.
+Timelines have one column for each controller. A cell holds ``open GATEWAY LIFE [HOP]``, ``renew GATEWAY``,
+``close GATEWAY LIFE``, ``tick``, ``tell X`` (all or what changed, as X needs), ``restart LIFE``, and what is
+expected: ``?members GATEWAY=CONTROLLER ...``, ``?count N``.
 """
 
 import math
