--- a/crowseam/simulator/actors/clients.py
+++ b/crowseam/simulator/actors/clients.py
@@ -3,20 +3,32 @@
 from __future__ import annotations
 
 import zlib
+from typing import NamedTuple
 
 from crowseam.simulator.actors import http_client
 from crowseam.simulator.actors.requests import ClientRequest
 from crowseam.simulator.context import GatewayMachine, SimulationContext
 from crowseam.simulator.scenario.day import Route, Tenant
 
-CONNECT = 1.0  # s that a connection is given to come up
-ASK_READY = 1.0  # s between two looks at a gateway
+CONNECT_TIMEOUT = 1.0  # s that a connection is given to come up
+READINESS_INTERVAL = 1.0  # s between two looks at a gateway
 MISSES = 2  # looks without 200 after which it gets no new connections
 KEPT = 64  # connections that a zone's clients keep
 KEEP_MOST = 4.0  # s that a kept connection is used again after
 OLD_KEY = 0.03  # part of the requests that come with a key that was taken away
-FINAL = frozenset((400, 401, 404, 413, 431))
-PROMISES = frozenset((429, 503, 408, 421))
+FINAL = frozenset((400, 401, 404, 413, 431))  # statuses after which no client tries again
+PROMISES = frozenset((429, 503, 408, 421))  # statuses of requests that no server has run
+LEFT_LEAST = 0.005  # s that a try has to have left
+RETRY_PAUSE, RETRY_RANDOM = 0.02, 0.05  # s until the next try: at least, and at random for each try before
+PATIENCE = 0.05  # s beyond its deadline that a client waits for an answer
+
+
+class KeptConnection(NamedTuple):
+    """An open connection to a gateway that is used again; `since` is world time, in s."""
+
+    connection: http_client.ClientConnection
+    machine: GatewayMachine
+    since: float
 
 
 class Platform:
@@ -31,7 +43,7 @@
             self.by_zone.setdefault(machine.zone, []).append(machine)
         self.process = simulation.network.process("platform", "10.250.0.1")
         for number, machine in enumerate(simulation.machines):
-            self.process.loop.call_later(ASK_READY * number / len(simulation.machines), self._look, machine)
+            self.process.loop.call_later(READINESS_INTERVAL * number / len(simulation.machines), self._look, machine)
 
     def _look(self, machine: GatewayMachine) -> None:
         def done(answer: http_client.Answer | None) -> None:
@@ -43,9 +55,13 @@
                 if self.misses[machine.name] >= MISSES:
                     self.ready[machine.name] = False
 
-        self.process.loop.call_later(ASK_READY, self._look, machine)
+        self.process.loop.call_later(READINESS_INTERVAL, self._look, machine)
         http_client.fetch(
-            self.process, machine.readyz, http_client.request("GET", machine.readyz, "/-/readyz", []), ASK_READY, done
+            self.process,
+            machine.readyz,
+            http_client.request("GET", machine.readyz, "/-/readyz", []),
+            READINESS_INTERVAL,
+            done,
         )
 
     def pick(self, zone: str, client: int, tries: int) -> GatewayMachine:
@@ -72,7 +88,7 @@
         }
         self.process = simulation.network.process(f"clients-{name}", f"10.240.{number}.1")
         self.loop = self.process.loop
-        self.kept: list[tuple[http_client.Caller, GatewayMachine, float]] = []
+        self.kept: list[KeptConnection] = []
 
     def begin(self) -> None:
         """The load begins: arrivals are Poisson, by route."""
@@ -116,23 +132,23 @@
 
     def _try(self, ask: ClientRequest) -> None:
         now = self.world.now
-        if now >= ask.ends - 0.005:
+        if now >= ask.ends - LEFT_LEAST:
             return
         attempt = f"{self.rng.getrandbits(64):016x}"
         ask.tries += 1
         ask.attempts.append(attempt)
-        ending = _Ending(self, ask, attempt)
+        sending = _Sending(self, ask, attempt)
         if ask.tries == 1 and self.rng.random() < self.simulation.deployment.clients.keep:
             while self.kept:
-                caller, machine, at = self.kept.pop()
-                if caller.strays:
+                connection, machine, since = self.kept.pop()
+                if connection.unsolicited:
                     self.simulation.judge.broken("MIXED", f"bytes without a request from {machine.name}")
-                if caller.usable and now - at < KEEP_MOST:
-                    ending.machine, ending.caller = machine, caller
-                    return ending.send()
-                caller.leave()
-        ending.machine = self.platform.pick(self.name, ask.client, ask.tries - 1)
-        ending.open()
+                if connection.usable and now - since < KEEP_MOST:
+                    sending.machine, sending.connection = machine, connection
+                    return sending.send()
+                connection.abort()
+        sending.machine = self.platform.pick(self.name, ask.client, ask.tries - 1)
+        sending.open()
 
     def failed(self, ask: ClientRequest, answer: http_client.Answer | None, read: bool) -> None:
         """A try has brought no success; `read`: the ingress may have read the request."""
@@ -143,7 +159,7 @@
         may = status not in FINAL and (route.kind == "safe" or status in PROMISES or not read)
         if not may or ask.tries > repeats or now >= ask.ends:
             return
-        wait = 0.02 + 0.05 * self.rng.random() * ask.tries
+        wait = RETRY_PAUSE + RETRY_RANDOM * self.rng.random() * ask.tries
         retry_after = answer.headers.get(b"retry-after") if answer is not None else None
         if retry_after is not None and not impatient:
             try:
@@ -153,15 +169,15 @@
         self.loop.call_later(wait, self._try, ask)
 
 
-class _Ending:
-    """One try, which ends once."""
+class _Sending:
+    """One try of a request, which ends once."""
 
-    __slots__ = ("zone", "ask", "attempt", "machine", "caller", "timer", "sent", "made", "over")
+    __slots__ = ("zone", "ask", "attempt", "machine", "connection", "timer", "sent", "made", "over")
 
     def __init__(self, zone: ZoneClients, ask: ClientRequest, attempt: str) -> None:
         self.zone, self.ask, self.attempt = zone, ask, attempt
         self.machine: GatewayMachine | None = None
-        self.caller: http_client.Caller | None = None
+        self.connection: http_client.ClientConnection | None = None
         self.timer = self.made = None
         self.sent = self.over = False
 
@@ -170,9 +186,9 @@
         host, _, port = self.machine.http.rpartition(":")
         self.made = zone.loop.create_future()
         self.made.add_done_callback(self._up)
-        caller = self.caller = http_client.Caller()
-        self.timer = zone.loop.call_later(min(CONNECT, self.ask.ends - zone.world.now), self.made.cancel)
-        zone.loop.network.dial(zone.process, lambda: caller, host, int(port), self.made)
+        connection = self.connection = http_client.ClientConnection()
+        self.timer = zone.loop.call_later(min(CONNECT_TIMEOUT, self.ask.ends - zone.world.now), self.made.cancel)
+        zone.loop.network.dial(zone.process, lambda: connection, host, int(port), self.made)
 
     def _up(self, made: object) -> None:
         self.timer.cancel()
@@ -193,15 +209,15 @@
         body = b"" if safe else self.attempt.encode() * (ask.route.bytes_in // 16 + 1)
         simulation.judge.sent(ask, self.attempt, self.machine.name, path, "GET" if safe else "POST", body)
         self.sent = True
-        self.timer = zone.loop.call_later(ask.ends - now + 0.05, self._late)
+        self.timer = zone.loop.call_later(ask.ends - now + PATIENCE, self._late)
         data = http_client.request("GET" if safe else "POST", simulation.host, path, fields, body)
-        self.caller.ask(data, self._done)
+        self.connection.ask(data, self._done)
 
     def _late(self) -> None:
         """The client waits no longer."""
         if not self.over:
             self.over = True
-            self.caller.leave()
+            self.connection.abort()
 
     def _done(self, answer: http_client.Answer | None) -> None:
         if self.over:
@@ -209,15 +225,15 @@
         self.over = True
         self.timer.cancel()
         zone, judge = self.zone, self.zone.simulation.judge
-        if self.caller.strays:
+        if self.connection.unsolicited:
             judge.broken("MIXED", f"bytes without a request from {self.machine.name}")
-        transport = self.caller.transport
+        transport = self.connection.transport
         read = answer is not None or transport is None or not transport.refused
         judge.answered(self.ask, self.attempt, self.machine.name, answer, read)
         if answer is not None and answer.keep and len(zone.kept) < KEPT:
-            zone.kept.append((self.caller, self.machine, zone.world.now))
+            zone.kept.append(KeptConnection(self.connection, self.machine, zone.world.now))
         else:
-            self.caller.leave()
+            self.connection.abort()
         if answer is not None and 200 <= answer.status < 300:
             return
         zone.failed(self.ask, answer, read)
--- a/crowseam/simulator/actors/http_client.py
+++ b/crowseam/simulator/actors/http_client.py
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A whole answer."""
+    """A whole answer; `keep`: whether its connection can be used again."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -21,13 +21,13 @@
     keep: bool
 
 
-class Caller(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A connection that asks, one request at a time; `done` gets the answer, None where none came whole."""
 
     def __init__(self) -> None:
         self.transport = None
         self.done: Callable[[Answer | None], None] | None = None
-        self.strays = 0  # bytes that belong to no request
+        self.unsolicited = 0  # bytes that belong to no request
         self.parser = None
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
@@ -50,7 +50,7 @@
     def data_received(self, data: bytes) -> None:
         """Parse what has come; bytes without a request close the connection."""
         if self.done is None:
-            self.strays += len(data)
+            self.unsolicited += len(data)
             return self.transport.close()
         try:
             self.parser.feed_data(data)
@@ -87,7 +87,7 @@
         """The connection is gone: what was asked gets no answer."""
         self._over(None)
 
-    def leave(self) -> None:
+    def abort(self) -> None:
         """Close without waiting for anything."""
         self.done = None
         if self.transport is not None:
@@ -97,7 +97,7 @@
 def fetch(process: Process, address: str, data: bytes, timeout: float, done: Callable[[Answer | None], None]) -> None:
     """One call on a connection of its own; `done` gets the answer, or None after a failure or `timeout` s."""
     host, _, port = address.rpartition(":")
-    loop, caller, over = process.loop, Caller(), False
+    loop, connection, over = process.loop, ClientConnection(), False
 
     def end(answer: Answer | None) -> None:
         nonlocal over
@@ -105,7 +105,7 @@
             over = True
             timer.cancel()
             made.cancel()
-            caller.leave()
+            connection.abort()
             done(answer)
 
     def up(made: asyncio.Future) -> None:
@@ -113,12 +113,12 @@
             return
         if made.cancelled() or made.exception() is not None:
             return end(None)
-        caller.ask(data, end)
+        connection.ask(data, end)
 
     made = loop.create_future()
     timer = loop.call_later(timeout, end, None)
     made.add_done_callback(up)
-    loop.network.dial(process, lambda: caller, host, int(port), made)
+    loop.network.dial(process, lambda: connection, host, int(port), made)
 
 
 def request(method: str, host: str, path: str, fields: list[tuple[str, str]], body: bytes = b"") -> bytes:
