--- a/crowseam/cli/dispatch.py
+++ b/crowseam/cli/dispatch.py
@@ -4,7 +4,7 @@
 
 from docopt import DocoptExit, docopt
 
-from crowseam.cli import commands
+from crowseam.cli import config_commands, file_commands, retirement_commands, status_commands
 from crowseam.cli.errors import BAD_INPUT, FAILED, CommandError
 from crowseam.cli.usage import USAGE
 
@@ -67,16 +67,16 @@
 
 
 COMMANDS = {
-    "check": commands.check,
-    "servers": commands.servers,
-    "members": commands.members,
-    "duties": commands.duties,
-    "status": commands.status,
+    "check": file_commands.check,
+    "servers": status_commands.servers,
+    "members": status_commands.members,
+    "duties": status_commands.duties,
+    "status": status_commands.status,
     "metrics": _metrics,
-    "retire": commands.retire,
-    "retiring": commands.retiring,
-    "trace": commands.trace,
-    "schema": commands.schema,
+    "retire": retirement_commands.retire,
+    "retiring": retirement_commands.retiring,
+    "trace": file_commands.trace,
+    "schema": file_commands.schema,
     "demo": _demo,
     "snapshot": lambda args: _store_commands().snapshot(args),
     "restore": lambda args: _store_commands().restore(args),
@@ -91,10 +91,10 @@
     "replay": lambda args: _simulation().again(args),
 }
 CONFIG_COMMANDS = {
-    "get": commands.config_get,
-    "put": commands.config_put,
-    "diff": commands.config_diff,
-    "history": commands.config_history,
+    "get": config_commands.config_get,
+    "put": config_commands.config_put,
+    "diff": config_commands.config_diff,
+    "history": config_commands.config_history,
 }
 
 
--- a/crowseam/cli/metrics_table.py
+++ b/crowseam/cli/metrics_table.py
@@ -7,10 +7,10 @@
 from typing import Any
 
 from crowseam.cli import errors
-from crowseam.cli.commands import caller
+from crowseam.cli.calls import caller
 from crowseam.cli.console import Args, print_json, print_text
 from crowseam.cli.tables import table
-from crowseam.metrics.latency import FAILED, LATE, LEAST, LONGEST, OUTCOMES, REFUSED, SERVED, library
+from crowseam.metrics.latency import FAILED, LATE, LONGEST, OUTCOMES, REFUSED, SERVED, SHORTEST, library
 
 PLAIN = (
     "ready",
@@ -92,7 +92,7 @@
 
 def _middles(counts: list[tuple[float, float]]) -> Iterator[tuple[float, float]]:
     """What rising cumulative buckets hold, each at the middle of its edges by ratio."""
-    before, low = 0.0, LEAST
+    before, low = 0.0, SHORTEST
     for high, total in counts:
         if total > before:
             yield (low * high) ** 0.5 if high != float("inf") else low, total - before
--- a/crowseam/cli/schema.py
+++ b/crowseam/cli/schema.py
@@ -66,6 +66,6 @@
 SCHEMAS = {"config": Whole, "patch": Patch, "settings": SettingsFile, "deploy": DeployFile}
 
 
-def schema(name: str) -> dict[str, Any]:
+def schema_of(name: str) -> dict[str, Any]:
     """Return the JSON Schema of one of SCHEMAS."""
     return {"$schema": "https://json-schema.org/draft/2020-12/schema"} | msgspec.json.schema(SCHEMAS[name])
--- a/crowseam/metrics/latency.py
+++ b/crowseam/metrics/latency.py
@@ -1,7 +1,7 @@
 """Latencies and ends of a gateway's requests, in sketches of `ddsketch`.
 
 All spans are in seconds. Clock-free: who records measures. The number of series has a bound, whatever the
-configuration: a route begins to count by itself with its first request, and what ends beyond MOST series, or
+configuration: a route begins to count by itself with its first request, and what ends beyond SERIES_MOST series, or
 on a route that the configuration has no more, counts under OTHER.
 """
 
@@ -16,9 +16,9 @@
 SERVED, LATE, REFUSED, FAILED = "served", "late", "refused", "failed"
 OUTCOMES = (SERVED, LATE, REFUSED, FAILED)
 OTHER = "(other)"
-MOST = 300  # series of their own; each holds 5 to 11 KB, and 23 KB if its latencies fill every bin
-EARLY = 2000  # ends that are kept until the library is here
-LEAST, LONGEST = 1e-4, 120.0  # s; spans beyond count as these, which bounds the bins of a sketch to 703
+SERIES_MOST = 300  # series of their own; each holds 5 to 11 KB, and 23 KB if its latencies fill every bin
+EARLY_MOST = 2000  # ends that are kept until the library is here
+SHORTEST, LONGEST = 1e-4, 120.0  # s; spans beyond count as these, which bounds the bins of a sketch to 703
 ACCURACY = 0.01  # of any quantile, as a part of it
 # s; steps so small that a sum over gateways still tells a p99 between 2 ms and 10 s within 30%.
 BOUNDS = tuple(
@@ -133,7 +133,7 @@
             self.reasons[why] = self.reasons.get(why, 0) + 1
             if not service and len(route.split) == 1:
                 service = route.split[0][0]  # it would have gone there
-        span = LEAST if span < LEAST else LONGEST if span > LONGEST else span
+        span = SHORTEST if span < SHORTEST else LONGEST if span > LONGEST else span
         key = (route.name, service, outcome)
         series = self.series.get(key)
         if series is None and (series := self._begin(key, span)) is None:
@@ -143,12 +143,12 @@
     def _begin(self, key: Key, span: float) -> object | None:
         """The series that a key without one counts in; none before the library is here."""
         if self.make is None:
-            if len(self.early) < EARLY:
+            if len(self.early) < EARLY_MOST:
                 self.early.append((key, span))
             else:
                 self.skipped += 1
             return None
-        if len(self.series) >= MOST or not self._has(key):
+        if len(self.series) >= SERIES_MOST or not self._has(key):
             key = (OTHER, "", key[2])
         series = self.series.get(key)
         if series is None:
--- a/tests/crowseam/test_metrics.py
+++ b/tests/crowseam/test_metrics.py
@@ -100,11 +100,11 @@
         self.assertEqual((made.reasons["failed", "server"], made.reasons["refused", "quota"]), (1, 1))
 
     def test_series_are_bounded_and_those_of_routes_that_left_are_dropped(self):
-        routes = [route(f"r{n}", "a", "b") for n in range(latency.MOST + 50)]
+        routes = [route(f"r{n}", "a", "b") for n in range(latency.SERIES_MOST + 50)]
         made = recorder(*routes)
         for each in routes:
             made.ended(each, "a", 200, "", 0.01)
-        self.assertEqual(len(made.series), latency.MOST + 1)
+        self.assertEqual(len(made.series), latency.SERIES_MOST + 1)
         self.assertEqual(made.series[latency.OTHER, "", "served"].count, 50)
         made.follow({"r0": routes[0], "r1": route("r1", "b")})
         self.assertEqual(set(made.series), {("r0", "a", "served"), (latency.OTHER, "", "served")})
@@ -113,10 +113,10 @@
 
     def test_what_ends_before_the_library_is_here_is_kept_within_a_bound(self):
         made = recorder(loans := route(), make=None)
-        for _ in range(latency.EARLY + 7):
+        for _ in range(latency.EARLY_MOST + 7):
             made.ended(loans, "a", 200, "", 0.01)
         made.use(MAKE)
-        self.assertEqual((made.series["loans", "a", "served"].count, made.skipped), (latency.EARLY, 7))
+        self.assertEqual((made.series["loans", "a", "served"].count, made.skipped), (latency.EARLY_MOST, 7))
 
     def test_quantiles_and_buckets_are_as_near_as_is_said(self):
         rng = Random(1)
