--- a/crowseam/capacity/__init__.py
+++ b/crowseam/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Cost against size: the scale run, its hollow peers, and the page of the size to come."""
+"""Cost against size: message costs, measures of the code, scale runs on real processes, and their page."""
--- a/crowseam/capacity/curves.py
+++ b/crowseam/capacity/curves.py
@@ -37,7 +37,7 @@
 
 
 def row(size: Deployment) -> Row:
-    """What is reckoned for one size. Bytes in kB and kB/s, times in s, rates by the second."""
+    """The computed figures for one size. Bytes in kB and kB/s, times in s, rates by the second."""
     found = costs(size)
     start = sum(found.start.values()) / 1000
     at_start = start * size.gateways / size.controllers
@@ -81,7 +81,7 @@
 
 
 def even_slice(gateways: int) -> float:
-    """Requests a second that a gateway is lent of a tenant's QUOTA while all ask alike, or nobody does."""
+    """Requests a second of a tenant's QUOTA that a gateway holds while all gateways ask for the same."""
     lender = Lender(1, set(), gateways, 0.0, TERMS, lambda tenant: QUOTA, lambda: ("t",))
     lease = lender.report("d", {}, Held(1, 0.0, 0, 0, 0.0, {}), 0.0)
     return lease.shares.get("t", 0) / PARTS * QUOTA
--- a/crowseam/capacity/hollow_gateways.py
+++ b/crowseam/capacity/hollow_gateways.py
@@ -285,7 +285,7 @@
         self.duties = {tenant: duty_of(tenant) for tenant in self.clients.rates}
         self.traffic = Traffic()
         self.events: Counter[str] = Counter()
-        self.slots: dict[int, list[float]] = {}  # when each gateway was told of a slot
+        self.slots: dict[int, list[float]] = {}  # when each gateway received a slot
         self.caught_up: list[float] = []
         self.leased: list[float] = []
         self.named = self.reports = self.passed = self.wanted = self.refused = self.given = 0
@@ -311,7 +311,7 @@
         self.loop.call_later(LOOK, self._look)
 
     def arrived(self, slot: int, now: float) -> None:
-        """A gateway has been told of a slot."""
+        """A gateway has received the log up to a slot."""
         self.slots.setdefault(slot, []).append(now)
 
     def draw(self, gateway: HollowGateway, tenant: str, now: float) -> None:
--- a/crowseam/capacity/hollow_protocol.py
+++ b/crowseam/capacity/hollow_protocol.py
@@ -1,4 +1,4 @@
-"""What the scale run and its hollow processes say to each other: one JSON object a line.
+"""The protocol between the scale run and its hollow processes: one JSON object a line.
 
 The first line is a job, each further one an order, which is answered with one report.  Times are in seconds.
 """
@@ -23,7 +23,7 @@
 
 
 class Order(Struct, frozen=True):
-    """What a hollow process is told: report only, start counting anew, restart gateways, or take servers out."""
+    """An order to a hollow process: report only, reset the counts, restart gateways, or take servers out."""
 
     do: Literal["tell", "reset", "restart", "leave"]
     count: int = 0
@@ -45,7 +45,7 @@
     slot: int  # the lowest of all gateways
     traffic: dict[str, MessageCount]  # by direction and type
     events: dict[str, int]
-    slots: dict[int, list[float]]  # when each gateway was told of a slot, steady clock
+    slots: dict[int, list[float]]  # when each gateway received a slot, steady clock
     caught_up: list[float]  # s from the start of each gateway to configuration and servers
     leased: list[float]  # s from the start of each gateway to all its leases
     named: int  # tenants in all reports
--- a/crowseam/capacity/hollow_servers.py
+++ b/crowseam/capacity/hollow_servers.py
@@ -166,7 +166,7 @@
         self.loop.call_later(0.01, self._heartbeat)
 
     def call(self, server: HollowServer, method: str, now: float) -> None:
-        """Report, or say goodbye, where a connection stands."""
+        """Send a heartbeat, or the removal of the server, over a free connection."""
         if (connection := self._free_connection(server)) is not None:
             connection.call(server, method, server.body() if method == "PUT" else b"", now)
         else:
@@ -179,7 +179,7 @@
             self.loop.call_later(0.1, lambda: self.call(server, "PUT", clock.monotonic()))
 
     def answered(self, server: HollowServer, method: str, status: int, body: bytes) -> None:
-        """A controller has answered."""
+        """A controller has answered a call."""
         self.statuses[f"{method} {status}"] += 1
         now = clock.monotonic()
         if server.phase == "draining" and method == "PUT":
--- a/crowseam/capacity/loads.py
+++ b/crowseam/capacity/loads.py
@@ -59,7 +59,7 @@
     memory_most: Annotated[float, Meta(gt=0.0)] = 12_000.0
 
     def requests_a_gateway(self) -> float:
-        """Requests a second that one gateway is asked."""
+        """Requests a second at one gateway."""
         return self.requests / self.full_gateways
 
 
@@ -86,7 +86,7 @@
 
 
 def weights(load: Load) -> list[float]:
-    """The part of all requests that each tenant asks; they sum to 1."""
+    """Each tenant's part of all requests; they sum to 1."""
     raw = [1.0 / (rank + 1) ** load.skew for rank in range(load.tenants)]
     total = sum(raw)
     order = list(range(load.tenants))
@@ -154,7 +154,7 @@
 
 
 def change(load: Load, number: int) -> dict[str, Any]:
-    """The PATCH that leads from version `number` to the next: one route or tenant is altered."""
+    """The PATCH from version `number` to the next: it changes one route or one tenant."""
     rng = Random(load.seed * 1_000_003 + number)
     if number % 3:
         altered = _route(load, rng.randrange(load.routes), 2000 + number)
@@ -169,7 +169,7 @@
 
 
 class Clients:
-    """Whom a gateway is asked by: every gateway has its part of every tenant's requests."""
+    """The tenants of the requests at a gateway: each gateway gets an even part of every tenant's requests."""
 
     def __init__(self, load: Load) -> None:
         self._names = [tenant(number) for number in range(load.tenants)]
--- a/crowseam/capacity/message_costs.py
+++ b/crowseam/capacity/message_costs.py
@@ -1,4 +1,4 @@
-"""What control costs in bytes as a deployment grows: the real messages, filled for its size, by the second.
+"""Bytes a second of control traffic against the size of a deployment: the real messages, filled for the size.
 
 Nothing is sent.  The figures hold for calm times: changes of configuration, servers and sessions come
 on top, and heartbeats and pulses come as often as the daemons send them.
@@ -59,7 +59,7 @@
 
 
 class Leases:
-    """What a gateway holds, and is lent, of tenants that ask there; of others nothing is said."""
+    """The leases that a gateway holds, of the tenants with requests there."""
 
     def __init__(self, names: list[str]) -> None:
         self.asks = {name: 1.25 for name in names}
@@ -98,7 +98,7 @@
 
 
 def _between_controllers(size: Deployment, addresses: list[str], leases: Leases) -> Bytes:
-    """What one controller sends to the others and hears of them."""
+    """What one controller sends to the others and receives from them."""
     others = size.controllers - 1
     away = others / size.controllers  # part of the duties that another controller holds
     heard = [("i-0123456789", 1000)] * max(1, round(size.servers / size.heartbeat * TELL / size.controllers))
--- a/crowseam/capacity/page.py
+++ b/crowseam/capacity/page.py
@@ -1,4 +1,4 @@
-"""Slopes: cost against size from the kept records, carried to the size to come: the tables of CAPACITY.md.
+"""Slopes of cost against size, from kept records, extrapolated to the size to come: the tables of CAPACITY.md.
 
 Records are those of `crowseam scale-run` (scale-run-*.json), the figures of `crowseam scale --curve --json`
 (curves.json), and sweeps of the bench (sweep-*.toml, as `Sweep` has it), all in one directory; goals.toml
@@ -254,7 +254,7 @@
 
 
 def rows(found: list[Series], goals: Goals) -> list[dict[str, str]]:
-    """A row of the table for each series: what was measured, its slope, and where that leads."""
+    """A row of the table for each series: the measured values, the slope, and the value at the size to come."""
     known = {goal.row: goal for goal in goals.rows}
     return [_row(each, known.get(each.name, Goal(each.name)), goals.size.get(each.by)) for each in found]
 
@@ -274,7 +274,7 @@
 
 
 def _carried(each: Series, goal: Goal, size: float | None) -> tuple[str, str]:
-    """The slope of a series in words, and where it leads at the size to come."""
+    """The slope of a series, and its value at the size to come, as text."""
     found = None if size is None else fit(each.points, size)
     if found is None:
         return "one size only", "-"
--- a/crowseam/capacity/procfs.py
+++ b/crowseam/capacity/procfs.py
@@ -1,4 +1,4 @@
-"""What the kernel tells of a process: processor time, memory, descriptors, bytes. Source: proc(5)."""
+"""Resource usage of a process: processor time, memory, descriptors, bytes. Source: proc(5)."""
 
 from __future__ import annotations
 
--- a/crowseam/capacity/scale_record.py
+++ b/crowseam/capacity/scale_record.py
@@ -212,7 +212,7 @@
 
 
 def summary(record: RunRecord) -> dict[str, Any]:
-    """One line for people of what a run has found; None stands for what it has not."""
+    """One row of a table with the main results of a run; None where a part was not reached."""
     processes = record.calm.processes if record.calm is not None else {}
 
     def most(role: str, what: str) -> float | None:
--- a/crowseam/capacity/scale_run.py
+++ b/crowseam/capacity/scale_run.py
@@ -12,9 +12,9 @@
 import time
 from collections.abc import Awaitable, Callable, Iterable
 from pathlib import Path
-from typing import Any
 
 import msgspec
+from msgspec import Struct
 
 from crowseam.capacity import loads, procfs
 from crowseam.capacity.hollow_protocol import GatewaysReport, Order, ServersReport
@@ -57,6 +57,14 @@
 TELL, RESET = Order("tell"), Order("reset")
 
 
+class ControllerStatus(Struct):
+    """What a run reads of a controller's status."""
+
+    servers: int = 0
+    slot: int = 0
+    in_touch: bool = False
+
+
 class Run:
     """One run at one size."""
 
@@ -100,16 +108,16 @@
 
     # Calls
 
-    async def status(self, place: int) -> dict[str, Any]:
-        """What a controller says of itself; empty if it doesn't."""
+    async def status(self, place: int) -> ControllerStatus | None:
+        """The status of a controller; None if it doesn't answer."""
         status, body = await asyncio.to_thread(
             call, controller_ip(place), demo_files.PORTS["ctl"], "GET", "/-/status", b"", 2.0
         )
-        return msgspec.json.decode(body) if status == 200 else {}
+        return msgspec.json.decode(body, type=ControllerStatus) if status == 200 else None
 
     async def answers(self, place: int) -> bool:
-        """Whether a controller says anything of itself."""
-        return bool(await self.status(place))
+        """Whether a controller answers."""
+        return await self.status(place) is not None
 
     async def put(self, body: bytes, method: str = "PATCH", place: int = 0) -> float | None:
         """Send a configuration or a change until it is taken: s until the acknowledgement."""
@@ -189,7 +197,7 @@
 
     async def _servers_known(self) -> bool:
         statuses = [await self.status(place) for place in range(self.load.controllers)]
-        return all(status.get("servers", 0) >= self.load.servers for status in statuses)
+        return all(status is not None and status.servers >= self.load.servers for status in statuses)
 
     async def _all_whole(self) -> bool:
         return all(report.whole == report.gateways for report in await self.processes.gateways(TELL))
@@ -241,8 +249,8 @@
                 break
             at = time.monotonic()
             acks.append(taken)
-            slots = [(await self.status(place)).get("slot", 0) for place in range(self.load.controllers)]
-            acknowledged.append((max(slots), at))
+            statuses = [await self.status(place) for place in range(self.load.controllers)]
+            acknowledged.append((max((status.slot for status in statuses if status is not None), default=0), at))
             await asyncio.sleep(self.load.change_pause)
         after, span = processes.usage(), time.monotonic() - begun
         reports = await processes.gateways(TELL)
@@ -312,7 +320,7 @@
 
         async def caught_up() -> bool:
             mine, other = await self.status(last), await self.status(0)
-            return bool(mine) and mine.get("in_touch", False) and mine.get("slot") == other.get("slot")
+            return mine is not None and other is not None and mine.in_touch and mine.slot == other.slot
 
         done = await self.until("the killed controller up to date", caught_up, CATCH_UP_TIMEOUT)
         span = time.monotonic() - begun
--- a/crowseam/capacity/tenant_requests.py
+++ b/crowseam/capacity/tenant_requests.py
@@ -1,4 +1,4 @@
-"""What tenants ask at one hollow gateway, and which of it their slices let in."""
+"""Requests of tenants at one hollow gateway, and which of them the slices let in."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         return now < self._buckets[tenant].dry_until
 
     def report(self, now: float) -> dict[str, float]:
-        """Asks a second by tenant, as a gateway tells them."""
+        """Requests a second by tenant, as a gateway reports them."""
         rates = {tenant: FADE * demand.faded(now) for tenant, demand in self._demand.items()}
         reported = {tenant: round(rate, 3) for tenant, rate in rates.items() if rate >= FEWEST_ASKS}
         if len(reported) < len(self._demand):
--- a/crowseam/cli/demo_verdict.py
+++ b/crowseam/cli/demo_verdict.py
@@ -1,4 +1,4 @@
-"""What a demonstration has shown, and whether what is promised held."""
+"""The checks of a demonstration: whether each promise held."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
 
 
 class Observations(Struct):
-    """All that the verdict goes by. Times are seconds of the steady clock."""
+    """The observations that the verdict is based on. Times are seconds of the steady clock."""
 
     tenants: dict[str, Count] = {}
     served_at: dict[str, list[float]] = {}
--- a/crowseam/cli/detection.py
+++ b/crowseam/cli/detection.py
@@ -1,4 +1,4 @@
-"""How soon the controllers' failure detection tells, and how often it errs, by kind of trouble.
+"""Latency and errors of the controllers' failure detection, by kind of fault.
 
 One controller's machine is hit.  Each 20 ms every other controller is asked what it takes the one for; the
 daemons' own detectors answer, fed by the daemons' own pings over the simulated links.
@@ -110,7 +110,7 @@
 
 
 def summary(kind: str, runs: int) -> dict[str, Any]:
-    """Of so many runs: median and longest time to tell (s), how many never did, the part of wrong looks."""
+    """Of so many runs: median and longest detection time (s), how many never detected it, the part of wrong looks."""
     done = [Watch(kind, seed).run() for seed in range(1, runs + 1)]
     times = sorted(time for one in done for time in one.found.values())
     looks = sum(one.looks for one in done)
--- a/crowseam/cli/experiment.py
+++ b/crowseam/cli/experiment.py
@@ -274,7 +274,7 @@
 
 
 def digest(jobs: list[Job]) -> str:
-    """Tells whether two runs of an experiment have played the same days."""
+    """A digest that is the same for two runs of an experiment if they have played the same days."""
     days = {(job.variant, job.seed): job.day for job in jobs}
     return hashlib.sha256(msgspec.json.encode(sorted(days.items()), order="sorted")).hexdigest()[:16]
 
--- a/crowseam/cli/metrics_table.py
+++ b/crowseam/cli/metrics_table.py
@@ -29,7 +29,7 @@
 
 
 class Merged:
-    """Sums what several daemons tell. Latencies are merged as sketches made of the buckets they tell."""
+    """Sums the metrics of several daemons. Latencies are merged as sketches made of the exported buckets."""
 
     def __init__(self, make: Callable[[], Any]) -> None:
         self.make = make
@@ -38,7 +38,7 @@
         self.worst: dict[tuple[str, str], float] = {}
 
     def add(self, text: str) -> dict[str, float]:
-        """Take in what one daemon tells; its plain figures by name. Raises ValueError if it can't be read."""
+        """Add the metrics of one daemon; return its plain figures by name. Raises ValueError."""
         from prometheus_client.parser import text_string_to_metric_families
 
         families = list(text_string_to_metric_families(text))  # read whole first: none is taken in by half
--- a/crowseam/cli/simulation_commands.py
+++ b/crowseam/cli/simulation_commands.py
@@ -122,7 +122,7 @@
 
 
 def experiment(args: Args) -> int:
-    """Play the variants of an experiment side by side, and tell what differs."""
+    """Play the variants of an experiment side by side, and print what differs."""
     described, jobs = experiments.load(args["FILE"][0])
     found = experiments.run(jobs, _jobs(args))
     values = experiments.gather(jobs, found)
@@ -156,7 +156,7 @@
 
 
 def plan(args: Args) -> int:
-    """Say what a deployment carries, and what it would with something lost, retired or doubled."""
+    """Print what a deployment carries as it is, and with something lost, retired or doubled."""
 
     def listed(name: str) -> list[str]:
         return [each.strip() for each in (args[name] or "").split(",") if each.strip()]
--- a/crowseam/cli/store_commands.py
+++ b/crowseam/cli/store_commands.py
@@ -37,7 +37,7 @@
 
 
 def _last(durable: Durable) -> int:
-    """Return the last slot up to which every chosen entry is at hand."""
+    """Return the last slot up to which every chosen entry is present."""
     last = durable.saved.slot if durable.saved is not None else 0
     while last + 1 in durable.chosen:
         last += 1
--- a/crowseam/cli/tables.py
+++ b/crowseam/cli/tables.py
@@ -1,4 +1,4 @@
-"""Tables for people out of what the system answers in JSON."""
+"""Plain-text tables of the records in JSON answers."""
 
 from typing import Any
 
@@ -22,7 +22,7 @@
 
 
 def cell(value: Any) -> str:
-    """Return a value as it stands in a table."""
+    """Return a value as a cell of a table."""
     if value is None:
         return "-"
     if isinstance(value, bool):
--- a/crowseam/cli/trace.py
+++ b/crowseam/cli/trace.py
@@ -12,7 +12,7 @@
 
 
 def pairs(line: str) -> dict[str, str]:
-    """Return the key=value pairs of a line. A value with blanks stands in double quotes."""
+    """Return the key=value pairs of a line. A value with blanks is in double quotes."""
     found = {}
     for name, value in _PAIR.findall(line):
         if len(value) > 1 and value[0] == value[-1] == '"':
--- a/crowseam/clock.py
+++ b/crowseam/clock.py
@@ -1,4 +1,4 @@
-"""The clocks that daemons read. The simulator puts virtual ones in their place; nobody else changes them."""
+"""The clocks that daemons read. The simulator replaces them by virtual ones; nothing else changes them."""
 
 import time as _time
 
--- a/crowseam/configuration/routing.py
+++ b/crowseam/configuration/routing.py
@@ -43,7 +43,7 @@
 
 
 class Service(Struct, frozen=True, eq=False):
-    """A service: the path of its health probe, and connections a server takes (0: not told)."""
+    """A service: the path of its health probe, and the connections that a server takes (0: unknown)."""
 
     name: str
     hc_path: str
--- a/crowseam/configuration/specs.py
+++ b/crowseam/configuration/specs.py
@@ -27,7 +27,7 @@
 
 
 class RouteSpec(Struct, frozen=True):
-    """A route as sent. Times are text; `split` stands in place of `svc`."""
+    """A route as sent. Times are text; `split` replaces `svc`."""
 
     vhost: str
     prefix: str
--- a/crowseam/control_calls.py
+++ b/crowseam/control_calls.py
@@ -1,4 +1,4 @@
-"""The one table of the calls that servers and operators make: method, path and who serves it."""
+"""The calls of the control API: method, path and handler."""
 
 from __future__ import annotations
 
--- a/crowseam/logs.py
+++ b/crowseam/logs.py
@@ -1,4 +1,4 @@
-"""One line of key=value pairs for each event, to standard error; a flood of one event is sampled."""
+"""Structured logs: one line of key=value pairs for each event, to standard error; floods of an event are sampled."""
 
 from __future__ import annotations
 
@@ -60,5 +60,5 @@
 
 
 def failure(event: str) -> None:
-    """Log the exception at hand, with its trace in one line."""
+    """Log the exception that is being handled, with its traceback in one line."""
     say(event, trace=traceback.format_exc().replace("\n", " | "))
--- a/crowseam/settings.py
+++ b/crowseam/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process, read and checked, and what every role does with it."""
+"""The settings file of a process, parsed and checked."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
 
     @property
     def peer(self) -> str:
-        """The address at which a controller on this machine hears others of the system."""
+        """The address at which a controller on this machine listens for other processes of the system."""
         return f"{self.ip}:{self.port_range[0]}"
 
 
--- a/crowseam/simulator/actors/__init__.py
+++ b/crowseam/simulator/actors/__init__.py
@@ -1,1 +1,1 @@
-"""Servers, clients, operators and the platform, as the system meets them."""
+"""The simulated environment of the system: servers, clients, the operator and the platform."""
--- a/crowseam/simulator/actors/clients.py
+++ b/crowseam/simulator/actors/clients.py
@@ -1,4 +1,4 @@
-"""Clients, and the platform that leads their connections to the gateways that say they are ready."""
+"""Clients, and the platform that routes their connections to gateways that report ready."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
         )
 
     def pick(self, zone: str, client: int, tries: int) -> GatewayMachine:
-        """The gateway for a new connection: by a hash of the client, another one for each further try."""
+        """The gateway for a new connection: by a hash of the client, and another one for each further try."""
         machines = [m for m in self.by_zone[zone] if self.ready[m.name]]
         if not machines:
             elsewhere = [m for m in self.simulation.machines if self.ready[m.name]]
--- a/crowseam/simulator/actors/operator.py
+++ b/crowseam/simulator/actors/operator.py
@@ -1,4 +1,4 @@
-"""The operator: sends configurations until a clear answer comes, and reads back what is in force."""
+"""The operator: sends each configuration until it gets a final answer, and reads back the one in force."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Batch:
-    """Changes that rivals send at once, and the items that any of them leads to."""
+    """Concurrent changes by rival operators, and the items that result from any of them."""
 
     def __init__(self, items: Items, rivals: int) -> None:
         self.items, self.rivals, self.left = items, rivals, rivals
--- a/crowseam/simulator/actors/servers.py
+++ b/crowseam/simulator/actors/servers.py
@@ -1,4 +1,4 @@
-"""Servers as the gateway meets them: slots, a queue, speeds that differ, cold starts, and their troubles."""
+"""Simulated servers: slots, a queue, different speeds, cold starts, and faults."""
 
 from __future__ import annotations
 
@@ -265,7 +265,7 @@
         self.loop.call_later(self.simulation.deployment.hb * (0.95 + 0.1 * self.rng.random()), self._heartbeat)
 
     def _report(self, tries: int = 0, since: float | None = None) -> None:
-        """Tell a controller that it is there; the next one, where that one doesn't answer."""
+        """Send a heartbeat to a controller; to another one, where that one doesn't answer."""
         now = self.world.now
         since = now if since is None else since
         if not self.up or now - since > 2.0 * self.simulation.deployment.hb:
--- a/crowseam/simulator/context.py
+++ b/crowseam/simulator/context.py
@@ -1,4 +1,4 @@
-"""What the actors of a simulation need of it: a protocol, so that they don't depend on the whole."""
+"""The interface of the simulation that its actors use, so that they don't depend on the whole of it."""
 
 from __future__ import annotations
 
@@ -50,13 +50,13 @@
         """The tenant of the next request, by the tenants' weights."""
 
     def factor(self, route: Route, tenant: Tenant | None) -> float:
-        """By how much this route and tenant are asked for more than usual now."""
+        """The factor by which faults raise the load of this route and tenant now."""
 
     def work_of(self, path: str) -> float:
         """Seconds of a server that a request of this path takes."""
 
     def body_of(self, path: str, server: str, attempt: str) -> bytes:
-        """The body of an answer, told apart by who made it."""
+        """The body of an answer, which differs by server and attempt."""
 
     def left(self, server: object) -> None:
         """This server has ended."""
--- a/crowseam/simulator/judge.py
+++ b/crowseam/simulator/judge.py
@@ -1,4 +1,4 @@
-"""The rules as invariants of the simulator, and the figures of a day. It sees what clients and servers see."""
+"""The judge: checks the rules as invariants, on what clients and servers observe, and computes a day's metrics."""
 
 from __future__ import annotations
 
@@ -55,7 +55,7 @@
 
 
 class Judge:
-    """Is told of everything that clients, servers and operators see."""
+    """Checks the rules on everything that clients, servers and operators observe."""
 
     def __init__(self, simulation: JudgedSimulation) -> None:
         self.simulation, self.world, self.bounds = simulation, simulation.world, simulation.deployment.bounds
--- a/crowseam/simulator/observations.py
+++ b/crowseam/simulator/observations.py
@@ -1,4 +1,4 @@
-"""What the judge notes of clients, servers and gateways.  Times are world time, in s."""
+"""Observations of clients, servers and gateways that the judge keeps.  Times are world time, in s."""
 
 from __future__ import annotations
 
--- a/crowseam/simulator/scenario/day.py
+++ b/crowseam/simulator/scenario/day.py
@@ -1,4 +1,4 @@
-"""A day as a file says it: the deployment, the load on it, and what goes wrong. Times are in seconds."""
+"""The file format of a day: the deployment, the load on it, and the faults. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
 
 
 class Clients(Struct):
-    """How clients behave: the part that keeps connections, and the part that doesn't wait as told."""
+    """How clients behave: the part that keeps connections, and the part that ignores Retry-After."""
 
     keep: float = 0.5
     impatient: float = 0.1
@@ -171,7 +171,7 @@
 
 
 class Deployment(Struct):
-    """What is run, and for whom."""
+    """The deployment: zones, services, routes, tenants, and the parameters of links, clients and processors."""
 
     zones: list[Zone]
     services: list[Service]
--- a/crowseam/simulator/scenario/faults.py
+++ b/crowseam/simulator/scenario/faults.py
@@ -1,4 +1,4 @@
-"""What can go wrong, or be changed, in a day: each kind does its part and takes it back after its span."""
+"""The kinds of faults and changes in a day: each is applied, and reverted after its span."""
 
 from __future__ import annotations
 
--- a/crowseam/simulator/scenario/replay.py
+++ b/crowseam/simulator/scenario/replay.py
@@ -1,4 +1,4 @@
-"""What was asked on a day, out of the logs of its gateways, as the load of another."""
+"""The requests of a day, read from the logs of its gateways, as the load of another day."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 class ReplayError(Exception):
-    """Logs that tell nothing of what was asked."""
+    """Logs without any record of requests."""
 
 
 def trace(logs: Iterable[Iterable[str]], seed: int = 1) -> list[tuple[float, str, str]]:
-    """(s since the first, route, tenant) of every request that the logs tell of, in order.
+    """(s since the first, route, tenant) of every request in the logs, in order.
 
     Within its span a request is put anywhere.  Raises ReplayError.
     """
--- a/crowseam/simulator/simulation.py
+++ b/crowseam/simulator/simulation.py
@@ -1,4 +1,4 @@
-"""A whole gateway on the virtual clock: machines with the daemons' own code, and all who meet them."""
+"""The simulation of a whole fleet on a virtual clock: the daemons' own code, and all that surrounds it."""
 
 from __future__ import annotations
 
@@ -133,7 +133,7 @@
         """This server has ended."""
         self.servers.pop(server.id, None)
 
-    # What all ask
+    # The interface for actors and faults
 
     def later(self, delay: float, callback: Callable, *args: object) -> None:
         """Call back after `delay` s, outside all processes."""
@@ -174,7 +174,7 @@
         return self.routes[path.split("/")[1]].work
 
     def body_of(self, path: str, server: str, attempt: str) -> bytes:
-        """The body of an answer, told apart by who made it."""
+        """The body of an answer, which differs by server and attempt."""
         route = self.routes[path.split("/")[1]]
         text = f"{server} {attempt} ".encode()
         return (text * (route.bytes_out // len(text) + 1))[: route.bytes_out]
@@ -186,7 +186,7 @@
         return rng.choices(self.deployment.tenants, cum_weights=self.weights)[0]
 
     def factor(self, route: Route, tenant: Tenant | None) -> float:
-        """By how much this route and tenant are asked for more than usual now."""
+        """The factor by which faults raise the load of this route and tenant now."""
         factor = 1.0
         for pattern, amount in self.factors:
             if fnmatchcase(route.name, pattern) or (tenant is not None and fnmatchcase(tenant.name, pattern)):
@@ -236,7 +236,7 @@
 
 
 def play(day: Day, seed: int = 1, lines: bool = False) -> tuple[Metrics, list[str]]:
-    """One run of a day: its figures, and the log lines of the daemons where they are asked for."""
+    """Play a day once: its metrics, and the daemons' log lines if `lines` is set."""
     simulation = Simulation(day, seed, lines)
     return simulation.run(), simulation.lines or []
 
--- a/crowseam/simulator/world/__init__.py
+++ b/crowseam/simulator/world/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time, links, disks, and what stands in for the clocks of the daemons."""
+"""Virtual time, links and disks, and the replacements of the daemons' clocks."""
--- a/crowseam/simulator/world/loop.py
+++ b/crowseam/simulator/world/loop.py
@@ -196,7 +196,7 @@
 
 
 class _Turn:
-    """Stands for its process in the queue where the turn itself is due, not a callback of the process."""
+    """Takes the place of the process in the queue for the turn of a busy process, which is no callback of its own."""
 
     __slots__ = ("process",)
 
--- a/crowseam/simulator/world/network.py
+++ b/crowseam/simulator/world/network.py
@@ -215,7 +215,7 @@
             world.at(when, world.outside, self.answer_reset, (peer,))
 
     def answer_reset(self, gone: Transport) -> None:
-        """Data has come for an end that is no more: the sender is told, if its way back is free."""
+        """Data has arrived for an end that is closed: reset the sender, unless the way back is cut."""
         sender, world = gone.peer, self.world
         sender.refused = True
         if sender.process.alive and not sender.lost and not self.blocked(gone.process.ip, sender.process.ip):
--- a/crowseam/simulator/world/patches.py
+++ b/crowseam/simulator/world/patches.py
@@ -1,4 +1,4 @@
-"""What the daemons' modules see in place of clocks, polls and logs while a simulation runs."""
+"""Replacements of clocks, polls and logs in the daemons' modules while a simulation runs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class VirtualTime:
-    """Stands in for the module `time`, in whichever process is running."""
+    """Replaces the module `time`: the clocks of the process that is running."""
 
     perf_counter = staticmethod(perf_counter)
 
--- a/crowseam/simulator/world/transport.py
+++ b/crowseam/simulator/world/transport.py
@@ -21,7 +21,7 @@
         """Send a packet of a kind ("data", "end" or "reset") to the peer of `sender`."""
 
     def answer_reset(self, gone: Transport) -> None:
-        """Tell the peer of `gone` that data came for an end that is no more."""
+        """Reset the peer of `gone`, as its data came for an end that is closed."""
 
 
 class SocketStub:
@@ -60,7 +60,7 @@
 
 
 class Select:
-    """Stands in for the module `select`."""
+    """Replaces the module `select`."""
 
     POLLIN, POLLRDHUP = 1, 0x2000
     poll = Poll
