--- a/tests/crowseam/test_simulator.py
+++ b/tests/crowseam/test_simulator.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from crowseam.cli import dispatch, experiment, planner
+from crowseam.cli import dispatch, experiment, planner, report
 from crowseam.cli.errors import BadInputError
 from crowseam.consensus.messages import Ballot, Change, Voter
 from crowseam.consensus.records import Identity, Learned, Promised, Saved, Voted
@@ -27,7 +27,8 @@
 from crowseam.quotas.retry_budget import RetryBudget
 from crowseam.simulator import machine, simulation
 from crowseam.simulator.scenario import replay
-from crowseam.simulator.scenario.day import DayError, build, changed, parse
+from crowseam.simulator.scenario.day import FAULT_KINDS, DayError, build, changed, parse
+from crowseam.simulator.scenario.faults import KINDS
 from crowseam.simulator.world.disk import DiskImage, MemoryDisk, MemoryStore
 from crowseam.simulator.world.link_faults import Trouble
 from crowseam.simulator.world.loop import World
@@ -376,6 +377,9 @@
 
 
 class TestDays(unittest.TestCase):
+    def test_the_file_format_names_the_faults_that_there_are(self):
+        self.assertEqual(set(FAULT_KINDS), set(KINDS))
+
     def test_a_quiet_day_is_served_and_the_same_each_time(self):
         one, two = simulation.play(small(), 3)[0], simulation.play(small(), 3)[0]
         self.assertEqual((one.rules, one.failures, one.share, one.unacked), ({}, [], 1.0, 0))
@@ -514,7 +518,37 @@
             planner.cases(small(), ["nowhere"], [], [], [])
 
 
+STREAMS_OF_A_ZONE = (("clients", ""), ("arrivals", "/look-up"), ("arrivals", "/borrow"))
+
+
+class TestRandomStreams(unittest.TestCase):
+    """Model checks keep seeds that find something: the streams' names and what they draw may not change."""
+
+    def test_streams_have_their_names_and_draws(self):
+        names = []
+
+        def random_stream(world, name, made=World.random):
+            names.append(name)
+            return made(world, name)
+
+        with mock.patch.object(World, "random", random_stream):
+            simulation.Simulation(small(), 1)
+        arrivals = [f"{kind}/{zone}{route}" for zone in "nsw" for kind, route in STREAMS_OF_A_ZONE]
+        servers = [
+            f"server/{service}/{n}" for service, count in (("maps", 4), ("loans", 3)) for n in range(1, count + 1)
+        ]
+        machines = ["machine/n-1", "machine/s-1", "machine/w-1"]
+        self.assertEqual(names, ["faults", "network", *machines, *servers, *arrivals, "operator", "start", "trace"])
+        self.assertAlmostEqual(World(7).random("arrivals/n/look-up").random(), 0.5151615675893104)
+
+
 class TestExperiments(unittest.TestCase):
+    def test_plots_are_drawn(self):
+        drawn = report.curve("gateways", "kB/s", {"one": [(1.0, 2.0), (10.0, 30.0)], "two": [(1.0, 1.0)]})
+        self.assertTrue(drawn.startswith("<svg") and "gateways" in drawn)
+        plots = report.plots({"a": {1: {"worth": 0.5}}}, {"a": [[0.5, 0.6]]}, ["worth"])
+        self.assertEqual([plot.startswith("<svg") for plot in plots], [True, True])
+
     def test_a_file_is_played_and_reported(self):
         day = small(2.0)
         text = """name = "<tries>"
