--- a/crowseam/membership/duties.py
+++ b/crowseam/membership/duties.py
@@ -376,6 +376,9 @@
 
     def _on_seek(self, sender: str, seek: Seek, now: float) -> Outbox:
         vote = self._votes[seek.key]
+        if seek.fence and seek.fence >= vote.seen:
+            # A majority has granted its first request: gateways here are to reach it, even while our word has to wait.
+            self._tell(seek.key, sender, now + seek.term, seek.fence)
         if self._may_not_grant(seek):
             return [(sender, Refused(seek.key, seek.token, vote.seen, "", self.terms.again))]
         if now < self._silent_until and not self._granted_before(seek.key, sender):
--- a/crowseam/model_checks/cutoff/check.py
+++ b/crowseam/model_checks/cutoff/check.py
@@ -797,7 +797,7 @@
         _patched((failure_detector, "PROOF", 20.0), (Detector, "_dead", lambda self, peer, known, now: False)),
         0,
     ),
-    Mutant("a stand-still of its own in the age of the proof", _patched((Detector, "tick", _pause_forgiven())), 1),
+    Mutant("a stand-still of its own in the age of the proof", _patched((Detector, "tick", _pause_forgiven())), 4),
     Mutant(
         "a majority in touch since the call before a retirement is refused",
         _patched((Peers, "in_touch_since", lambda self, since, now: True)),
@@ -848,5 +848,5 @@
         why="beyond reach: a holder's lease ends before another takes the key; part quotas has it",
     ),
     Mutant("the end of a slice at its gateway", _patched((Holdings, "share", _outlives)), 0),
-    Mutant("the end of a holder's lease", _patched((Duties, "_end", _long_hand)), 3),
+    Mutant("the end of a holder's lease", _patched((Duties, "_end", _long_hand)), 5),
 )
--- a/crowseam/model_checks/quotas/check.py
+++ b/crowseam/model_checks/quotas/check.py
@@ -1026,7 +1026,7 @@
     _mutant("one holder at a voter at a time", 0, duties=_VotersThatGrantToAll),
     _mutant("the voters' margin", 3, duty_terms=DutyTerms(margin=-0.2)),
     _mutant("the fence at the gateway", 22, holdings=HoldingsThatObeyAll),
-    _mutant("the bound of the extra", 5, admission=_BucketsThatHoldMore),
+    _mutant("the bound of the extra", 10, admission=_BucketsThatHoldMore),
     _mutant("the bound of the reserve", 0, reserve=_ReserveWithoutEnd),
     _mutant("borrowers named to the next grantor", 9, duties=BorrowersUnnamed),
     _mutant("the majority that has a borrower before it is lent to", 2, duties=LentToUnnamed),
--- a/tests/crowseam/test_duties.py
+++ b/tests/crowseam/test_duties.py
@@ -219,6 +219,14 @@
         asked = {n: nodes[n].tick(0.1, set(names), set(names)) for n in names}
         self.assertTrue(any(isinstance(message, Seek) for _, message in asked[names[2]]))
 
+    def test_a_voter_that_may_not_grant_yet_learns_who_holds_the_key(self):
+        holder = ranked(3)[1]
+        for name, fence, known in (("a holder", 5 << 20, holder), ("a candidate", 0, None), ("a late one", 1, None)):
+            voter = Duties("10.9.0.1:8407", Random(1), 0.0, [KEY], TERMS, remembered={KEY: f"10.9.0.1:8407 {4 << 20}"})
+            ((_, answer),) = voter.handle(holder, Seek(KEY, 1, fence, 2.0), 0.5)
+            self.assertIsInstance(answer, Refused)
+            self.assertEqual(voter.holder_of(KEY, 1.0), known, name)
+
     def test_a_new_holder_is_to_be_on_disk_before_it_hears_of_its_grant(self):
         node = Duties("10.1.0.1:1", Random(1), 0.0, [KEY], TERMS, remembered={})
         node.handle("10.1.0.2:1", Seek(KEY, 7, 0, 2.0), 0.1)
