--- a/crowseam/model_checks/callers/mutants.py
+++ b/crowseam/model_checks/callers/mutants.py
@@ -213,7 +213,7 @@
         mutant("an answer that names two refused", 6, (http_dialect, "TOLD_ONCE", ())),
         mutant("an answer refused that does not say where it ends", 2, (ServerDialect, "doubt", _endless)),
         mutant("an answer cut short taken for none", 4, (CONNECTION, "eof_received", _take_cut)),
-        mutant("a large answer cut short shown to be", 122, (fronts.ClientConnection, "broken", _finish_broken)),
+        mutant("a large answer cut short shown to be", 27, (fronts.ClientConnection, "broken", _finish_broken)),
         mutant("a connection closed after extra bytes", 3, (CONNECTION, "_answered", _keep_all)),
         mutant(
             "a connection closed where bytes come unasked",
@@ -239,7 +239,7 @@
             2,
             (balancers.LoadBalancer, "outcome", _outcome_of_none((Status.ERROR,))),
         ),
-        mutant("no unsafe request sent again after silence", 10, (balancers.LoadBalancer, "_send", _hedge_all)),
+        mutant("no unsafe request sent again after silence", 16, (balancers.LoadBalancer, "_send", _hedge_all)),
         mutant("no 503 for what may have run", 0, (balancers.LoadBalancer, "_again", _refuse_all)),
         mutant("a server's promise passed on only with X-Not-Run", 7, (balancers, "NOT_RUN", frozenset())),
         mutant("one attempt's large answer begun", 27, (gateway.Passing, "begin", _passing_begin)),
@@ -275,7 +275,7 @@
         mutant("a slower attempt given up at the deadline", 70, (gateway.Gateway, "_expire", _expire_answered)),
         mutant(
             "a body that waits behind let go of",
-            115,
+            6,
             (fronts.ClientConnection, "_drop", staticmethod(lambda turn: None)),
         ),
         mutant(
