--- a/crowseam/quotas/admission.py
+++ b/crowseam/quotas/admission.py
@@ -24,6 +24,7 @@
 FADE = log(2.0) / ASKED_HALF
 FEWEST_ASKS = 0.01  # asks a second that count as none
 RATIO_MOST = 3.0  # guards against one stalled answer that fails a tenant for seconds
+KEPT = 0.4  # of a tenant's asks within its quota that pass however long it is cut: nobody is starved
 FORGET = 15.0  # s after which a cut of a tenant that asks no more ends
 FLOOR_SPAN = 1.0  # s of the floor that a bucket without a lease saves up
 FLOOR_EXTRA = 0.5  # of the extra, up to one request, that it may hold besides
@@ -138,7 +139,7 @@
         self.random, self.extra = rng, extra
         self.tenants: dict[str, Tenant] = {PUBLIC: Tenant(PUBLIC, filled=now)}
         self._asking: dict[str, Tenant] = {}  # those with asks that still count
-        self.regulator = Regulator(Tenant.pace, meet_below)
+        self.regulator = Regulator(Tenant.pace, meet_below, self._kept)
         self.period_at = now
 
     def configure(self, tenants: dict[str, Terms], now: float, changed: Iterable[str] | None = None) -> None:
@@ -256,6 +257,10 @@
         self.regulator.regulate(span)
         self.regulator.rest(now - FORGET)
 
+    def _kept(self, t: Tenant) -> float:
+        """Requests a second that a tenant keeps under a cut."""
+        return KEPT * min(t.pace(), FADE * t.asked_now(self.period_at))
+
     def asks(self, now: float) -> dict[str, float]:
         """Asks a second here by tenant, refused ones included; those that hardly ask are left out."""
         rates = {name: FADE * t.asked_now(now) for name, t in self._asking.items() if name != PUBLIC}
--- a/fennelpoint/regions.py
+++ b/fennelpoint/regions.py
@@ -80,12 +80,16 @@
 
     `quota` gives a flow's units a second here (inf: no limit).  `may_cut` takes the failed flows and those
     that meet both quota and aim, and gives the ones of the latter that may be cut, in their order.
+    `kept` gives the units a second that a flow keeps, however long it is cut.
     """
 
     def __init__(
-        self, quota: Callable[[Flow], float], may_cut: Callable[[list[Flow], list[Flow]], list[Flow]]
+        self,
+        quota: Callable[[Flow], float],
+        may_cut: Callable[[list[Flow], list[Flow]], list[Flow]],
+        kept: Callable[[Flow], float] = lambda flow: 0.0,
     ) -> None:
-        self.quota, self.may_cut = quota, may_cut
+        self.quota, self.may_cut, self.kept = quota, may_cut, kept
         self.active: dict[int | str, Flow] = {}  # those that the period looks at
         self.fit, self.work = Fit(), 0.0
         self.cut: Cut | None = None
@@ -135,7 +139,7 @@
         else:
             self.cut.steps += 1
         for c, amount in self.cut.takes if self.cut else ():
-            c.cap = max(0.0, (c.rate if c.cap is None else min(c.cap, c.rate)) - amount)
+            c.cap = max(self.kept(c), (c.rate if c.cap is None else min(c.cap, c.rate)) - amount)
         self.fit.add(rate, seen, FIT_MEMORY) if ratios else None
 
     def _afresh(self, regions: dict[str, list[Flow]], worst: float, seen: float) -> bool:
--- a/tests/crowseam/test_admission.py
+++ b/tests/crowseam/test_admission.py
@@ -4,7 +4,7 @@
 from random import Random
 from statistics import fmean, pstdev
 
-from crowseam.quotas.admission import Admission, AdmissionError, TenantTerms
+from crowseam.quotas.admission import KEPT, Admission, AdmissionError, TenantTerms
 from crowseam.quotas.leases import beside_slices
 from fennelpoint.regions import FULL_STEP, MOST_CUT, PERIOD, STEP, STEPS
 
@@ -220,6 +220,20 @@
         line.play("free | other\n" + "20 quick | 20 quick\n" * 24)
         self.assertEqual(line.caps(), {})
 
+    def test_nobody_is_starved_however_long_another_fails(self):
+        starved = 0.25  # of what all are served: the rule's bound
+        self.assertGreater(KEPT, starved)
+        for terms in (TenantTerms(prio=3), TenantTerms(rate=40.0, burst=40.0, prio=3)):
+            line = Timeline(ingress({"dear": TenantTerms(prio=0), "cheap": terms}))
+            for _ in range(120):
+                line.play("dear | cheap\n20 slow | 20 quick")
+            passed = 0
+            for _ in range(20):
+                passed += line.play("dear | cheap\n20 slow | 20 quick").passed["cheap"]
+            self.assertTrue(line.made.regulator.pressed)
+            self.assertLess(passed, 0.6 * 200)  # it is cut
+            self.assertGreater(passed, starved * 200)
+
     def test_one_that_asks_no_more_is_not_kept_cut(self):
         line = Timeline(ingress({"gone": TenantTerms(20.0, 20.0, 0), "here": TenantTerms(20.0, 20.0, 0)}))
         line.play("gone | here\n4 quick | 4 slow")
