--- a/crowseam/gateway/controller_session.py
+++ b/crowseam/gateway/controller_session.py
@@ -45,6 +45,7 @@
         asks: Callable[[], dict[str, float]],
         leaving: Callable[[], dict[str, int]] = dict,
     ) -> None:
+        """`on_table`, `on_servers`, `on_quiet` take what is heard; `asks`, `leaving` give what is reported."""
         self.loop, self.settings, self.rng = loop, settings, rng
         self.on_table, self.on_servers, self.on_quiet, self.asks = on_table, on_servers, on_quiet, asks
         self.leaving = leaving  # requests under way at servers that leave, by id
@@ -79,6 +80,7 @@
         self.learn(settings.seeds)
 
     def learn(self, controllers: list[str]) -> None:
+        """Add controllers that may be tried, by their addresses; what is no address is left out."""
         for addr in controllers:
             try:
                 address(addr)
@@ -87,6 +89,7 @@
             self.known.setdefault(addr, 0.0)
 
     def start(self) -> None:
+        """Begin to look for a controller, and to report."""
         self._tick()
         self._report()
 
--- a/crowseam/gateway/counters.py
+++ b/crowseam/gateway/counters.py
@@ -8,9 +8,11 @@
     """Counts what is asked, for the line that a gateway logs each span."""
 
     def __init__(self) -> None:
+        """Start with nothing counted."""
         self.counts: dict[tuple[str, str], int] = {}
 
     def add(self, route: str, tenant: str) -> None:
+        """Count one request of this route and tenant."""
         key = (route, tenant)
         self.counts[key] = self.counts.get(key, 0) + 1
 
--- a/crowseam/gateway/daemon.py
+++ b/crowseam/gateway/daemon.py
@@ -37,6 +37,7 @@
     def __init__(
         self, loop: asyncio.AbstractEventLoop, settings: settings_file.Settings, rng: Random | None = None
     ) -> None:
+        """Wire the parts together; nothing listens before `start`."""
         self.loop, self.settings = loop, settings
         sockets = max(64, settings.limits.nofile - FILES - 32)
         upstream = int(sockets * UPSTREAM_PART)
@@ -68,6 +69,7 @@
         self.stopped: asyncio.Future = loop.create_future()
 
     async def start(self) -> None:
+        """Listen for clients and for the platform's probes. Raises OSError where an address is taken."""
         self.controller_session.start()
         await self.server.listen(settings_file.address(self.settings.bind.http))
         host, port = settings_file.address(self.settings.bind.readyz)
@@ -85,6 +87,7 @@
         self.gateway.configure(table)
 
     def ready(self) -> bool:
+        """Whether the platform may send clients here."""
         return self.stopping_since is None and self.controller_session.fresh and self.reader.table is not None
 
     def _readyz(self, call: Call) -> None:
@@ -150,6 +153,7 @@
             self.stopped.set_result(None)
 
     def close(self) -> None:
+        """Close all sockets at once."""
         for listener in self.listeners:
             listener.close()
         self.server.close()
--- a/crowseam/gateway/gateway.py
+++ b/crowseam/gateway/gateway.py
@@ -61,6 +61,7 @@
     number: int
 
     def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None:
+        """The answer's head has come, and as much of its body as is held."""
         ticket = self.ticket
         if ticket.client is None or ticket.passing is not None:
             return  # another attempt was quicker; what comes is dropped
@@ -68,6 +69,7 @@
         ticket.client.begin(answer, length, source)
 
     def piece(self, data: bytes) -> None:
+        """More of its body has come."""
         if self.ticket.client is not None and self.ticket.passing is self:
             self.ticket.client.piece(data)
 
@@ -76,6 +78,7 @@
     """What `fennelpoint.net.server` calls its host: takes requests, gives answers."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, rng: Random, connections: int) -> None:
+        """`connections`: the most that may be open to servers at a time."""
         self.loop, self.settings, self.rng = loop, settings, rng
         now = clock.monotonic()
         bounds = settings.bounds
@@ -143,6 +146,7 @@
                     exchange.give_up(Status.CONNECT_FAILED)
 
     def configure(self, table: Table) -> None:
+        """Take a new version of the configuration."""
         now = clock.monotonic()
         changed = None
         if self.table is not None:  # a table keeps the very objects of what is unchanged
@@ -208,9 +212,11 @@
         return ticket.id
 
     def is_open(self, txn: bytes) -> bool:
+        """Whether a request of this id has no answer yet, or may still be with a server."""
         return txn in self.open_ids
 
     def doubled(self, asked: Asked) -> None:
+        """A second request came under an id that is open."""
         logs.say("doubled", id=asked.txn.decode("latin-1"))
 
     def gone(self, request: int) -> None:
--- a/crowseam/gateway/http_dialect.py
+++ b/crowseam/gateway/http_dialect.py
@@ -20,6 +20,7 @@
     """Answers are told apart by the id they echo; a success needs its seal and its whole body."""
 
     def verdict(self, answer: Answer, whole: bool) -> Status:
+        """How the attempt ended, by the server's whole answer; `whole`: it has the whole request."""
         if field(answer.headers, NOT_RUN) is not None or answer.status == 421:
             return Status.FULL
         if not whole:
@@ -27,6 +28,7 @@
         return Status.OK if 200 <= answer.status < 300 else Status.ERROR
 
     def doubt(self, status: int, headers: list[tuple[bytes, bytes]], until_close: bool) -> str:
+        """What is wrong with an answer that begins so; nothing where it may be taken."""
         if until_close:
             # Guards who is answered: one cut off in order would pass for whole, as a failure no less.
             return "does not say where it ends"
@@ -46,10 +48,12 @@
         return ""
 
     def alien(self, headers: list[tuple[bytes, bytes]], echo: bytes | None) -> bool:
+        """Whether the answer names another request than the one of this id."""
         told = field(headers, ATTEMPT)
         return echo is not None and told is not None and told != echo
 
     def nameless(self, headers: list[tuple[bytes, bytes]]) -> bool:
+        """Whether the answer names no request."""
         return field(headers, ATTEMPT) is None
 
 
--- a/crowseam/gateway/load_balancer.py
+++ b/crowseam/gateway/load_balancer.py
@@ -141,6 +141,7 @@
     """The decisions of one gateway; its owner carries out what the methods return."""
 
     def __init__(self, az: str, admission: Admission, budget: RetryBudget, rng: Random, name: str = "") -> None:
+        """`az`: the gateway's zone; `name`: its host name, which ranks the servers of large services."""
         self.az, self.admission, self.budget, self.rng = az, admission, budget, rng
         self.servers: dict[str, Server] = {}
         self.services: dict[str, list[Server]] = {}
@@ -288,6 +289,7 @@
         return out
 
     def kind(self, svc: str, route: Route) -> Kind:
+        """What is known of a route's requests at a service; a guess before the first answer."""
         kind = self.kinds.get((svc, route.name))
         if kind is None:
             guess = FIRST_GUESS * route.target
--- a/crowseam/gateway/request_reader.py
+++ b/crowseam/gateway/request_reader.py
@@ -52,6 +52,7 @@
     ready_path = None
 
     def __init__(self) -> None:
+        """Start without a configuration: all requests are refused until one comes."""
         self.table: Table | None = None  # none before the first configuration
         self.turned: dict[int, int] = {}  # requests that could not be taken, by the status that says so
 
--- a/crowseam/gateway/reserved_servers.py
+++ b/crowseam/gateway/reserved_servers.py
@@ -38,6 +38,7 @@
     """The parts of all services, as one ingress sees them."""
 
     def __init__(self) -> None:
+        """Start with no server reserved."""
         self._share: dict[str, float] = {}  # of a service's work that short requests bring
         self._asked: dict[str, int] = {}
         self._part: dict[str, float] = {}
--- a/crowseam/gateway/subsetting.py
+++ b/crowseam/gateway/subsetting.py
@@ -37,6 +37,7 @@
     """The servers that the gateway of this name and zone considers, by service."""
 
     def __init__(self, gateway: str, az: str) -> None:
+        """`gateway`: the host name that ranks the servers; `az`: its zone."""
         self.gateway, self.az = gateway, az
         self._ranks: dict[str, list[tuple[float, str, Server]]] = {}  # of services with more than MANY
         self._kept: dict[str, tuple[list[Server], ...]] = {}
--- a/fennelpoint/net/backends.py
+++ b/fennelpoint/net/backends.py
@@ -57,8 +57,11 @@
 class Receiver(Protocol):
     """Takes a large answer in pieces; its end is the exchange's."""
 
-    def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None: ...
-    def piece(self, data: bytes) -> None: ...
+    def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None:
+        """The answer's head and what is held of its body; `length` is None where it comes in chunks."""
+
+    def piece(self, data: bytes) -> None:
+        """More of its body."""
 
 
 class Dialect:
@@ -113,6 +116,7 @@
         idle: tuple[float, float] | None = None,
         silent: Callable[[], None] | None = None,
     ) -> None:
+        """`render` gives the request's bytes once they can be written; `done` is told the outcome."""
         self.echo = echo  # the id that its answer names, in dialects that have one
         self.idle = idle  # s that a connection which is used again may have stood: least and most
         self.render = render  # the bytes to send, made when they can be written
@@ -128,6 +132,7 @@
         self.ended = False
 
     def end(self, status: Status, answer: Answer | None = None) -> None:
+        """Tell the outcome, unless that was done before."""
         if not self.ended:
             self.ended = True
             self.connection = self.connecting = None
@@ -162,6 +167,7 @@
 
     @property
     def open(self) -> bool:
+        """Whether new requests may go there."""
         return self.state is BackendState.READY and not (self.retired or self.withdrawn)
 
 
@@ -207,6 +213,7 @@
     )
 
     def __init__(self, pool: Backends, upstream: Upstream, first: Exchange) -> None:
+        """`first`: the exchange that it is opened for."""
         self.pool, self.upstream, self.first = pool, upstream, first
         self.transport: asyncio.Transport | None = None
         self.exchange: Exchange | None = None
@@ -221,6 +228,7 @@
         self._reset()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Send the first exchange, if the backend is still open."""
         self.transport = transport
         # With no room in the buffer, pause_writing and resume_writing tell whether all is written.
         transport.set_write_buffer_limits(high=0)
@@ -236,6 +244,7 @@
             self.start(first)
 
     def start(self, exchange: Exchange) -> None:
+        """Send an exchange."""
         self.exchange, exchange.connection, exchange.connecting = exchange, self, None
         self._reset()
         upload = exchange.upload
@@ -267,6 +276,7 @@
     # An upload on its way.
 
     def pass_on(self, data: bytes) -> None:
+        """Write a part of a large body."""
         if self.exchange.upload.length is None:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         self.transport.write(data)
@@ -298,9 +308,11 @@
             self.pool.flowing.discard(self)
 
     def pause_writing(self) -> None:
+        """Bytes wait to be written."""
         self.flushed = False
 
     def resume_writing(self) -> None:
+        """All bytes are written."""
         self.flushed = True
         if self.exchange is None:
             return
@@ -313,9 +325,11 @@
     # The answer.
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Where the next bytes are read to; all connections share it."""
         return self.pool.budget.buffer[: self.pool.budget.piece()]
 
     def buffer_updated(self, count: int) -> None:
+        """Bytes of an answer have come."""
         data = bytes(self.pool.budget.buffer[:count])
         if self.exchange is None:
             return self.close()  # unasked: an answer to nothing
@@ -343,13 +357,16 @@
     # What the parser reads.
 
     def on_message_begin(self) -> None:
+        """An answer begins; a second one to the same request is in excess."""
         self.excess, self.begun = self.excess or self.complete, True
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a field of the head."""
         if self.in_head and not self.complete:  # else a trailer: too late to count
             self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
+        """Judge the head: whose it is, and whether it may be taken."""
         if self.complete:
             return
         self.in_head, self.status = False, self.parser.get_status_code()
@@ -373,6 +390,7 @@
             self.doubt = dialect.doubt(self.status, self.headers, self.until_close)
 
     def on_body(self, body: bytes) -> None:
+        """Hold a part of the body, or pass it on where it is too large."""
         if self.complete or self.doubt or self.alien or self.exchange is None:
             return
         self.body_size += len(body)
@@ -405,6 +423,7 @@
         return body
 
     def on_message_complete(self) -> None:
+        """The answer is whole, unless it was an interim one or another request's."""
         if self.complete:
             return
         if self.alien:
@@ -497,6 +516,7 @@
             self._answered()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The exchange ends by whether the backend had the whole request."""
         written, exchange = self.written, self.exchange
         self.give_up()
         self.pool.all.discard(self)
@@ -506,6 +526,7 @@
             exchange.end(Status.RESET if written else Status.CONNECT_FAILED)
 
     def close(self) -> None:
+        """Close at once, and be used no more."""
         if not self.closed:
             self.closed = True
             if self in self.upstream.idle:
@@ -526,6 +547,7 @@
         budget: Budget,
         dialect: Dialect | None = None,
     ) -> None:
+        """`most` connections; times in seconds, `aim` the least that a request's answer may take."""
         self.loop, self.most, self.budget = loop, most, budget
         self.dialect = dialect or Dialect()
         # Soon against the aim: guards the time that another attempt needs.
@@ -570,6 +592,7 @@
             self.close_idle(backend)
 
     def restore(self, backend: str) -> None:
+        """An operator lets a backend take part again."""
         self.withdrawn.discard(backend)
         if (upstream := self.upstreams.get(backend)) is not None:
             upstream.withdrawn = False
@@ -629,6 +652,7 @@
         return bool(idle)
 
     def close_idle(self, backend: str) -> None:
+        """Close the unused connections to a backend."""
         if (upstream := self.upstreams.get(backend)) is not None:
             for connection in list(upstream.idle):
                 connection.close()
@@ -650,6 +674,7 @@
                     connection.close()
 
     def close(self) -> None:
+        """Close all connections at once."""
         for task in list(self.connecting):
             task.cancel()
         for connection in list(self.all):
--- a/fennelpoint/net/flow.py
+++ b/fennelpoint/net/flow.py
@@ -24,6 +24,7 @@
     """Bytes that wait in this process, of all bodies together."""
 
     def __init__(self, memory_mb: float) -> None:
+        """`memory_mb`: what the process may use."""
         left = memory_mb * MEGABYTE - 2 * PROCESS
         self.total = max(LEAST, int(left / 2 * USED))
         self.used = 0
@@ -31,6 +32,7 @@
 
     @property
     def full(self) -> bool:
+        """Whether nothing more may wait."""
         return self.used >= self.total
 
     def piece(self) -> int:
@@ -48,6 +50,7 @@
     __slots__ = ("budget", "transport", "size")
 
     def __init__(self, budget: Budget, transport: asyncio.Transport) -> None:
+        """Count what waits in `transport` against `budget`."""
         self.budget, self.transport, self.size = budget, transport, 0
 
     def look(self) -> int:
@@ -58,6 +61,7 @@
         return size
 
     def end(self) -> None:
+        """Nothing of it counts any more."""
         self.budget.used -= self.size
         self.size = 0
 
@@ -65,8 +69,11 @@
 class Sink(Protocol):
     """Where an upload's bytes go."""
 
-    def pass_on(self, data: bytes) -> None: ...
-    def finish(self) -> None: ...
+    def pass_on(self, data: bytes) -> None:
+        """Take more of the body."""
+
+    def finish(self) -> None:
+        """The body is whole."""
 
 
 class Upload:
@@ -77,6 +84,7 @@
     def __init__(
         self, budget: Budget, length: int | None, read_on: Callable[[bool], None], pieces: list[bytes]
     ) -> None:
+        """`pieces`: what has come of the body; `read_on` tells the client's side whether to read."""
         self.budget = budget
         self.length = length  # none where it comes in chunks
         self.read_on = read_on  # tells the client's side whether to read
@@ -89,6 +97,7 @@
         read_on(False)
 
     def feed(self, data: bytes) -> None:
+        """More has come: it goes on, or is held."""
         self.size += len(data)
         if self.sink is not None:
             self.sink.pass_on(data)
--- a/fennelpoint/net/reader.py
+++ b/fennelpoint/net/reader.py
@@ -40,6 +40,7 @@
     ready_path = b"/ready"
 
     def __init__(self, settings: api.Settings) -> None:
+        """`settings`: the names of classes and plans, and what is allowed."""
         self.settings = settings
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): i for i, p in enumerate(settings.plans)}
@@ -48,6 +49,7 @@
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes | Upload
     ) -> Asked:
+        """The request for the host. Raises BadRequest with the status that refuses it."""
         found, lines = sort_fields(
             method + b" " + url + b" HTTP/1.1",
             headers,
--- a/fennelpoint/net/request_fields.py
+++ b/fennelpoint/net/request_fields.py
@@ -14,6 +14,7 @@
     """What is wrong with a request, with the status that says so."""
 
     def __init__(self, text: str, status: int = 400, headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
+        """`headers`: fields of the answer that refuses the request."""
         super().__init__(text)
         self.status, self.headers = status, headers
 
--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -109,6 +109,7 @@
     )
 
     def __init__(self, server: Server) -> None:
+        """A connection that `server` has accepted."""
         self.server, self.budget = server, server.host.backends.budget
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
@@ -141,6 +142,7 @@
         self.body: list[bytes] = []
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """Stand in line with those whose request is to come, and make room if there are too many."""
         self.transport = transport
         transport.set_write_buffer_limits(high=MOST_UNREAD)
         self.server.connections.add(self)
@@ -157,21 +159,25 @@
             place[self] = None
 
     def pause_writing(self) -> None:
+        """The client does not read what it was sent."""
         self.choked = True
 
     def resume_writing(self) -> None:
+        """It reads again: serve on."""
         self.choked = False
         if self.passing is not None:
             self._look()
         self._next()
 
     def get_buffer(self, sizehint: int) -> memoryview:
+        """Where the next bytes are read to; all connections share it."""
         size = self.budget.piece()
         if self.in_body and self.upload is None:
             size = min(size, max(1, flow.HELD + 1 - self.body_size))  # no more of it is held
         return self.budget.buffer[:size]
 
     def buffer_updated(self, count: int) -> None:
+        """Bytes of the client have come."""
         self.data_received(bytes(self.budget.buffer[:count]))
 
     def read_on(self, on: bool) -> None:
@@ -186,6 +192,7 @@
         self.moved, self.moved_size = time.monotonic(), self.body_size
 
     def data_received(self, data: bytes) -> None:
+        """Parse the bytes, and serve what is whole."""
         if self.deaf:
             self.taken += len(data)
             if (
@@ -218,19 +225,23 @@
     # What the parser reads.  A fault found here ends the reading, but not before earlier requests' turn.
 
     def on_message_begin(self) -> None:
+        """A request begins."""
         self._begin()
         self.in_head = self.fresh = True
 
     def on_url(self, url: bytes) -> None:
+        """Keep a part of the target."""
         self.method_url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Keep a field of the head."""
         if self.in_body or self.deaf:
             return  # a trailer: too late to count
         self.head_size += len(name) + len(value)
         self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
+        """Check how the body is framed, and whether it may be so large."""
         self.in_head, self.in_body = False, True
         if self.deaf:
             return
@@ -268,6 +279,7 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
+        """Hold a part of the body, or pass it on where it is too large."""
         if self.deaf:
             return
         self.body_size += len(body)
@@ -299,6 +311,7 @@
         return self.parser.get_http_version() == "1.0"
 
     def on_message_complete(self) -> None:
+        """The request is whole: it is served in its turn."""
         self.in_body = False
         if self.deaf:
             return
@@ -389,13 +402,16 @@
         self._answer(status, headers, body)
 
     def served(self, answer: Answer) -> None:
+        """Answer with a backend's success."""
         self._answer(200, [f for f in answer.headers if f[0] not in HOP_BY_HOP], answer.body)
 
     def refused(self, retry_after: float) -> None:
+        """Answer that it has not run, and when to come back (s; 0: not told)."""
         advice = [(b"retry-after", b"%.3f" % retry_after)] if retry_after > 0.0 else []
         self._answer(503, advice, b"refused: trying again is harmless\n")
 
     def failed(self) -> None:
+        """Answer that it may have run, with no good answer."""
         self._answer(502, [], b"failed\n")
 
     def _answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
@@ -413,6 +429,7 @@
     # A large answer, as it comes.
 
     def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None:
+        """Write the head of a large answer, and what there is of its body."""
         self.source, self.passing = source, Waiting(self.budget, self.transport)
         self.chunked = length is None and not self.turn.old
         self.framed = self.chunked or length is not None
@@ -433,6 +450,7 @@
         self.piece(answer.body)
 
     def piece(self, data: bytes) -> None:
+        """Write a part of a large answer."""
         if not self.lost:
             self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
             self._look()
@@ -445,6 +463,7 @@
         self.source.read_on(waits <= self.budget.mark() or not self.choked)
 
     def finish(self) -> None:
+        """A large answer is whole."""
         if not self.lost:
             if self.chunked:
                 self.transport.write(b"0\r\n\r\n")
@@ -530,6 +549,7 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The client has left: drop what waits, and tell the host."""
         self.lost = self.deaf = True
         self.server.connections.discard(self)
         self.server.flowing.discard(self)
@@ -589,6 +609,7 @@
         reader: RequestReader,
         bounds: Bounds | None = None,
     ) -> None:
+        """`most`: connections at a time; `reader` turns requests into what `host` is asked."""
         self.loop, self.host, self.most = loop, host, most
         self.reader, self.bounds = reader, bounds or Bounds()
         self.connections: set[ClientConnection] = set()
@@ -603,6 +624,7 @@
 
     @property
     def most_body(self) -> int:
+        """The most bytes that a request's body may have."""
         return self.bounds.body_bytes or flow.MOST_LARGE
 
     @property
@@ -612,6 +634,7 @@
 
     @property
     def ready(self) -> bool:
+        """Whether the front may send clients here."""
         return self.listener is not None and self.host.ready and not self.draining
 
     async def listen(self, where: tuple[str, int] | socket.socket) -> None:
@@ -640,6 +663,7 @@
             next(iter(self.idle)).transport.close()
 
     def sweep(self) -> None:
+        """Give up connections that have taken too long; to be called about twice a second."""
         now = time.monotonic()
         for connection in list(self.flowing):
             connection.check(now)
@@ -659,6 +683,7 @@
             self.drained_at = time.monotonic()
 
     def activate(self) -> None:
+        """Undo `drain`."""
         self.drained_at = None
 
     def close_unused(self, before: float) -> None:
@@ -669,11 +694,13 @@
                     connection.transport.close()
 
     def stop_listening(self) -> None:
+        """Accept no more connections."""
         if self.listener is not None:
             self.listener.close()
             self.listener = None
 
     def close(self) -> None:
+        """Close all connections at once."""
         self.stop_listening()
         for connection in list(self.connections):
             connection.transport.abort()
