--- a/.ci/run_tests.py
+++ b/.ci/run_tests.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-MOST = 3
+LISTED_MOST = 3
 
 
 class ListError(Exception):
@@ -32,8 +32,8 @@
         if parts[0] in listed:
             raise ListError(f"{path.name}: {parts[0]} is listed twice")
         listed[parts[0]] = line
-    if len(listed) > MOST:
-        raise ListError(f"{path.name}: {len(listed)} tests are listed, {MOST} at most may be")
+    if len(listed) > LISTED_MOST:
+        raise ListError(f"{path.name}: {len(listed)} tests are listed, {LISTED_MOST} at most may be")
     return listed
 
 
--- a/crowseam/capacity/hollow_gateways.py
+++ b/crowseam/capacity/hollow_gateways.py
@@ -1,6 +1,6 @@
 """Hollow gateways: real sessions with controllers, and nothing behind them.
 
-A hollow gateway opens its session, reports what it was asked for, draws, takes in what it is told and follows the
+A hollow gateway opens its session, reports what it was asked for, draws, takes in what it receives and follows the
 log by slot, but reads no configuration and carries no request.  Times: seconds, steady.
 """
 
--- a/crowseam/capacity/hollow_servers.py
+++ b/crowseam/capacity/hollow_servers.py
@@ -79,7 +79,7 @@
     def __init__(self, number: int, born: int, load: Load) -> None:
         self.id = f"i-{number:05d}-{born:04d}"
         self.number, self.born, self.seq, self.phase = number, born, 0, "up"
-        self.home = ""  # the controller that it was told to call
+        self.home = ""  # the controller that an answer named for its next calls
         self.asked_at = 0.0  # when it first said that it leaves
         service, zone = number % load.services, number % load.zones
         # Each life has an address of its own: a used one is taken over only after a while.
--- a/crowseam/cli/experiment.py
+++ b/crowseam/cli/experiment.py
@@ -1,7 +1,7 @@
 """Experiments: variants of a day or of the code, side by side over the same seeds on all cores.
 
 An experiment is a file (TOML).  Each variant is played with each seed; what differs between a variant and
-the first one is told with its spread, by pairs of the same seed, since days differ more than variants do.
+the first one is reported with its spread, by pairs of the same seed, since days differ more than variants do.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 DRAWS = 2000  # of the bootstrap
 SURE = 0.9  # part of the draws that an interval holds
-# What is told of each run; whether more is better.
+# The figures of each run, and whether more is better.
 MEASURES = {
     "worth": True,
     "share": True,
--- a/crowseam/logs.py
+++ b/crowseam/logs.py
@@ -13,7 +13,7 @@
 _log = picologging.getLogger("crowseam")
 _SAMPLE = 5  # lines of one event that are written within _SPAN; the rest is counted
 _SPAN = 1.0  # s
-_PLAIN = re.compile(r"[!#-<>-\[\]-~]+")  # printable, without a blank and what pairs are told apart by
+_PLAIN = re.compile(r"[!#-<>-\[\]-~]+")  # printable, without blanks and what separates pairs
 
 
 class _Sample:
--- a/crowseam/simulator/judge.py
+++ b/crowseam/simulator/judge.py
@@ -19,9 +19,9 @@
     Bucket,
     Delivery,
     Drain,
+    Outage,
     ProvenVersion,
     Run,
-    Trouble,
 )
 from crowseam.simulator.scenario.day import Day, Deployment, Service
 from crowseam.simulator.world.loop import World
@@ -64,7 +64,7 @@
         self.rules: Counter[str] = Counter()
         self.violations: list[str] = []
         self.versions: list[SentConfiguration] = []
-        self.troubles: list[Trouble] = []
+        self.outages: list[Outage] = []
         self.runs: list[Run] = []
         self.arrivals: list[Arrival] = []
         self.firsts: list[tuple[float, str]] = []  # when a client sent an attempt, and for which service
@@ -95,13 +95,13 @@
     def trouble(self, machines: list[str], since: float, until: float) -> None:
         """These machines (all, if none is named) are not in touch then."""
         for name in machines or [""]:
-            self.troubles.append(Trouble(since, until, name))
+            self.outages.append(Outage(since, until, name))
 
     def in_touch(self, machine: str, since: float, until: float | None = None) -> bool:
         """Whether the machine was in touch all the time, `contact` before included."""
         until = since if until is None else until
         begun = since - self.bounds.contact
-        return all(each.since > until or each.until < begun for each in self.troubles if each.machine in ("", machine))
+        return all(each.since > until or each.until < begun for each in self.outages if each.machine in ("", machine))
 
     # Clients
 
--- a/crowseam/simulator/metrics.py
+++ b/crowseam/simulator/metrics.py
@@ -9,7 +9,7 @@
 from crowseam.simulator.actors.requests import ClientRequest
 from crowseam.simulator.scenario.day import Route
 
-WORTH_SPAN = 5.0  # s of the windows of which the worst is told
+WORTH_SPAN = 5.0  # s of the windows of which the worst is reported
 
 
 class KindFigures(msgspec.Struct):
--- a/crowseam/simulator/observations.py
+++ b/crowseam/simulator/observations.py
@@ -7,7 +7,7 @@
 from crowseam.simulator.actors.requests import ClientRequest
 
 
-class Trouble(NamedTuple):
+class Outage(NamedTuple):
     """A machine ("" for all) may be out of touch from `since` to `until` (s)."""
 
     since: float
--- a/crowseam/simulator/world/disk.py
+++ b/crowseam/simulator/world/disk.py
@@ -11,7 +11,7 @@
 from crowseam.storage.store import Member, Note
 
 SYNC = 0.002  # s that a sync takes
-SLOW = 0.5  # s after which a write that is out is told of
+SLOW = 0.5  # s after which a pending write counts as stuck
 BATCH_MOST = 4096  # records in one transaction
 
 
--- a/tests/crowseam/test_retirement.py
+++ b/tests/crowseam/test_retirement.py
@@ -27,7 +27,7 @@
 from crowseam.gateway.controller_session import ControllerSession
 from crowseam.gateway.gateway import Gateway
 from crowseam.simulator import simulation
-from crowseam.simulator.actors import http_client as stack_wire
+from crowseam.simulator.actors import http_client
 from crowseam.simulator.world.link_faults import Trouble
 from crowseam.simulator.world.patches import simulated_environment
 from tests.crowseam import test_controller
@@ -434,7 +434,7 @@
         server = system.network.process("i-2", "10.9.0.2")
         heard = []
 
-        class Heard(stack_wire.asyncio.Protocol):
+        class Heard(http_client.asyncio.Protocol):
             def data_received(self, data):
                 heard.append((system.world.now, data))
 
@@ -467,8 +467,8 @@
         begun, said, ended, views = told.begins + 1.0, [], [], []
 
         def call(at, method, path, body, done):
-            data = stack_wire.request(method, at, path, [], body)
-            stack_wire.fetch(told.operator.process, at, data, 1.0, done)
+            data = http_client.request(method, at, path, [], body)
+            http_client.fetch(told.operator.process, at, data, 1.0, done)
 
         def ask():
             call(told.control[0].ctl, "POST", "/-/retire", json.dumps(command).encode(), taken)
