--- a/crowseam/cli/file_checks.py
+++ b/crowseam/cli/file_checks.py
@@ -172,7 +172,7 @@
     share, count = role.get("share"), role.get("count")
     if share is not None and count is not None:
         found.append((field + "count", "stands beside share"))
-    if share is None and count is None and not table.keys() & {"share", "count"}:
+    if isinstance(table, dict) and not table.keys() & {"share", "count"}:
         found.append((field + "share", "neither share nor count is given"))
     if share is not None and not 0 < share <= 1:
         found.append((field + "share", f"{share:g} is not above 0 and up to 1"))
--- a/tests/crowseam/test_cli.py
+++ b/tests/crowseam/test_cli.py
@@ -445,6 +445,10 @@
                 found = file_checks.check_deploy(good.replace(old, new, 1).encode())
                 self.assertIn(field, [each for each, _ in found])
 
+    def test_a_role_that_is_no_table_is_a_fault(self):
+        found = file_checks.check_deploy(b'packages = ["python3"]\nbuild = "x"\n[roles]\nx = 3\n')
+        self.assertEqual(found[0], ("roles.x", "has to be an object, not int"))
+
     def test_the_deploy_file_of_the_system_is_without_fault(self):
         self.assertEqual(file_checks.check_deploy(Path("deploy/system.toml").read_bytes()), [])
 
