--- a/crowseam/model_checks/orders/check.py
+++ b/crowseam/model_checks/orders/check.py
@@ -871,7 +871,7 @@
         _apply_unguarded,
         why="needless among processes of one version: who proposes has judged by the same code",
     ),
-    _mutant("a majority's word before a refusal", _Pending, "__init__", _confirmed(False), 5),
+    _mutant("a majority's word before a refusal", _Pending, "__init__", _confirmed(False), 3),
     _mutant("a majority's word before a read", _Pending, "__init__", _confirmed(True), 0),
     _mutant("a majority's word for later tickets", Node, "_confirm", _confirm_all, 21),
     _mutant("no refusal while a vote is held", Node, "_on_promise", _confirm_held, 58),
