--- a/crowseam/capacity/hollow_gateways.py
+++ b/crowseam/capacity/hollow_gateways.py
@@ -111,7 +111,8 @@
             link.received_at = clock.monotonic()
             self.hop += 1
             zone = f"zone-{self.number % self.crowd.load.zones}"
-            link.send(m.Open(self.name, self.life, self.hop, zone, self.slot, self.registry, self.place, True))
+            place = self.slot, self.registry, self.place
+            link.send(m.Open(self.name, self.life, self.hop, zone, *place, True, m.PROTOCOL_VERSION))
             self._send_report(clock.monotonic())
         except (OSError, TimeoutError):
             self.crowd.events["dial failed"] += 1
--- a/crowseam/capacity/message_costs.py
+++ b/crowseam/capacity/message_costs.py
@@ -125,8 +125,8 @@
     """Bytes of one gateway's opening of a session."""
     record = Record("i-0123456789", "service-a", "10.1.64.200:8080", "zone-a", "v1", 4, "up", 99_999)
     greetings = (
-        m.Open(GATEWAY, 1 << 50, 9, "zone-a", -1, "", 0),
-        m.Welcome(addresses[0], addresses),
+        m.Open(GATEWAY, 1 << 50, 9, "zone-a", -1, "", 0, True, m.PROTOCOL_VERSION),
+        m.Welcome(addresses[0], addresses, m.PROTOCOL_VERSION),
         m.Quiet([]),
         m.Shun([]),
         m.Pulse(size.gateways, 10, True),
--- a/crowseam/controller/daemon.py
+++ b/crowseam/controller/daemon.py
@@ -147,6 +147,7 @@
         )
         # Messages of controllers, handled with (addr, message, now); what is not here is passed over.
         self._of_controllers = {
+            m.Hello: self.peers.answered,
             m.Ping: self._pinged,
             **dict.fromkeys(consensus.Message.__args__, self.agreement.take),
             **dict.fromkeys(duties.Message.__args__, self.lease_service.take),
--- a/crowseam/controller/gateway_sessions.py
+++ b/crowseam/controller/gateway_sessions.py
@@ -19,6 +19,7 @@
 from crowseam.storage.store import Member, Note
 from crowseam.transport import messages as m
 from crowseam.transport.links import Link, frame
+from crowseam.transport.protocol_check import ProtocolCheck
 
 SEEN = 120.0  # s for which it is known when a gateway was last a member
 LEASED = 9.0  # s after it was last a member that a gateway may still hold a lease
@@ -62,6 +63,7 @@
         self.registry, self.session_table, self.machine, self.peers = registry, session_table, machine, peers
         self.node = peers.node
         self.sessions: dict[str, Session] = {}
+        self.protocol_check = ProtocolCheck()
         self.source = Source(HOLD)
         self.node.sources.append(self.source)
         self._packed: tuple[int, bytes] = (-1, b"")  # a slot, and what is small after it
@@ -79,6 +81,10 @@
 
     def open(self, link: Link, message: m.Open, now: float) -> None:
         """Begin a session, in place of any that the gateway had here, and bring the gateway up to date."""
+        if not self.protocol_check.matches(message.gateway, message.protocol):
+            # It hears ours, tells so in its log, and tries another controller.
+            link.send(m.Welcome(self.peers.me, [], self.protocol_check.ours))
+            return link.finish()
         link.peer = message.gateway
         old = self.sessions.get(message.gateway)
         session = self.sessions[message.gateway] = Session(
@@ -87,7 +93,7 @@
         if old is not None:
             old.link.close()
         self.session_table.opened(message.gateway, str(message.life), now, message.hop, message.az)
-        link.send(m.Welcome(self.peers.me, [self.peers.me, *self.peers.names(now)]))
+        link.send(m.Welcome(self.peers.me, [self.peers.me, *self.peers.names(now)], self.protocol_check.ours))
         records = self.registry.since(message.registry, message.place, now)
         whole = records is None
         life, session.place = self.registry.place
--- a/crowseam/controller/peers.py
+++ b/crowseam/controller/peers.py
@@ -12,6 +12,7 @@
 from crowseam.membership.sessions import SessionsTold, SessionTable
 from crowseam.transport import messages as m
 from crowseam.transport.links import Dialer, Link, frame
+from crowseam.transport.protocol_check import ProtocolCheck
 
 PING = 0.25  # s between signs of life
 LATELY = 2.0  # s since it was last heard for which a controller is named to others
@@ -51,6 +52,7 @@
         self._told: dict[str, int] = {}  # counter of our sessions up to which each was told
         self._lasts: dict[str, int] = {}  # the newest slot that each knew when it was last heard
         self._began = clock.monotonic()
+        self.protocol_check = ProtocolCheck()
 
     # Who there is
 
@@ -62,11 +64,10 @@
             host, _ = settings_file.address(addr)
         except settings_file.SettingsError:
             return
-        hello = m.Hello(self.me, self.life)
 
         def made(link: Link) -> None:
             link.peer = addr
-            link.send(hello)
+            link.send(self._hello())
             self._told.pop(addr, None)
             now = clock.monotonic()
             # Only an answer shows that both ways are open, and duties wait for that: not until its next ping is due.
@@ -79,8 +80,15 @@
         self._heard_at.setdefault(addr, now)
         self.detector.watch(addr, now)
 
+    def _hello(self) -> m.Hello:
+        return m.Hello(self.me, self.life, self.protocol_check.ours)
+
     def greeted(self, link: Link, hello: m.Hello) -> None:
         """The first message of a link that another controller has dialled."""
+        if not self.protocol_check.matches(hello.addr, hello.protocol):
+            link.send(self._hello())
+            link.finish()
+            return self._refuse(hello.addr)
         link.peer = hello.addr
         if self._lives.get(hello.addr) != hello.life:
             self._lives[hello.addr] = hello.life
@@ -88,9 +96,19 @@
             logs.say("controller_met", addr=hello.addr)
         self.know(hello.addr)
         if (dialer := self.dialers.get(hello.addr)) is not None:
+            dialer.accepted()
             dialer.hasten()
         self._alive(hello.addr, clock.monotonic())
 
+    def answered(self, addr: str, hello: m.Hello, _: float) -> None:
+        """A controller that was dialled greets in its turn: it speaks another version of the protocol."""
+        if not self.protocol_check.matches(addr, hello.protocol):
+            self._refuse(addr)
+
+    def _refuse(self, addr: str) -> None:
+        if (dialer := self.dialers.get(addr)) is not None:
+            dialer.refused()
+
     def pinged(self, addr: str, ping: m.Ping, now: float) -> None:
         """Take a sign of life, and whom its sender knows."""
         self._echoes[addr], self._lasts[addr] = ping.sent, ping.last
--- a/crowseam/gateway/controller_session.py
+++ b/crowseam/gateway/controller_session.py
@@ -17,6 +17,7 @@
 from crowseam.settings import Settings, SettingsError, address
 from crowseam.transport import messages as m
 from crowseam.transport.links import Link
+from crowseam.transport.protocol_check import ProtocolCheck
 
 REPORT, REPORT_SOON = 0.5, 0.15  # s between reports; at the most, while a lease is missing or new
 SOON_LEAST, SOON_EACH = 0.04, 0.001  # s between them then: at the least, and for each gateway there is
@@ -27,6 +28,7 @@
 DRAW_TIMEOUT = 0.06  # s for an answer from the reserve: a request waits for it
 DRAW_BITS = 10  # of a draw's number below the life's microseconds: more draws than that take longer
 CONNECT = 0.5  # s for a connection to come up
+UNLIKE_LEAST, UNLIKE_MOST = 0.3, 4.0  # s before one that speaks another version is tried again, growing
 PART, WINDOW = 32 << 10, 2  # bytes of a part of a large configuration; parts asked for at a time
 PART_WAIT = 3.0  # s without a part after which it is asked for again
 
@@ -58,6 +60,7 @@
         self.registry, self.place = "", 0
         self.memory = Memory()
         self.known: dict[str, float] = {}  # controllers, by when they may be tried again
+        self.protocol_check = ProtocolCheck()
         self.failed: dict[str, int] = {}  # how often each was tried in vain since one was last in touch
         self.holdings: dict[str, Holdings] = {}
         self.on_lease: Callable[[], None] = lambda: None  # what was missing is lent
@@ -167,6 +170,7 @@
                     self.registry,
                     self.place,
                     True,
+                    self.protocol_check.ours,
                 )
             )
             self._send_report(clock.monotonic())  # others may wait for it, to be lent what is not ours
@@ -225,7 +229,15 @@
         elif kind is m.Count:
             link.send(m.Leaving(message.number, self.registry, self.place, self.leaving()))
         elif kind is m.Welcome:
-            self.learn(message.controllers)
+            self._welcomed(message)
+
+    def _welcomed(self, message: m.Welcome) -> None:
+        self.learn(message.controllers)
+        if self.protocol_check.matches(self.at, message.protocol):
+            return
+        link, self.link = self.link, None
+        self._in_vain(self.at, min(UNLIKE_MOST, UNLIKE_LEAST * 2 ** self.failed.get(self.at, 0)))
+        link.close()
 
     def _state(self, message: m.State) -> None:
         if message.slot <= self.slot:
--- a/crowseam/model_checks/callers/scripted.py
+++ b/crowseam/model_checks/callers/scripted.py
@@ -527,7 +527,7 @@
             self.link, self.life = link, message.life
             records = [Record(name, "s", f"10.1.0.{at + 1}:8080", "z", "v", 8) for at, name in enumerate(SERVERS)]
             link.send(
-                m.Welcome(f"{REGISTRY}:8407", [f"{REGISTRY}:8407"]),
+                m.Welcome(f"{REGISTRY}:8407", [f"{REGISTRY}:8407"], m.PROTOCOL_VERSION),
                 m.Servers("r", 1, True, records),
                 m.State(1, m.pack(configuration())),
                 m.Pulse(1, 1, True),
@@ -676,7 +676,7 @@
         if not up:
             self.process.loop.call_later(0.2, self.open, at)
             return
-        link.send(m.Open(self.name, self.life, 1, "z", -1, "", 0))
+        link.send(m.Open(self.name, self.life, 1, "z", -1, "", 0, protocol=m.PROTOCOL_VERSION))
         self._report(link)
 
     def _report(self, link: Link) -> None:
--- a/crowseam/transport/links.py
+++ b/crowseam/transport/links.py
@@ -93,6 +93,11 @@
         if self.transport is not None:
             self.transport.abort()
 
+    def finish(self) -> None:
+        """Close once all that was sent is written; nothing more is read."""
+        if self.transport is not None:
+            self.transport.close()
+
     def connection_lost(self, error: Exception | None) -> None:
         self.ended(self)
 
@@ -107,6 +112,7 @@
     """Keeps one link to an address, dialling again after a pause while it is wanted."""
 
     PAUSE, PAUSE_MOST, TIMEOUT = 0.15, 1.0, 0.6  # s
+    REFUSED_MOST = 2.0  # s between two tries at most where the peer refuses us
 
     def __init__(
         self,
@@ -118,7 +124,7 @@
     ) -> None:
         self.loop, self.host, self.port, self.heard, self.made = loop, host, port, heard, made
         self.link: Link | None = None
-        self.wanted, self.pause = True, self.PAUSE
+        self.wanted, self.pause, self.refused_pause = True, self.PAUSE, self.PAUSE
         self._retry: asyncio.TimerHandle | None = None  # while the next attempt is waited for
         self.task: asyncio.Task | None = loop.create_task(self._dial())
 
@@ -158,6 +164,17 @@
         if self.wanted and self.link is None:
             self.task = self.loop.create_task(self._dial())
 
+    def refused(self) -> None:
+        """The peer is not to be spoken to for now: end the link, and dial again after a growing pause."""
+        self.refused_pause = min(self.REFUSED_MOST, self.refused_pause * 1.6)
+        self.pause = self.refused_pause
+        if self.link is not None:
+            self.link.close()
+
+    def accepted(self) -> None:
+        """The peer may be spoken to: pauses begin anew."""
+        self.refused_pause = self.PAUSE
+
     def send(self, *messages: Message) -> None:
         if self.link is not None:
             self.link.send(*messages)
--- a/crowseam/transport/messages.py
+++ b/crowseam/transport/messages.py
@@ -16,6 +16,11 @@
 from crowseam.membership.sessions import SessionsTold
 from crowseam.quotas.leases import Held, Lease
 
+# What is spoken between the system's processes. To be raised with each change that a process of the version
+# before would misread. The fields of Hello, Open and Welcome stay where they are for good, so that any two
+# versions read each other's greeting.
+PROTOCOL_VERSION = 2
+UNVERSIONED = 1  # the version of processes whose greetings do not name one
 PACK_FROM = 2048  # bytes of a body from which on it is packed
 
 
@@ -27,10 +32,14 @@
 
 
 class Hello(Struct, tag="hello"):
-    """The first message of a connection between controllers: whose it is."""
+    """The first message of a connection between controllers: whose it is, and what it speaks.
+
+    It is sent back only to a controller that speaks another version, before its connection is closed.
+    """
 
     addr: str
     life: str
+    protocol: int = UNVERSIONED
 
 
 class Ping(Struct, tag="ping"):
@@ -138,6 +147,7 @@
     registry: str
     place: int
     parts: bool = False
+    protocol: int = UNVERSIONED
 
 
 class Report(Struct, tag="report"):
@@ -168,10 +178,14 @@
 
 
 class Welcome(Struct, tag="welcome"):
-    """The session stands. `controllers`: where else one may be opened."""
+    """The session stands, unless `protocol` is unlike the gateway's: then the connection is closed.
+
+    `controllers`: where else one may be opened.
+    """
 
     addr: str
     controllers: list[str]
+    protocol: int = UNVERSIONED
 
 
 class State(Struct, tag="state"):
--- a/tests/crowseam/test_capacity.py
+++ b/tests/crowseam/test_capacity.py
@@ -223,7 +223,7 @@
                 if isinstance(message, m.Open):
                     opened.append(message)
                     link.send(
-                        m.Welcome("127.0.0.1:8407", []),
+                        m.Welcome("127.0.0.1:8407", [], m.PROTOCOL_VERSION),
                         m.Servers("r", 1, True, []),
                         m.State(3, b"-"),
                         m.Pulse(2, 3, True),
--- a/tests/crowseam/test_controller.py
+++ b/tests/crowseam/test_controller.py
@@ -1,7 +1,8 @@
 """Three controllers and a gateway's session over links in memory, on a virtual clock.
 
 Timelines have a column for what befalls the system (``cut NAME``: from the other controllers and the gateway,
-``heal``, ``kill NAME``, ``start NAME``, ``disk NAME S``: it hangs for so long, ``wipe NAME``), one for each
+``heal``, ``kill NAME``, ``start NAME``, ``disk NAME S``: it hangs for so long, ``wipe NAME``,
+``upgrade NAME``: it, or the gateway, speaks the next version of the protocol from now on), one for each
 controller and one for the gateway. A controller's cells hold calls: ``put VER PARENT``, ``bad VER PARENT``, ``get``,
 ``heartbeat ID PHASE SEQ``, ``delete ID``; and the answer that its newest call has by now: ``?STATUS [VER]`` or
 ``?none``. The gateway's cells say what it follows: ``?ver N``, ``?usable ID ...`` (all of them), ``?at NAME``,
@@ -24,6 +25,7 @@
 from crowseam.simulator.world.loop import World
 from crowseam.simulator.world.network import Network
 from crowseam.simulator.world.patches import simulated_environment
+from crowseam.transport.messages import PROTOCOL_VERSION
 
 IPS = {"r1": "10.1.0.5", "r2": "10.2.0.5", "r3": "10.3.0.5", "gateway": "10.1.0.9"}
 REGISTRIES = ("r1", "r2", "r3")
@@ -71,6 +73,7 @@
         self.caller = self.network.process("caller", "10.250.0.1")
         self.disk_images = {name: DiskImage(self.world.random(name)) for name in REGISTRIES}
         self.processes, self.controllers, self.answers, self.asked, self.lives = {}, {}, {}, {}, {}
+        self.said, self.versions = [], {}
         for name in REGISTRIES:
             self.start(name, True)
         process = self.network.process("gateway", IPS["gateway"], COST)
@@ -109,6 +112,8 @@
             controller = self.controllers[name] = MemoryController(
                 process, self.settings(name, bootstrap), self.disk_images[name], Random(f"{name}/{life}")
             )
+            for part in (controller.peers, controller.gateways):
+                part.protocol_check.ours = self.versions.get(name, PROTOCOL_VERSION)
             process.loop.create_task(controller.start())
 
         process.loop.call_soon(begin)
@@ -117,6 +122,14 @@
         self.network.ended(self.processes[name])
         self.controllers[name].disk.cut_short()
 
+    def upgrade(self, name):
+        self.versions[name] = PROTOCOL_VERSION + 1
+        if name == "gateway":
+            self.controller_session.protocol_check.ours = PROTOCOL_VERSION + 1
+            return
+        self.kill(name)
+        self.start(name)
+
     def cut(self, name):
         others = frozenset(ip for other, ip in IPS.items() if other != name)
         self.network.troubles.append(Trouble(frozenset([IPS[name]]), others, cut=True))
@@ -162,9 +175,12 @@
         lines = [[cell.strip() for cell in line.split("|")] for line in text.splitlines() if line.strip()]
         names = lines[0][1:]
         system = System(seed)
-        with simulated_environment(
-            system.world, lambda event, **fields: self.assertFalse(event.endswith("failed"), fields)
-        ):
+
+        def say(event, **fields):
+            self.assertFalse(event.endswith("failed"), fields)
+            system.said.append((event, fields))
+
+        with simulated_environment(system.world, say):
             for time, *cells in lines[1:]:
                 system.world.run(float(time))
                 line = " | ".join([time, *cells])
@@ -401,6 +417,30 @@
                 controller = system.controllers[name]
                 self.assertEqual(list(controller.session_table.members(controller.now())), ["gateway"])
 
+    def test_unlike_versions_refuse_each_other_and_meet_again_once_they_are_alike(self):
+        system = self.play("""
+            time | events          | r1      | r2      | r3      | gateway
+            2    |                 | put 1 0 |         |         |
+            2.5  | upgrade r1      |         |         |         | ?ver 1
+            6    |                 | get     | put 2 1 |         |
+            7    |                 | ?503    | ?200    |         | ?ver 2
+            7.1  | upgrade r2      |         |         |         |
+            11   |                 | get     |         | get     |
+            12   |                 | ?200 2  |         | ?503    | ?ver 2
+            12.1 |                 | put 3 2 |         |         |
+            13   | upgrade r3      | ?200    |         |         | ?ver 2
+            18   |                 |         |         | get     |
+            19   | upgrade gateway |         |         | ?200 3  | ?ver 2
+            25   |                 |         |         |         | ?ver 3; ?ready
+            """)
+        told = [tuple(fields.values()) for event, fields in system.said if event == "protocol_mismatch"]
+        ours, theirs = PROTOCOL_VERSION, PROTOCOL_VERSION + 1
+        self.assertLessEqual(
+            {(CTL["r1"], ours, theirs), (CTL["r3"], theirs, ours), ("gateway", theirs, ours)}, set(told)
+        )
+        # Each tells it once of each of the others that it meets in its life.
+        self.assertLessEqual(len(told), 16)
+
     def test_a_ticket_of_an_earlier_life_is_none_of_a_later_one(self):
         # Others may answer an earlier life once a later one has begun, and tickets are all they name.
         timeline = """
--- a/tests/crowseam/test_transport.py
+++ b/tests/crowseam/test_transport.py
@@ -18,7 +18,7 @@
 from crowseam.transport.links import Link, frame
 
 MESSAGES = [
-    m.Hello("10.0.0.1:80", "life"),
+    m.Hello("10.0.0.1:80", "life", m.PROTOCOL_VERSION),
     m.Ping(1.5, 0.0, 7, ["10.0.0.2:80"]),
     m.Bye(),
     m.Rows([]),
@@ -74,6 +74,21 @@
         link.connection_made(Transport())
         return link
 
+    def test_a_peer_that_refuses_is_dialled_again_after_growing_pauses_until_it_accepts(self):
+        loop = mock.Mock(create_task=lambda dialling: dialling.close())
+        dialer = links.Dialer(loop, "10.0.0.2", 7660, None, lambda link: None)
+        pauses = []
+        for refusals in (6, 2):
+            for _ in range(refusals):
+                link = self.link()
+                dialer._made(link)
+                dialer.refused()
+                self.assertFalse(link.open)
+                dialer._ended(link)
+                pauses.append(round(loop.call_later.call_args.args[0], 2))
+            dialer.accepted()
+        self.assertEqual(pauses, [0.24, 0.38, 0.61, 0.98, 1.57, 2.0, 0.24, 0.38])
+
     def test_messages_arrive_whole_and_in_order_however_they_are_cut(self):
         data = b"".join(map(frame, MESSAGES))
         for size in (1, 3, 4, 5, 7, 64, 4096, len(data)):
