--- a/crowseam/transport/messages.py
+++ b/crowseam/transport/messages.py
@@ -22,6 +22,8 @@
 PROTOCOL_VERSION = 2
 UNVERSIONED = 1  # the version of processes whose greetings do not name one
 PACK_FROM = 2048  # bytes of a body from which on it is packed
+PACK_ENTRY_FROM = 64 * 1024  # bytes of a message from which on an entry of the log travels packed
+MOST_UNPACKED = 64 * 1024 * 1024  # bytes that a packed message may have
 
 
 class Struct(msgspec.Struct, array_like=True, frozen=True):
@@ -275,8 +277,33 @@
     | Learned
     | Following
 )
-encode = msgspec.msgpack.Encoder().encode
-decode = msgspec.msgpack.Decoder(Message).decode
+_encode = msgspec.msgpack.Encoder().encode
+_decode = msgspec.msgpack.Decoder(Message).decode
+_PACKED = ord("z")  # no message begins with this byte: as an array in MessagePack it has 0x90 to 0x9f or 0xdc
+# What may hold a whole configuration.  Parts of snapshots are packed already.
+_LARGE = consensus.Accept | consensus.Promise | consensus.Chosen
+
+
+def encode(message: Message) -> bytes:
+    """The bytes of a message; a large entry of the log is packed, as a thin link else stands still behind it."""
+    body = _encode(message)
+    if len(body) >= PACK_ENTRY_FROM and isinstance(message, _LARGE):
+        return bytes((_PACKED,)) + zlib.compress(body, 1)
+    return body
+
+
+def decode(data: bytes | memoryview) -> Message:
+    """The message in these bytes. Raises msgspec.MsgspecError, ValueError."""
+    if not data or data[0] != _PACKED:
+        return _decode(data)
+    unpacker = zlib.decompressobj()
+    try:
+        body = unpacker.decompress(data[1:], MOST_UNPACKED)
+    except zlib.error as error:
+        raise ValueError(f"packed message: {error}") from None
+    if not unpacker.eof:
+        raise ValueError("a packed message is cut short or too large")
+    return _decode(body)
 
 
 def pack(body: bytes) -> bytes:
--- a/tests/crowseam/test_large_states.py
+++ b/tests/crowseam/test_large_states.py
@@ -16,7 +16,7 @@
 from crowseam.model_checks.agreement.check import Ledger, Order
 from crowseam.model_checks.catchup.check import Padded
 from crowseam.settings import Bind, Settings
-from crowseam.simulator.slow_links import SEEDS, SlowLinks, configuration
+from crowseam.simulator.slow_links import MEMBER, RATE, SEEDS, SlowLinks, configuration
 from crowseam.simulator.world.patches import simulated_environment
 from crowseam.transport import messages as m
 
@@ -52,6 +52,25 @@
                 for kind in ("State", "SnapshotOffer", "SnapshotPart"):
                     self.assertEqual(scenario.heard[kind], before[kind], kind)
 
+    def test_a_whole_configuration_for_a_voter_on_a_slow_link_holds_signs_of_life_up_for_its_packed_bytes_only(self):
+        scenario = SlowLinks(1, configuration(20, 20, 2), 0.5)
+        body = configuration(1300, 5100, 70, 2, 1)
+        seconds = len(m.pack(body)) / RATE
+        with simulated_environment(scenario.world, quiet):
+            scenario.world.run(2.0)
+            scenario.change()
+            scenario.start(MEMBER)
+            scenario.world.run(6.0)
+            self.assertIn(f"{MEMBER}:8407", scenario.controllers[SEEDS[0]].peers.voters())
+            scenario.body, scenario.ver = body, 0
+            scenario.change()
+            scenario.world.run(20.0)
+        self.assertEqual(scenario.controllers[MEMBER].machine.config.ver, 2)
+        signs = scenario.signs[MEMBER].values()
+        gaps = [b - a for times in signs for a, b in zip(times, times[1:], strict=False)]
+        self.assertLess(seconds, max(gaps))
+        self.assertLess(max(gaps), seconds + 0.8)
+
     def test_a_transfer_goes_on_with_another_controller_where_the_first_one_ends(self):
         scenario = SlowLinks(2, configuration(1300, 5100, 70), 0.5)
         with simulated_environment(scenario.world, quiet):
--- a/tests/crowseam/test_transport.py
+++ b/tests/crowseam/test_transport.py
@@ -6,10 +6,14 @@
 import re
 import struct
 import unittest
+import zlib
 from types import SimpleNamespace
 from unittest import mock
 
+import msgspec
+
 from crowseam import control_calls, settings
+from crowseam.consensus.messages import Accept, Ballot, Change
 from crowseam.controller.api import ControlApi
 from crowseam.discovery.service_registry import Record
 from crowseam.transport import links
@@ -145,6 +149,22 @@
         link.send(MESSAGES[0])
         self.assertEqual((link.transport.written, link.open), (frame(MESSAGES[0]), False))
 
+    def test_large_entries_travel_packed_and_nothing_else_does(self):
+        ballot, body = Ballot(1, "a"), b"x" * m.PACK_ENTRY_FROM
+        accept = Accept(1, ballot, Change("t", 1, 0, True, body, "d"))
+        packed = m.encode(accept)
+        self.assertEqual((packed[:1], m.decode(memoryview(packed))), (b"z", accept))
+        self.assertLess(len(packed), 2000)
+        for plain in (Accept(1, ballot, Change("t", 1, 0, True, b"x", "d")), m.State(1, body)):
+            self.assertEqual(m.encode(plain), msgspec.msgpack.encode(plain))
+        bomb = b"z" + zlib.compress(bytes(2000))
+        with mock.patch.object(m, "MOST_UNPACKED", 1000):
+            for bad in (bomb, packed):
+                self.assertRaisesRegex(ValueError, "cut short or too large", m.decode, bad)
+        for bad in (b"", b"z", b"zjunk", packed[:-9], b"z" + zlib.compress(b"junk")):
+            with self.assertRaises((ValueError, msgspec.MsgspecError)):
+                m.decode(bad)
+
     def test_packed_bodies(self):
         for body in (b"", b"x", b"x" * m.PACK_FROM, random.Random(1).randbytes(9000)):
             self.assertEqual(m.unpack(m.pack(body)), body)
