--- a/crowseam/model_checks/callers/mutants.py
+++ b/crowseam/model_checks/callers/mutants.py
@@ -192,6 +192,15 @@
         told(self, ticket)
 
 
+def _refuse_sent(self: gateway.Gateway, ticket: gateway.Ticket, told: Callable = gateway.Gateway._time_out) -> None:
+    # What a server has had is refused at its timeout as if none had.
+    for exchange in list(ticket.out.values()):
+        if exchange.connection is not None:
+            exchange.connection.give_up()
+            exchange.end(Status.CONNECT_FAILED)
+    told(self, ticket)
+
+
 CONNECTION = backends.UpstreamConnection
 
 
@@ -273,6 +282,7 @@
         ),
         mutant("100 Continue told in a call's turn only", 5, (Caller, "on_headers_complete", _go_on_at_once)),
         mutant("a slower attempt given up at the deadline", 70, (gateway.Gateway, "_expire", _expire_answered)),
+        mutant("only what came to no server refused at its timeout", 2, (gateway.Gateway, "_time_out", _refuse_sent)),
         mutant(
             "a body that waits behind let go of",
             6,
--- a/tests/crowseam/test_gateway.py
+++ b/tests/crowseam/test_gateway.py
@@ -2,15 +2,23 @@
 
 import contextlib
 import unittest
+from collections import Counter
+from heapq import heappop, heappush
 from random import Random
 from unittest import mock
 
+from crowseam.configuration.model import Configuration
+from crowseam.configuration.routing import Table
 from crowseam.discovery.service_registry import Record
 from crowseam.gateway.gateway import OVERTIME, Gateway
+from crowseam.gateway.load_balancer import LoadBalancer, Send
+from crowseam.quotas.admission import Admission
+from crowseam.quotas.retry_budget import RetryBudget
 from crowseam.simulator.world.patches import simulated_environment
 from fennelpoint.interface import Status
 from fennelpoint.net.backends import Answer
 from tests.crowseam import test_controller
+from tests.crowseam.test_configuration import patch, put, route, svc
 from tests.crowseam.test_load_balancer import ROUTES
 
 TIMEOUT = 2.0  # s that each request here may take
@@ -110,6 +118,38 @@
         self.assertEqual(self.told(), [("answered", 504)])
 
 
+class AddedLater(unittest.TestCase):
+    """Routes that a change adds are served like the first ones, when there is not enough for all."""
+
+    def test_routes_added_later_are_served_like_the_first_ones(self):
+        config = Configuration.from_put(put(1, 0, svc("s"), route("a", "/a/"), route("b", "/b/")))
+        first = Table(config)
+        later = Table(config.patched(patch(2, 1, route("c", "/c/"))), first)
+        rng = Random(5)
+        admission, budget = Admission(0.0, rng), RetryBudget(0.2, 10.0, 60.0, 0.0, earlier=False)
+        budget.gateways(1, 0.0)
+        balancer = LoadBalancer("z", admission, budget, rng)
+        balancer.follow(SERVERS, True, 0.0)
+        asked, served, ends, now = Counter(), Counter(), [], 0.0
+        for number in range(6000):
+            now += 0.002  # 500 a second; three servers of four slots each serve 240
+            table = later if now > 3.0 else first
+            while ends and ends[0][0] <= now:
+                _, ended, attempt, name = heappop(ends)
+                if balancer.outcome(ended, attempt, Status.OK, Answer(200, [], b""), now, (4, 0, 4)):
+                    served[name] += now > 4.0
+            name = rng.choice(list(table.routes))
+            asked[name] += now > 4.0
+            for action in balancer.arrive(number, table.routes[name], "", 2.0, now):
+                if isinstance(action, Send):
+                    heappush(ends, (now + 0.05 * max(1.0, action.server.out / 4), number, action.number, name))
+            if number % 250 == 0:
+                admission.period(now)
+        shares = {name: served[name] / asked[name] for name in asked}
+        self.assertLess(sum(served.values()), 0.8 * sum(asked.values()))  # there is not enough
+        self.assertGreater(shares["c"], 0.8 * max(shares.values()), shares)
+
+
 class Silence(Case):
     def test_an_answer_that_falls_silent_is_waited_for_beside_another_try(self):
         self.ask("safe3")
