--- a/crowseam/controller/agreement.py
+++ b/crowseam/controller/agreement.py
@@ -11,8 +11,8 @@
 from crowseam.consensus.node import Node
 from crowseam.consensus.records import Answer, Apply, Fresh, Persist, Send, Taken
 from crowseam.controller.disk import Archive
-from crowseam.controller.pending_calls import PendingCalls, refusal
-from crowseam.controller.state_machine import Again, Forgotten, Machine
+from crowseam.controller.pending_calls import PendingCalls, refusal, unavailable
+from crowseam.controller.state_machine import Again, Forgotten, Machine, UnknownParent
 from crowseam.transport.http import Call
 
 TICK = 0.05  # s between two calls of `tick`; what is due sooner gets a timer
@@ -115,5 +115,9 @@
             # A refusal might be wrong, and so might an acknowledgement.
             logs.say("change_forgotten")
             call.reply(503, refusal("whether this change was taken is not remembered"))
+        elif isinstance(outcome, UnknownParent):
+            logs.say("parent_unknown", current=version_text(outcome.current), parent=version_text(outcome.parent))
+            current, parent = version_text(outcome.current), version_text(outcome.parent)
+            unavailable(call, f"version {current} is current, and {parent} is not known yet")
         else:
             call.reply(503, refusal("no majority has answered in time"), fields=(("Retry-After", "0.2"),))
--- a/crowseam/controller/pending_calls.py
+++ b/crowseam/controller/pending_calls.py
@@ -22,6 +22,7 @@
         self._last = first
 
     def __len__(self) -> int:
+        """How many calls wait."""
         return len(self._waiting)
 
     def number(self) -> int:
--- a/crowseam/controller/state_machine.py
+++ b/crowseam/controller/state_machine.py
@@ -6,7 +6,14 @@
 
 import msgspec
 
-from crowseam.configuration.model import EMPTY, Change, Configuration, ConfigurationError, judge, version_text
+from crowseam.configuration.model import (
+    EMPTY,
+    Change,
+    Configuration,
+    ConfigurationError,
+    judge,
+    version_text,
+)
 from crowseam.consensus.messages import Change as Entry
 
 RECENT = 256  # taken changes of which all is known, for operators
@@ -45,6 +52,20 @@
     """The verdict on a change of which nobody knows any more whether it was taken: no clear answer."""
 
 
+class UnknownParent(msgspec.Struct, frozen=True):
+    """The verdict on a change of a version that is above the `current` one: no clear answer.
+
+    A refusal could turn out wrong: `parent` may be taken later, and a copy of the change that was delayed on its
+    way would then be taken too.
+    """
+
+    current: int
+    parent: int
+
+
+Verdict = Again | Forgotten | UnknownParent | ConfigurationError
+
+
 class Machine:
     """The configuration in force, as `consensus.node.Machine` asks for it.
 
@@ -102,13 +123,15 @@
         before = held.taken[0].parent if held.taken else self.config.ver
         self.forgotten = before if held.forgotten < 0 else held.forgotten
 
-    def verdict(self, change: Change, tag: str) -> Entry | Again | Forgotten | ConfigurationError:
+    def verdict(self, change: Change, tag: str) -> Entry | Verdict:
         """What becomes of a change on top of this state: an entry to propose, or the answer to its call."""
         if change.digest in self.taken or _mark(change.digest) in self.earlier:
             return Again()
         # One whose parent is not below its own version was never taken, whatever is forgotten.
         if change.parent < change.ver <= self.forgotten:
             return Forgotten()
+        if self.config.ver < change.parent < change.ver:
+            return UnknownParent(self.config.ver, change.parent)
         try:
             judge(self.config, change)
         except ConfigurationError as error:
--- a/crowseam/transport/http.py
+++ b/crowseam/transport/http.py
@@ -59,6 +59,7 @@
         self.url, self.parts, self.expects, self.framed = b"", [], False, False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """The connection is up (asyncio)."""
         self.transport = transport
         self._stand()
 
@@ -70,6 +71,7 @@
         self.timer = asyncio.get_running_loop().call_later(IDLE, self._stand)
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is gone (asyncio)."""
         self.deaf = True
         if self.timer is not None:
             self.timer.cancel()
@@ -77,6 +79,7 @@
         self.waiting.clear()
 
     def data_received(self, data: bytes) -> None:
+        """Read calls from what came; what can't be read is answered once, and nothing after it is read (asyncio)."""
         if self.deaf:
             return
         self.heard = True
@@ -107,12 +110,15 @@
             self._next()
 
     def on_message_begin(self) -> None:
+        """A call begins (httptools)."""
         self._fresh()
 
     def on_url(self, url: bytes) -> None:
+        """A part of its target has come (httptools)."""
         self.url += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """One of its headers has come (httptools)."""
         name = name.lower()
         if name == b"expect" and value.lower() == b"100-continue":
             self.expects = True
@@ -120,6 +126,7 @@
             self.framed = True
 
     def on_headers_complete(self) -> None:
+        """Its head is whole (httptools)."""
         if self.framed and self.parser.should_upgrade():
             # The parser leaves such a body unread, and it must not be taken for the next call.
             return self._fault(400, "a call with a body can't change the protocol")
@@ -128,9 +135,11 @@
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
+        """A part of its body has come (httptools)."""
         self.parts.append(body)
 
     def on_message_complete(self) -> None:
+        """It is whole: serve it in its turn (httptools)."""
         self.size = 0
         if self.deaf:
             return
@@ -152,6 +161,7 @@
                 self.serve(call)
 
     def write(self, data: bytes, keep: bool) -> None:
+        """Write the answer to the call that is served; close unless `keep`, else go on with the next call."""
         self.busy = False
         if self.transport is None or self.transport.is_closing():
             return
--- a/crowseam/transport/links.py
+++ b/crowseam/transport/links.py
@@ -46,14 +46,17 @@
 
     @property
     def open(self) -> bool:
+        """Whether messages can be sent."""
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
+        """The connection is up (asyncio)."""
         self.transport = transport
         tune(transport.get_extra_info("socket"))
         self.made(self)
 
     def data_received(self, data: bytes) -> None:
+        """Hand each message that is whole to `heard`; what can't be read ends the link (asyncio)."""
         buffer = self.buffer
         buffer += data
         at = 0
@@ -90,6 +93,7 @@
             self.transport.write(frames)
 
     def close(self) -> None:
+        """End the link at once; what is not written yet is lost."""
         if self.transport is not None:
             self.transport.abort()
 
@@ -99,6 +103,7 @@
             self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
+        """The connection is gone (asyncio)."""
         self.ended(self)
 
 
@@ -176,10 +181,12 @@
         self.refused_pause = self.PAUSE
 
     def send(self, *messages: Message) -> None:
+        """Write messages; they are lost where no link is up."""
         if self.link is not None:
             self.link.send(*messages)
 
     def close(self) -> None:
+        """End the link for good."""
         self.wanted = False
         if self.link is not None:
             self.link.close()
