--- a/crowseam/model_checks/orders/check.py
+++ b/crowseam/model_checks/orders/check.py
@@ -900,17 +900,17 @@
         _Pending,
         "__init__",
         _confirmed(False),
-        why="not found in 160 schedules: second line, as an order on a version to come is not refused, and what is refused is true of every "
-        "later state; part cutoff finds one told without a majority",
+        why="not found in 160 schedules: second line, as an order on a version to come is not refused, and what is "
+        "refused is true of every later state; part cutoff finds one told without a majority",
     ),
-    _mutant("a majority's word before a read", _Pending, "__init__", _confirmed(True), 0),
-    _mutant("a majority's word for later tickets", Node, "_confirm", _confirm_all, 103),
+    _mutant("a majority's word before a read", _Pending, "__init__", _confirmed(True), 1),
+    _mutant("a majority's word for later tickets", Node, "_confirm", _confirm_all, 115),
     _mutant("no refusal while a vote is held", Node, "_on_promise", _confirm_held, 58),
     _mutant("no answer to a read while a vote is held", Node, "_on_quorum_read_reply", _never_busy, 27),
     _mutant("majorities", _Round, "__init__", _one_is_enough, 0),
     _mutant("judged anew at each slot", Node, "_judge", _judged_once, 0),
-    _mutant("the tag tells whose entry won", Node, "_learn", _whoever_won, 4),
-    _mutant("a vote is no choice", Node, "_on_accept", _vote_is_choice, 6),
+    _mutant("the tag tells whose entry won", Node, "_learn", _whoever_won, 0),
+    _mutant("a vote is no choice", Node, "_on_accept", _vote_is_choice, 10),
     _mutant(
         "unclear after a snapshot",
         Node,
@@ -920,7 +920,7 @@
     ),
     _mutant("unclear is no refusal", Agreement, "_answer", _told(ConfigurationError(412, "", "late")), 2),
     _mutant("unclear is no acknowledgement", Agreement, "_answer", _told(Taken(0)), 0),
-    _mutant("each ticket has a number of its own", PendingCalls, "number", _few_numbers, 1),
+    _mutant("each ticket has a number of its own", PendingCalls, "number", _few_numbers, 3),
     _mutant(
         "a ticket is answered once",
         PendingCalls,
