--- a/crowseam/capacity/message_costs.py
+++ b/crowseam/capacity/message_costs.py
@@ -73,8 +73,8 @@
 
     def relayed(self) -> int:
         """Bytes of what one controller asks another for one gateway, and is lent."""
-        asks = [m.Ask(GATEWAY, key, dict.fromkeys(held.shares, 1.25), held) for key, held in self.held.items()]
-        return _size(*asks, *(m.Lent(GATEWAY, key, lease) for key, lease in self.lent.items()))
+        asks = [m.LeaseRequest(GATEWAY, key, dict.fromkeys(held.shares, 1.25), held) for key, held in self.held.items()]
+        return _size(*asks, *(m.LeaseReply(GATEWAY, key, lease) for key, lease in self.lent.items()))
 
 
 def costs(size: Deployment, asked: int = ASKING_TENANTS) -> Costs:
@@ -108,7 +108,7 @@
     return {
         "pings": 2 * others * _size(m.Ping(1.0, 1.0, 10, addresses)) / PING,
         "sessions": 2 * others * _size(SessionsTold(addresses[0], "x" * 24, 9, 9, [], [])) / TELL,
-        "heard": 2 * others * _size(m.Heard(heard)) / TELL,
+        "heard": 2 * others * _size(m.ReportsHeard(heard)) / TELL,
         "digests": 2 * _size(DigestOffer([b"12345678"])) / REPAIR,
         "duties": 2 * duties / size.controllers,
         "relayed leases": 2 * gateways * REPORTS * away * leases.relayed(),
@@ -128,7 +128,7 @@
         m.Open(GATEWAY, 1 << 50, 9, "zone-a", -1, "", 0, True, m.PROTOCOL_VERSION),
         m.Welcome(addresses[0], addresses, m.PROTOCOL_VERSION),
         m.Quiet([]),
-        m.Shun([]),
+        m.ShunnedServers([]),
         m.Pulse(size.gateways, 10, True),
     )
     return {
--- a/crowseam/controller/daemon.py
+++ b/crowseam/controller/daemon.py
@@ -152,16 +152,16 @@
             **dict.fromkeys(consensus.Message.__args__, self.agreement.take),
             **dict.fromkeys(duties.Message.__args__, self.lease_service.take),
             SessionsTold: self.peers.sessions_told,
-            m.Rows: self.reports.rows,
-            m.Heard: self.reports.heard,
+            m.ChangedRecords: self.reports.rows,
+            m.ReportsHeard: self.reports.heard,
             DigestOffer: self.reports.mend,
             RangeRecords: self.reports.mend,
             quorum.Hold: self.retirements.hold,
             quorum.Held: self.reports.held,
-            m.Watch: self.retirements.watch,
-            m.Watched: self.retirements.watched,
-            m.Ask: self._asked,
-            m.Lent: self.lease_service.lent,
+            m.InFlightQuery: self.retirements.watch,
+            m.InFlightReply: self.retirements.watched,
+            m.LeaseRequest: self._asked,
+            m.LeaseReply: self.lease_service.lent,
             m.Draw: self.lease_service.draw_asked,
             m.Drawn: self.lease_service.drawn,
             m.OutlierReport: self.gateways.complaint_told,
@@ -336,7 +336,7 @@
         self._noted = True
         self.archive.write([Note(COUNTED, (self.archive.durable.id or "").encode())], done)
 
-    def _asked(self, addr: str, ask: m.Ask, now: float) -> None:
+    def _asked(self, addr: str, ask: m.LeaseRequest, now: float) -> None:
         if ask.key == SESSIONS:
             self.peers.sessions_asked(addr, now)
         else:
--- a/crowseam/controller/gateway_sessions.py
+++ b/crowseam/controller/gateway_sessions.py
@@ -98,7 +98,7 @@
         whole = records is None
         life, session.place = self.registry.place
         rows = self.registry.snapshot(now) if whole else records
-        link.send(m.Servers(life, session.place, whole, rows), m.Quiet(self.quiet), m.Shun(self.shunned))
+        link.send(m.Servers(life, session.place, whole, rows), m.Quiet(self.quiet), m.ShunnedServers(self.shunned))
         # Servers first: a large configuration takes a while to come, and some of them may have left.
         session.slot = message.slot
         self._catch_up(session)
@@ -275,7 +275,7 @@
         if shunned != self.shunned:
             logs.say("shunned", servers=",".join(shunned))
             self.shunned = shunned
-            self.tell(m.Shun(shunned))
+            self.tell(m.ShunnedServers(shunned))
 
     # All of them
 
--- a/crowseam/controller/lease_service.py
+++ b/crowseam/controller/lease_service.py
@@ -120,9 +120,9 @@
                     session.gateway, key, asks, held, now, lambda lease, key=key: session.link.send(m.Slice(key, lease))
                 )
             elif holder is not None:
-                self.peers.post(holder, m.Ask(session.gateway, key, asks, held))
+                self.peers.post(holder, m.LeaseRequest(session.gateway, key, asks, held))
 
-    def asked(self, addr: str, ask: m.Ask, now: float) -> None:
+    def asked(self, addr: str, ask: m.LeaseRequest, now: float) -> None:
         """A gateway's report that another controller passes on."""
         self._lease(
             ask.gateway,
@@ -130,10 +130,10 @@
             ask.asks,
             ask.held,
             now,
-            lambda lease: self.peers.post(addr, m.Lent(ask.gateway, ask.key, lease)),
+            lambda lease: self.peers.post(addr, m.LeaseReply(ask.gateway, ask.key, lease)),
         )
 
-    def lent(self, _: str, lent: m.Lent, now: float) -> None:
+    def lent(self, _: str, lent: m.LeaseReply, now: float) -> None:
         """The holder's answer, for a gateway here."""
         self.gateways.pass_on(lent.gateway, m.Slice(lent.key, lent.lease))
 
--- a/crowseam/controller/peers.py
+++ b/crowseam/controller/peers.py
@@ -17,7 +17,7 @@
 PING = 0.25  # s between signs of life
 LATELY = 2.0  # s since it was last heard for which a controller is named to others
 FORGET = 30.0  # s of silence after which a controller that neither votes nor is a seed is forgotten
-SESSIONS = "sessions"  # the key of an Ask for all sessions of a controller
+SESSIONS = "sessions"  # the key of a LeaseRequest for all sessions of a controller
 _NO_HELD = m.Held(0, 0.0, 0, 0, 0.0, {})
 
 
@@ -236,7 +236,7 @@
     def sessions_told(self, addr: str, told: SessionsTold, now: float) -> None:
         """Take a controller's sessions; where some of it is missing, ask for all."""
         if not self.session_table.take(told, now):
-            self.post(addr, m.Ask("", SESSIONS, {}, _NO_HELD))
+            self.post(addr, m.LeaseRequest("", SESSIONS, {}, _NO_HELD))
 
     def sessions_asked(self, addr: str, now: float) -> None:
         """Tell a controller all our sessions."""
--- a/crowseam/controller/retirements.py
+++ b/crowseam/controller/retirements.py
@@ -165,7 +165,7 @@
     def _write(self, asked: Asked, idents: list[str], now: float) -> None:
         if changed := self.registry.retire(idents, asked.out, now):
             asked.changed.update(record.id for record in changed)
-            self.peers.broadcast(m.Rows(changed))
+            self.peers.broadcast(m.ChangedRecords(changed))
             self.gateways.tell_news(now)
 
     def _hold(self, number: int, ident: str, now: float) -> None:
@@ -245,7 +245,7 @@
             self._show(call, look, look.told(leaving, self.peers.reached(near - look.silent), clock.time()))
 
         self._look(number, Look(self.gateways.sessions, near, members), LOOK, done)
-        watch = m.Watch(number, [record for record, _ in leaving])
+        watch = m.InFlightQuery(number, [record for record, _ in leaving])
         for addr in near:
             self.peers.post(addr, watch)
 
@@ -265,7 +265,7 @@
             fields=self.peers.dated(now),
         )
 
-    def watch(self, addr: str, watch: m.Watch, now: float) -> None:
+    def watch(self, addr: str, watch: m.InFlightQuery, now: float) -> None:
         """Another controller asks for our gateways; they hear of what it knows first."""
         for record in watch.records:
             self.registry.join(record, now)
@@ -277,10 +277,10 @@
             number,
             Look(self.gateways.sessions),
             LOOK_NEAR,
-            lambda look: self.peers.post(addr, m.Watched(watch.number, look.out, self._away(), ages)),
+            lambda look: self.peers.post(addr, m.InFlightReply(watch.number, look.out, self._away(), ages)),
         )
 
-    def watched(self, addr: str, watched: m.Watched, now: float) -> None:
+    def watched(self, addr: str, watched: m.InFlightReply, now: float) -> None:
         """Another controller's answer to Watch."""
         if (found := self.looks.get(watched.number)) is not None:
             found[0].controller(addr, watched.gateways, watched.away, watched.ages)
--- a/crowseam/controller/server_reports.py
+++ b/crowseam/controller/server_reports.py
@@ -65,7 +65,7 @@
         self._leaving(call, record, now)
 
     def _news(self, record: Record, now: float) -> None:
-        self.peers.broadcast(m.Rows([record]))
+        self.peers.broadcast(m.ChangedRecords([record]))
         self.gateways.tell_news(now)
 
     def _leaving(self, call: Call, record: Record, now: float) -> None:
@@ -100,7 +100,7 @@
 
     # Other controllers' copies
 
-    def rows(self, _: str, rows: m.Rows, now: float) -> None:
+    def rows(self, _: str, rows: m.ChangedRecords, now: float) -> None:
         """Another controller's news."""
         for record in rows.records:
             self.registry.join(record, now)
@@ -111,9 +111,9 @@
         heard = self.registry.heard_since(self._told_at)
         self._told_at = now
         if heard:
-            self.peers.broadcast(m.Heard(heard))
+            self.peers.broadcast(m.ReportsHeard(heard))
 
-    def heard(self, addr: str, heard: m.Heard, now: float) -> None:
+    def heard(self, addr: str, heard: m.ReportsHeard, now: float) -> None:
         """Reports have come to another controller; where one is not known here, compare."""
         if self.registry.take_heard(heard.told, now):
             self.peers.post(addr, self.repair.offer(now))
--- a/crowseam/gateway/controller_session.py
+++ b/crowseam/gateway/controller_session.py
@@ -221,7 +221,7 @@
                 self._send_report(now)
             if not had and holdings.left(now) > 0.0:
                 self.on_lease()
-        elif kind is m.Shun:
+        elif kind is m.ShunnedServers:
             self.on_shun(message.ids)
         elif kind is m.Drawn:
             if (done := self.draws.pop(message.number, None)) is not None:
--- a/crowseam/transport/messages.py
+++ b/crowseam/transport/messages.py
@@ -55,19 +55,19 @@
     prompt: bool = False
 
 
-class Rows(Struct, tag="rows"):
+class ChangedRecords(Struct, tag="rows"):
     """Records of servers that have just changed."""
 
     records: list[Record]
 
 
-class Heard(Struct, tag="heard"):
+class ReportsHeard(Struct, tag="heard"):
     """Servers of which a report has come: (id, seq)."""
 
     told: list[tuple[str, int]]
 
 
-class Ask(Struct, tag="ask"):
+class LeaseRequest(Struct, tag="ask"):
     """A gateway's report for one duty, passed on to who holds it."""
 
     gateway: str
@@ -76,8 +76,8 @@
     held: Held
 
 
-class Lent(Struct, tag="lent"):
-    """The answer to Ask, to be passed on to the gateway."""
+class LeaseReply(Struct, tag="lent"):
+    """The answer to LeaseRequest, to be passed on to the gateway."""
 
     gateway: str
     key: str
@@ -102,15 +102,15 @@
     wait: float
 
 
-class Watch(Struct, tag="watch"):
+class InFlightQuery(Struct, tag="watch"):
     """Asks for what the peer's gateways have under way at these servers, which leave."""
 
     number: int
     records: list[Record]
 
 
-class Watched(Struct, tag="watched"):
-    """The answer to Watch: by gateway, requests by server (None: it has not answered); gateways lost from sight
+class InFlightReply(Struct, tag="watched"):
+    """The answer to InFlightQuery: by gateway, requests by server (None: it has not answered); gateways lost from sight
     and servers that leave, each by seconds."""
 
     number: int
@@ -126,7 +126,7 @@
     news: dict[str, int]
 
 
-class Shun(Struct, tag="shun"):
+class ShunnedServers(Struct, tag="shun"):
     """All servers that the fleet complains of."""
 
     ids: list[str]
@@ -251,10 +251,10 @@
     | SessionsTold
     | Hello
     | Ping
-    | Rows
-    | Heard
-    | Ask
-    | Lent
+    | ChangedRecords
+    | ReportsHeard
+    | LeaseRequest
+    | LeaseReply
     | Open
     | Report
     | Bye
@@ -266,11 +266,11 @@
     | Pulse
     | Slice
     | OutlierReport
-    | Shun
+    | ShunnedServers
     | Draw
     | Drawn
-    | Watch
-    | Watched
+    | InFlightQuery
+    | InFlightReply
     | Count
     | Leaving
     | Learn
