--- a/crowseam/membership/duties.py
+++ b/crowseam/membership/duties.py
@@ -33,6 +33,7 @@
 
 import hashlib
 from collections.abc import Collection, Iterable
+from functools import lru_cache
 from random import Random
 
 import msgspec
@@ -158,11 +159,13 @@
 
 def wanted(key: str, controllers: Iterable[str]) -> str | None:
     """The controller that should hold the key: the one with the highest weight; None if there is none."""
-    return max(
-        controllers,
-        key=lambda name: (hashlib.blake2b(f"{key}|{name}".encode(), digest_size=8).digest(), name),
-        default=None,
-    )
+    return max(controllers, key=lambda name: (_weight(key, name), name), default=None)
+
+
+@lru_cache(maxsize=4096)
+def _weight(key: str, name: str) -> bytes:
+    # Asked for at each tick, and the same for all time.
+    return hashlib.blake2b(f"{key}|{name}".encode(), digest_size=8).digest()
 
 
 class Duties:
