--- a/crowseam/controller/daemon.py
+++ b/crowseam/controller/daemon.py
@@ -96,7 +96,9 @@
         self.duties = duties.Duties(me, rng, now, KEYS, remembered=self.archive.granted())
         repair, self.pending = Repair(self.registry), quorum.Pending(me)
         self.handover = Handover(self.archive.durable.id or "", self.archive.counted)
-        self._learned: list[Note] = []  # what has come of the answers that are waited for
+        # What has come of the answers that are waited for: servers that leave, and keys of duties.
+        self._learned: set[str] = set()
+        self._fences: set[str] = set()
         self._noted = False  # whether it is on disk that this voter counts, or about to be
         self._seated: tuple[int, bool, list] | None = None  # up to where the parts know the voters
         # What carries it out.
@@ -316,18 +318,21 @@
         """A voter's answer: with that of a majority on our disk we may count."""
         if self.handover.ready:
             return
-        self._learned += self.retirements.learn(learned.records, now) + self.lease_service.learn(learned.fences)
+        self._learned |= self.retirements.learn(learned.records, now)
+        self._fences |= self.lease_service.learn(learned.fences)
         if not self.handover.take(learned):
             return
-        notes, self._learned = self._learned, []
+        idents, self._learned = self._learned, set()
+        keys, self._fences = self._fences, set()
 
         def done(ok: bool) -> None:
             if ok:
                 self.handover.kept(learned.number)
             else:
-                self._learned += notes
+                self._learned |= idents
+                self._fences |= keys
 
-        self.archive.write(notes, done)
+        self.archive.write(self.retirements.notes(idents, now) + self.lease_service.notes(keys), done)
 
     def _note_counted(self) -> None:
         def done(ok: bool) -> None:
--- a/crowseam/controller/lease_service.py
+++ b/crowseam/controller/lease_service.py
@@ -75,10 +75,14 @@
                     self.duties.strike(key, lender.borrowers() | self._unnamed.get(key, {}).keys(), now)
         self._answer_named(now)
 
-    def learn(self, fences: dict[str, int]) -> list[Note]:
-        """Take over the fences that another voter has seen: what is to be on disk of them."""
+    def learn(self, fences: dict[str, int]) -> set[str]:
+        """Take over the fences that another voter has seen: the keys of which more is to be on disk."""
         self.duties.learn(fences)
-        return [Note(DUTY + key, note.encode()) for key, note in self.duties.take_unsaved().items()]
+        return set(self.duties.take_unsaved())
+
+    def notes(self, keys: set[str]) -> list[Note]:
+        """What is to be written of these keys, as they are known at this moment."""
+        return [Note(DUTY + key, note.encode()) for key in sorted(keys) if (note := self.duties.note(key))]
 
     def take(self, addr: str, message: duties.Message, now: float) -> None:
         """What another controller says of duties."""
--- a/crowseam/controller/retirements.py
+++ b/crowseam/controller/retirements.py
@@ -80,18 +80,23 @@
                 self._keep(record, lambda: self.peers.post(addr, held))
         self.gateways.tell_news(now)
 
-    def learn(self, records: list[Record], now: float) -> list[Note]:
-        """Take over what another voter holds of servers that leave: what is to be on disk of it."""
+    def learn(self, records: list[Record], now: float) -> set[str]:
+        """Take over what another voter holds of servers that leave: those of which more is to be on disk."""
         for record in records:
             self.registry.join(record, now)
         self.gateways.tell_news(now)
-        notes = []
-        for told in records:
-            record = self.registry.get(told.id, now)
-            if record is not None and quorum.leaving(record) and not self._keeps(record):
-                self.noted.add(NOTE + record.id)
-                notes.append(Note(NOTE + record.id, msgspec.msgpack.encode(record)))
-        return notes
+        known = [self.registry.get(told.id, now) for told in records]
+        return {record.id for record in known if record and quorum.leaving(record) and not self._keeps(record)}
+
+    def notes(self, idents: set[str], now: float) -> list[Note]:
+        """What is to be written of these servers, as they are known at this moment.
+
+        A note of before would take the place of what has been confirmed since.
+        """
+        known = [self.registry.get(ident, now) for ident in sorted(idents)]
+        leaving = [record for record in known if record is not None and quorum.leaving(record)]
+        self.noted.update(NOTE + record.id for record in leaving)
+        return [Note(NOTE + record.id, msgspec.msgpack.encode(record)) for record in leaving]
 
     def _keeps(self, record: Record) -> bool:
         """Whether our disk has as much of this server."""
--- a/crowseam/membership/duties.py
+++ b/crowseam/membership/duties.py
@@ -369,6 +369,10 @@
         unsaved, self.unsaved = self.unsaved, {}
         return unsaved
 
+    def note(self, key: str) -> str:
+        """The newest note of a key, whether it is on disk or about to be written; "": none."""
+        return self._saved.get(key, "")
+
     def unkept(self, holders: dict[str, str]) -> None:
         """These grants could not be written: whoever seeks again has them noted anew."""
         for key, holder in holders.items():
--- a/crowseam/model_checks/handover/check.py
+++ b/crowseam/model_checks/handover/check.py
@@ -279,7 +279,8 @@
             now,
         )
         self.reports.restore(machine.notes, now)
-        self._learned: list[Note] = []
+        self._learned: set[str] = set()
+        self._fences: set[str] = set()
         self._noted = False
         self._seated: tuple[int, bool, list] | None = None
         self._due_at = dict.fromkeys(("ping", "tell", "repair"), 0.0) | {"save": now + SAVE}
@@ -383,9 +384,11 @@
     def _taught(self, _: str, learned: Learned, now: float) -> None:
         if self.handover.ready:
             return
-        self._learned += self.retirements.learn(learned.records, now) + self.lease_service.learn(learned.fences)
+        self._learned |= self.retirements.learn(learned.records, now)
+        self._fences |= self.lease_service.learn(learned.fences)
         if self.handover.take(learned):
-            notes, self._learned = self._learned, []
+            notes = self.retirements.notes(self._learned, now) + self.lease_service.notes(self._fences)
+            self._learned, self._fences = set(), set()
             self.archive.write(notes, lambda _: self._may_count(learned.number))
 
     def _may_count(self, number: int) -> None:
@@ -981,6 +984,23 @@
         then()
 
 
+class _WritesAsTold(Retirements):
+    """Writes what it has learned as it was when the answers came."""
+
+    def __init__(self, *args: Any) -> None:
+        super().__init__(*args)
+        self._told: list[Note] = []
+
+    def learn(self, records: list[Record], now: float) -> set[str]:
+        idents = super().learn(records, now)
+        self._told += super().notes(idents, now)
+        return idents
+
+    def notes(self, idents: set[str], now: float) -> list[Note]:
+        told, self._told = self._told, []
+        return told
+
+
 class _ForgetsEpochs(Retirements):
     def _keeps(self, record: Record) -> bool:
         return self.kept.get(record.id, (-1, 0))[0] >= PHASES[record.phase]
@@ -1080,6 +1100,7 @@
     ),
     _mutant("learning before it asks to be let in", 2, handover=_JoinsEmpty),
     _mutant("learning once more when it is in", 7, handover=_LearnsOnce),
+    _mutant("what was learned written as it is known by then", 11346, retirements=_WritesAsTold),
     _mutant(
         "the wait of a voter's answer for the change of voters",
         why="by hand: test_check_handover.LearningTest; "
--- a/tests/crowseam/test_check_handover.py
+++ b/tests/crowseam/test_check_handover.py
@@ -3,6 +3,8 @@
 import unittest
 from unittest import mock
 
+import msgspec
+
 from crowseam.cli import model_check
 from crowseam.consensus.messages import Voter
 from crowseam.controller.retirements import Retirements
@@ -109,6 +111,20 @@
         self.assertIsNone(newcomer.answer(Learn(4, 8, 8), registry, {}, 8, 8, 1.0))
 
 
+class NotesTest(unittest.TestCase):
+    def test_what_was_learned_does_not_undo_what_was_confirmed_since(self):
+        # A voter's answer comes, then the server drains and that is confirmed, then a majority has answered.
+        written = []
+        peers = mock.Mock(node=mock.Mock(me=Voter("9", "n"), voters_since=0))
+        archive = mock.Mock(write=lambda records, done: written.extend(records))
+        retirements = Retirements(None, ServiceRegistry("n"), None, None, peers, mock.Mock(), archive, None)
+        learned = retirements.learn([Record("out", phase="up", seq=1, retired=1)], 1.0)
+        retirements.hold("b", Hold(Record("out", phase="draining", seq=2, retired=1)), 1.1)
+        written += retirements.notes(learned, 1.2)
+        phases = [msgspec.msgpack.decode(note.value, type=Record).phase for note in written]
+        self.assertEqual(phases, ["draining", "draining"])
+
+
 class ConfirmingTest(unittest.TestCase):
     def test_a_voter_does_not_confirm_to_who_may_not_know_the_voters(self):
         # The asker knows slots up to 4; the voters have changed at slot 5.
