--- a/tests/crowseam/test_check_by_hand.py
+++ b/tests/crowseam/test_check_by_hand.py
@@ -77,6 +77,13 @@
 _WHO_ANSWERS = "test_only_who_counts_answers_and_both_know_of_the_same_change"
 
 SCHEDULES: dict[tuple[str, str], Schedule] = {
+    ("handover", "what was learned written as it is known by then"): Schedule(
+        test_check_handover,
+        "NotesTest",
+        "test_what_was_learned_does_not_undo_what_was_confirmed_since",
+        "Retirements",
+        handover._WritesAsTold,
+    ),
     ("quotas", "blindness of voters that take a list with gaps"): Schedule(
         test_duties,
         "BorrowersTest",
@@ -212,6 +219,9 @@
         "Node",
         membership._Blaming,
     ),
+    ("membership", "a turn that outlasts other entries"): Schedule(
+        test_check_membership, "Requests", "test_a_turn_outlasts_other_entries", "Node", membership._Starving
+    ),
     ("membership", "one proposal at a time of each voter"): Schedule(
         test_check_membership,
         "Requests",
