--- a/crowseam/simulator/world/network.py
+++ b/crowseam/simulator/world/network.py
@@ -14,7 +14,7 @@
 
 from crowseam.simulator.world.link_faults import Trouble
 from crowseam.simulator.world.loop import Process, World
-from crowseam.simulator.world.transport import Transport
+from crowseam.simulator.world.transport import Resend, Transport
 
 RETRANSMIT = 0.2  # s, least until what a cut held up is sent again
 RETRANSMIT_RANDOM_MOST = 2.0  # s, most of the random part of that pause
@@ -183,14 +183,17 @@
 
     def _hold(self, sender: Transport, kind: str, data: bytes) -> None:
         if not sender.held:
-            sender.held_since = self.world.now
-            self.waiting[sender] = None
-            if sender.user_timeout is not None:
-                self.world.at(
-                    self.world.now + sender.user_timeout, self.world.outside, self._overdue, (sender, self.world.now)
-                )
+            self._wait(sender, self.world.now)
         sender.held.append((kind, data))
 
+    def _wait(self, sender: Transport, since: float) -> None:
+        """What is sent waits for its way to be free, the first of it `since` then."""
+        sender.held_since = since
+        self.waiting[sender] = None
+        if sender.user_timeout is not None:
+            gives_up = max(self.world.now, since + sender.user_timeout)
+            self.world.at(gives_up, self.world.outside, self._overdue, (sender, since))
+
     def _deliver(self, sender: Transport, kind: str, data: bytes, after: float) -> None:
         a, b = sender.process.ip, sender.peer.process.ip
         rate = self.rate(a, b) if self.rate is not None else None
@@ -210,9 +213,13 @@
             self.bytes_between += len(data) + PACKET_HEADER
         when = sender.last_arrival = max(world.now + after + self.lag(a, b), sender.last_arrival)
         if peer.process.alive:
-            world.at(when, peer.process, peer.arrive, (kind, data))
+            arrival = world.at(when, peer.process, peer.arrive, (kind, data))
         elif kind == "data":
-            world.at(when, world.outside, self.answer_reset, (peer,))
+            arrival = world.at(when, world.outside, self.answer_reset, (peer,))
+        else:
+            return
+        if sender.resend is not None:
+            sender.resend.packets.append((arrival, kind, data))
 
     def answer_reset(self, gone: Transport) -> None:
         """Data has arrived for an end that is closed: reset the sender, unless the way back is cut."""
@@ -240,12 +247,36 @@
             if self.blocked(sender.process.ip, sender.peer.process.ip):
                 continue
             del self.waiting[sender]
+            self._take_back(sender)
             held, sender.held = sender.held, []
             # The longer it was cut, the longer the pause before it is sent once more.
             after = RETRANSMIT + min(RETRANSMIT_RANDOM_MOST, 0.5 * (world.now - sender.held_since)) * self.rng.random()
             if sender.process.alive or sender.process.ip not in self.off:
+                sender.resend = Resend(sender.held_since)
                 for kind, data in held:
                     self._deliver(sender, kind, data, after)
+                world.at(world.now + after, world.outside, self._send_again, (sender, sender.resend))
+
+    def _send_again(self, sender: Transport, resend: Resend) -> None:
+        """What was held goes out now, unless its way has been cut anew: then it waits on."""
+        if sender.resend is not resend:
+            return
+        if not self.blocked(sender.process.ip, sender.peer.process.ip):
+            sender.resend = None
+            return
+        self._take_back(sender)
+        if sender.held:
+            self._wait(sender, sender.held_since)
+
+    def _take_back(self, sender: Transport) -> None:
+        """What was to be sent again is held, before all that was held since."""
+        resend, sender.resend = sender.resend, None
+        if resend is None:
+            return
+        for arrival, _, _ in resend.packets:
+            arrival.cancel()
+        sender.held[:0] = [(kind, data) for _, kind, data in resend.packets]
+        sender.held_since = resend.held_since
 
     # Ends of processes and machines
 
@@ -260,6 +291,7 @@
             transport.protocol = None
             self.waiting.pop(transport, None)
             if silently:
+                self._take_back(transport)
                 transport.held.clear()
                 peer = transport.peer
                 if peer.process.alive and not peer.lost and peer.last_arrival > self.world.now:
--- a/crowseam/simulator/world/transport.py
+++ b/crowseam/simulator/world/transport.py
@@ -6,9 +6,10 @@
 import errno
 import socket
 import struct
+from dataclasses import dataclass, field
 from typing import Protocol
 
-from crowseam.simulator.world.loop import Process
+from crowseam.simulator.world.loop import Handle, Process
 
 KERNEL_BUFFER = 64 * 1024  # bytes that the kernel takes in for a peer that does not read
 HIGH_WATER = 64 * 1024  # bytes of the write buffer above which the protocol is paused
@@ -24,6 +25,14 @@
         """Reset the peer of `gone`, as its data came for an end that is closed."""
 
 
+@dataclass(eq=False)
+class Resend:
+    """Packets that a cut held up and that go out once more, with those behind them."""
+
+    held_since: float  # s, since when the first of them waits
+    packets: list[tuple[Handle, str, bytes]] = field(default_factory=list)  # arrival, kind, data
+
+
 class SocketStub:
     """What protocols ask of a transport's socket: options, and whether something is there unread."""
 
@@ -90,6 +99,7 @@
         self.last_arrival = 0.0  # of what this end sent
         self.held: list[tuple[str, bytes]] = []  # what a cut keeps from going out
         self.held_since = 0.0
+        self.resend: Resend | None = None  # what was held and is not yet sent again
         self.doubted_since: float | None = None  # what was sent then arrived, and its receipt is cut off
         process.transports[self] = None
 
--- a/tests/crowseam/test_simulator.py
+++ b/tests/crowseam/test_simulator.py
@@ -156,6 +156,51 @@
         """,
         )
 
+    def test_what_waited_does_not_pass_a_second_cut(self):
+        # It is sent again 0.2 s to 0.25 s after the first cut, when the second one holds.
+        Links(
+            self,
+            """
+            time | left       | right   | link
+            0.00 | dial       | listen  |
+            0.10 | ?up        |         | cut
+            0.20 | send a     |         | heals
+            0.30 | send b     |         | cut
+            0.40 | send c     |         |
+            1.00 |            | ?       | heals
+            1.10 | send d     | ?       |
+            5.00 | ?open      | ?abcd   |
+        """,
+        )
+
+    def test_patience_goes_on_over_cuts_until_something_has_passed(self):
+        Links(
+            self,
+            """
+            time | left               | right   | link
+            0.00 | dial               | listen  |
+            0.10 | patience 1.5       |         | cut
+            0.10 | send a             |         |
+            1.00 |                    |         | heals
+            1.10 |                    |         | cut
+            1.55 | ?open              |         |
+            1.75 | ?lost              | ?       |
+        """,
+        )
+        Links(
+            self,
+            """
+            time | left               | right   | link
+            0.00 | dial               | listen  |
+            0.10 | patience 1.5       |         | cut
+            0.10 | send a             |         |
+            1.00 |                    |         | heals
+            1.10 |                    |         | cut
+            1.15 |                    |         | heals
+            3.00 | ?open              | ?a      |
+        """,
+        )
+
     def test_patience_ends_a_cut_link_on_one_side_only(self):
         Links(
             self,
