--- a/crowseam/controller/daemon.py
+++ b/crowseam/controller/daemon.py
@@ -94,7 +94,7 @@
         self.registry = ServiceRegistry(life, now)
         self.session_table = SessionTable(me, life)
         self.duties = duties.Duties(me, rng, now, KEYS, remembered=self.archive.granted())
-        repair, self.pending = Repair(self.registry), quorum.Pending(me)
+        repair, self.pending = Repair(self.registry), quorum.Pending(me, begun << TICKET_BITS)
         self.handover = Handover(self.archive.durable.id or "", self.archive.counted)
         # What has come of the answers that are waited for: servers that leave, and keys of duties.
         self._learned: set[str] = set()
--- a/crowseam/controller/server_reports.py
+++ b/crowseam/controller/server_reports.py
@@ -83,7 +83,7 @@
     def held(self, addr: str, held: quorum.Held, now: float) -> None:
         """A voter says what it has of a server."""
         self.retirements.held(held, now)
-        for ticket in self.pending.confirmed(addr, held.id, held.phase, held.retired, held.by):
+        for ticket in self.pending.confirmed(addr, held.id, held.phase, held.retired, held.by, held.asked):
             if isinstance(ticket, tuple):
                 self.retirements.confirmed(ticket, now)
             else:
--- a/crowseam/discovery/quorum.py
+++ b/crowseam/discovery/quorum.py
@@ -8,8 +8,10 @@
 another disk has confirmed nothing.  Whoever asks names the newest slot of the log that it knows, and a voter
 that knows of a later change of the voters does not confirm, as the majority may be another one by now.
 
-A confirmation counts for the calls that wait when it comes, and for no later one: by then its voter may be
-cut off from us, or have lost what it held.
+A confirmation counts for the calls that waited when its question was put, and for no later one: by then its
+voter may be cut off from us, or have lost what it held.  Questions are numbered for that, and answers name the
+number.  A disk that is slow holds nothing up by it: once the record is written, the next question is answered
+at once.
 """
 
 from collections.abc import Hashable, Iterable, Mapping
@@ -29,23 +31,27 @@
 class Hold(msgspec.Struct, frozen=True, array_like=True, tag="hold"):
     """Asks a voter to merge a record and to say so.
 
-    `slot` is the newest slot of the log that the asker knows; -1: not told, by a version before.
+    `slot` is the newest slot of the log that the asker knows; -1: not told, by a version before.  `asked` is
+    the number of the newest call that waited there when this was sent; 0: not told, likewise.
     """
 
     record: Record
     slot: int = -1
+    asked: int = 0
 
 
 class Held(msgspec.Struct, frozen=True, array_like=True, tag="held"):
     """A voter's answer to Hold: what it now has of this server, the operator's epoch included.
 
-    `by` is the voter's id; "": not told, by a version before.
+    `by` is the voter's id; "": not told, by a version before.  `asked` is that of the question; 0: not told,
+    likewise.
     """
 
     id: str
     phase: Phase
     retired: int = 0
     by: str = ""
+    asked: int = 0
 
 
 def leaving(record: Record) -> bool:
@@ -65,7 +71,7 @@
     record = registry.get(hold.record.id, now)
     # A tombstone too old to be taken in is as good as held: nobody remembers the server as alive.
     held = hold.record if record is None else record
-    return Held(held.id, held.phase, held.retired, by)
+    return Held(held.id, held.phase, held.retired, by, hold.asked)
 
 
 def majority(count: int) -> int:
@@ -74,10 +80,11 @@
 
 
 class _Ticket:
-    __slots__ = ("ticket", "record", "voters", "begun", "sent", "holders")
+    __slots__ = ("ticket", "number", "record", "voters", "begun", "sent", "holders")
 
-    def __init__(self, ticket: Hashable, record: Record, voters: dict[str, str], now: float):
+    def __init__(self, ticket: Hashable, number: int, record: Record, voters: dict[str, str], now: float):
         self.ticket = ticket
+        self.number = number
         self.record = record
         self.voters = voters
         self.begun = now
@@ -97,9 +104,13 @@
     def held(self) -> bool:
         return len(self.counted()) >= majority(len(self.voters))
 
-    def messages(self, slot: int) -> list[tuple[str, Hold]]:
+    def answered(self, asked: int) -> bool:
+        """Whether the question `asked` was put while this waited."""
+        return not asked or asked >= self.number
+
+    def messages(self, slot: int, asked: int) -> list[tuple[str, Hold]]:
         """What asks those that have not confirmed it."""
-        hold = Hold(self.record, slot)
+        hold = Hold(self.record, slot, asked)
         return [(voter, hold) for voter in sorted(self.voters.keys() - self.counted())]
 
 
@@ -107,11 +118,13 @@
     """Acknowledgements that wait for a majority of the voters.
 
     ``me`` is our own address.  Voters are given by address, with their ids where these are known ("": any id
-    will do).
+    will do).  Calls are numbered from above ``first``, which is to be above all numbers of earlier lives, as
+    answers to their questions may come to us.
     """
 
-    def __init__(self, me: str):
+    def __init__(self, me: str, first: int = 0):
         self.me = me
+        self._newest = first  # the number of the newest call
         self._waiting: dict[Hashable, _Ticket] = {}
         self._tickets: dict[str, set[Hashable]] = {}  # those that wait, by id
         self._slot = -1
@@ -140,9 +153,10 @@
             near = len(everyone.keys() & {*reachable, self.me})
             if near < majority(len(everyone)):
                 raise QuorumError(f"in touch with {near} of {len(everyone)} voters")
-        entry = self._waiting[ticket] = _Ticket(ticket, record, everyone, now)
+        self._newest += 1
+        entry = self._waiting[ticket] = _Ticket(ticket, self._newest, record, everyone, now)
         self._tickets.setdefault(record.id, set()).add(ticket)
-        return entry.messages(self._slot)
+        return entry.messages(self._slot, self._newest)
 
     def seat(self, voters: Iterable[str] | Mapping[str, str], slot: int) -> None:
         """The voters as they are known here with the newest slot known, for all that waits and is to come.
@@ -153,15 +167,18 @@
         for entry in self._waiting.values():
             entry.voters = everyone
 
-    def confirmed(self, voter: str, ident: str, phase: str, retired: int = 0, by: str = "") -> list[Hashable]:
+    def confirmed(
+        self, voter: str, ident: str, phase: str, retired: int = 0, by: str = "", asked: int = 0
+    ) -> list[Hashable]:
         """A voter says what it holds of a server. Returns the tickets that may now be acknowledged.
 
-        `by` is the id that it votes under; "": not told, by a version before.
+        `by` is the id that it votes under, `asked` the number of the question; "" and 0: not told, by a version
+        before.
         """
         done = []
         for entry in [self._waiting[ticket] for ticket in self._tickets.get(ident, ())]:
             record = entry.record
-            if PHASES[phase] >= PHASES[record.phase] and retired >= record.retired:
+            if entry.answered(asked) and PHASES[phase] >= PHASES[record.phase] and retired >= record.retired:
                 entry.holders[voter] = by
                 if entry.held:
                     done.append(entry.ticket)
@@ -175,7 +192,7 @@
         for entry in self._waiting.values():
             if now - entry.sent >= AGAIN:
                 entry.sent = now
-                messages += entry.messages(self._slot)
+                messages += entry.messages(self._slot, self._newest)
         return messages
 
     def expired(self, now: float) -> list[Hashable]:
--- a/crowseam/model_checks/cutoff/check.py
+++ b/crowseam/model_checks/cutoff/check.py
@@ -719,9 +719,9 @@
                 self._waiting[ticket].holders[voter] = by
         return out
 
-    def told(self: Any, voter: str, ident: str, phase: str, retired: int = 0, by: str = "") -> list:
+    def told(self: Any, voter: str, ident: str, phase: str, retired: int = 0, by: str = "", asked: int = 0) -> list:
         known.setdefault((id(self), ident), {})[voter] = phase, retired, by
-        return confirmed(self, voter, ident, phase, retired, by)
+        return confirmed(self, voter, ident, phase, retired, by, asked)
 
     return (quorum.Pending, "begin", begun), (quorum.Pending, "confirmed", told)
 
@@ -791,6 +791,12 @@
     Mutant("a majority that holds a leave", _patched((quorum._Ticket, "held", _held_at_once(False))), 5),
     Mutant("a majority that holds a retirement", _patched((quorum._Ticket, "held", _held_at_once(True))), 5),
     Mutant("confirmations that speak for one call only", _patched(*_remembering()), 5),
+    Mutant(
+        "the number of the question in a confirmation",
+        _patched((quorum._Ticket, "answered", lambda self, asked: True)),
+        why="by hand: test_check_cutoff.Apart; "
+        "a voter has to stand still, or its disk, until what its asker sends is cut off",
+    ),
     Mutant("an answer in what is near, as hearing is enough", _patched((Detector, "heard", _heard_is_answered())), 20),
     Mutant(
         "an end of the proof of a majority before 20 s",
--- a/crowseam/model_checks/handover/check.py
+++ b/crowseam/model_checks/handover/check.py
@@ -953,8 +953,8 @@
 
 
 class _GoesByAddress(quorum.Pending):
-    def confirmed(self, voter: str, ident: str, phase: str, retired: int = 0, by: str = "") -> list:
-        return super().confirmed(voter, ident, phase, retired)
+    def confirmed(self, voter: str, ident: str, phase: str, retired: int = 0, by: str = "", asked: int = 0) -> list:
+        return super().confirmed(voter, ident, phase, retired, asked=asked)
 
 
 class _KeepsVoters(quorum.Pending):
--- a/tests/crowseam/test_check_by_hand.py
+++ b/tests/crowseam/test_check_by_hand.py
@@ -247,6 +247,9 @@
     ("cutoff", "a majority's answers before a server is called safe"): Schedule(
         test_check_cutoff, "Apart", "test_no_server_is_called_safe_on_the_word_of_its_own_gateways_alone"
     ),
+    ("cutoff", "the number of the question in a confirmation"): Schedule(
+        test_check_cutoff, "Apart", "test_an_answer_to_an_earlier_call_acknowledges_no_leave"
+    ),
     ("cutoff", "slots of those near in signs of life"): Schedule(
         test_check_cutoff, "Apart", "test_who_hears_of_a_newer_slot_does_not_tell_gateways_that_it_is_current"
     ),
--- a/tests/crowseam/test_check_cutoff.py
+++ b/tests/crowseam/test_check_cutoff.py
@@ -65,6 +65,25 @@
         self.part()  # its detector has yet to notice
         self.assertEqual(self.call("r1", "POST", "/-/retire", b'{"id": "never-heard-of"}').status, 503)
 
+    def test_an_answer_to_an_earlier_call_acknowledges_no_leave(self):
+        # Voters stand still; what r1 sends is cut before the second call; then they answer the first one's question.
+        voters = [self.system.processes[name] for name in ("r2", "r3")]
+        for voter in voters:
+            voter.frozen = True
+        self.call("r1", "DELETE", "/-/backends/i-1", span=0.65)
+        self.part("out")
+        self.call("r1", "DELETE", "/-/backends/i-1", span=0.2)
+        for voter in voters:
+            voter.thaw()
+        self.system.world.run(self.system.world.now + 0.7)
+        self.assertEqual(self.system.answers["r1"].status, 503)
+
+    def test_a_leave_is_acknowledged_though_disks_take_longer_than_a_call_waits(self):
+        for name in ("r2", "r3"):
+            self.system.disk_images[name].sync = 1.0
+        answers = [self.call("r1", "DELETE", "/-/backends/i-1", span=1.0).status for _ in range(4)]
+        self.assertEqual((answers[0], answers[-1]), (503, 200))
+
     def test_a_server_heartbeats_elsewhere_before_it_is_taken_for_silent(self):
         def said():
             return self.call("r1", "PUT", "/-/backends/i-1", heartbeat("i-1", "up", 9)).status
--- a/tests/crowseam/test_discovery.py
+++ b/tests/crowseam/test_discovery.py
@@ -417,6 +417,21 @@
         self.pending.begin("v", self.record, voters, 1.3)
         self.assertEqual(self.pending.confirmed("r1", "a", "draining"), [])
 
+    def test_a_confirmation_counts_for_no_call_that_came_after_its_question(self):
+        voters = ["r1", "r2", "r3"]
+        pending = quorum.Pending("r1", 40)
+        (_, first), *_ = pending.begin("t", self.record, voters, 0.0)
+        (_, second), *_ = pending.begin("u", self.record, voters, 0.1)
+        registry = ServiceRegistry("r2")
+        early, late = (quorum.answer(hold, registry, 0.2) for hold in (first, second))
+        self.assertEqual(pending.confirmed("r1", "a", "draining", asked=late.asked), [])
+        self.assertEqual(pending.confirmed("r2", "a", "draining", asked=early.asked), ["t"])
+        self.assertEqual(pending.confirmed("r2", "a", "draining", asked=40), [])  # of an earlier life
+        self.assertEqual(pending.confirmed("r2", "a", "draining", asked=late.asked), ["u"])
+        pending.begin("v", self.record, voters, 0.3)
+        pending.begin("w", Record("b", phase="gone"), voters, 0.3)
+        self.assertEqual({hold.asked for _, hold in pending.again(0.6)}, {44})  # what is asked now speaks for all
+
     def test_out_of_touch_is_refused_at_once(self):
         for voters, reachable in ((self.voters, ["r2"]), (self.voters, ["r1", "r2"]), ([], ["r2"])):
             with self.assertRaises(quorum.QuorumError):
