--- a/tests/crowseam/test_consensus.py
+++ b/tests/crowseam/test_consensus.py
@@ -12,7 +12,19 @@
 from crowseam.consensus.errors import ConsensusError
 from crowseam.consensus.messages import Ballot, Change, Voter, Voters, decode, encode
 from crowseam.consensus.node import Node, Timing
-from crowseam.consensus.records import Fresh, Learned, Persist, Saved, Send, Taken, Unclear, Voted
+from crowseam.consensus.records import (
+    Apply,
+    Durable,
+    Fresh,
+    Learned,
+    Persist,
+    Saved,
+    Send,
+    Taken,
+    Unclear,
+    Vote,
+    Voted,
+)
 from crowseam.consensus.voters import propose, settle
 from crowseam.model_checks.agreement.check import Disk, Ledger, Order, World, run
 from crowseam.model_checks.agreement.exhaustive import explore
@@ -445,6 +457,19 @@
             self._voteless(MindsVotesWithoutVoters)
 
 
+class Stateless(unittest.TestCase):
+    """A machine that lost its saved state, and not its vote at the first slot."""
+
+    def test_it_applies_nothing_before_it_has_a_state(self):
+        ballot, entry = Ballot(1, "b~0"), Change("t", 1, 0, True, b"", "d1")
+        durable = Durable(id="a", votes={1: Vote(ballot, ballot, entry)})
+        node = Node(Voter("a", "a"), durable, Ledger(), Random(1), contacts=["b"])
+        node.tick(1.0)
+        effects = node.handle("b", wire.Decided(1, ballot), 1.1)
+        self.assertEqual([effect for effect in effects if isinstance(effect, Apply)], [])
+        self.assertEqual(node.last, 0)
+
+
 class Forgetful(Node):
     """Votes for a ballot though it has promised a higher one."""
 
