--- a/crowseam/consensus/node.py
+++ b/crowseam/consensus/node.py
@@ -803,7 +803,9 @@
         if message.slot <= self.last:
             return
         vote = self._votes.get(message.slot)
-        if message.slot == self.last + 1 and vote is not None and vote.accepted == message.ballot:
+        # Who knows no voters has lost its state, and learns nothing before it has one.
+        has_vote = vote is not None and vote.accepted == message.ballot
+        if self.voters and message.slot == self.last + 1 and has_vote:
             self._learn([vote.entry], out)
         else:
             self._ask(sender, out)
--- a/crowseam/model_checks/agreement/mutants.py
+++ b/crowseam/model_checks/agreement/mutants.py
@@ -356,3 +356,13 @@
         if self._round is None and self._orphan() is not None:
             self.next_tick = min(self.next_tick, max(self._hold, self._vote_since + self.timing.orphan))
         return out
+
+
+@_without("who lost its state learns nothing from its own vote", 1002647)
+class LearnsWithoutState(Node):
+    def _on_decided(self, sender, message, out):
+        vote = self._votes.get(message.slot)
+        if message.slot == self.last + 1 and vote is not None and vote.accepted == message.ballot:
+            self._learn([vote.entry], out)
+        else:
+            super()._on_decided(sender, message, out)
