--- a/tests/crowseam/test_check_catchup.py
+++ b/tests/crowseam/test_check_catchup.py
@@ -1,7 +1,12 @@
 """The model check of catching up in short: a fixed set of schedules, and each mutant at its seed."""
 
 import unittest
+from random import Random
 
+from crowseam.consensus.messages import Voter
+from crowseam.consensus.node import Node, Timing
+from crowseam.consensus.records import Saved, Send
+from crowseam.model_checks.agreement.check import Disk, Ledger
 from crowseam.model_checks.catchup.check import MUTANTS, run
 
 SEEDS = (0, 2, 4, 7)
@@ -21,3 +26,15 @@
                     self.assertTrue(mutant.why, "a guard without a mutant that is found needs a reason")
                 else:
                     self.assertTrue(mutant.run([mutant.seed]).violations)
+
+
+class Behind(unittest.TestCase):
+    def test_a_member_far_behind_puts_no_question_that_each_voter_answers_with_the_log(self):
+        # Seed 10038 of the check: calls wait at a member that lacks 189 slots.  See docs/incidents/log-from-all.md.
+        voters = [Voter(name, name) for name in "abc"]
+        disk = Disk()
+        disk.write([Saved(0, b"", voters, 1)])
+        node = Node(voters[0], disk.load(), Ledger(), Random(1), Timing(poll_all=False))
+        node.hint("b", 189, 1.0)
+        effects = node.read("call", 1.01)
+        self.assertEqual([type(e.message) for e in effects if isinstance(e, Send)], [])
