--- a/crowseam/model_checks/callers/check.py
+++ b/crowseam/model_checks/callers/check.py
@@ -32,12 +32,12 @@
 from crowseam.gateway import daemon
 from crowseam.model_checks.callers.mutants import mutants
 from crowseam.model_checks.callers.scripted import (
-    DESK,
+    CONTROLLER,
     FAULTS,
+    GATEWAY,
     LARGE,
     LEFT,
     NOISE,
-    REGISTRY,
     SERVERS,
     Asking,
     CallerEnd,
@@ -138,15 +138,15 @@
         """The gateway starts, as a new life where it ran before."""
         self.lives += 1
         # Clocks of later lives say more, as those of a machine do.
-        process = self.world.network.process(f"gateway/{self.lives}", DESK, 0.00002, offset=1000.0)
+        process = self.world.network.process(f"gateway/{self.lives}", GATEWAY, 0.00002, offset=1000.0)
         self.process = process
         settings = settings_file.Settings(
             hostname="d",
-            ip=DESK,
+            ip=GATEWAY,
             az="z",
             port_range=(7660, 7675),
-            seeds=[f"{REGISTRY}:8407"],
-            bind=settings_file.Bind(http=f"{DESK}:8405", readyz=f"{DESK}:8406"),
+            seeds=[f"{CONTROLLER}:8407"],
+            bind=settings_file.Bind(http=f"{GATEWAY}:8405", readyz=f"{GATEWAY}:8406"),
             role="gateway",
             limits=settings_file.Limits(mem_mb=300, nofile=4000),
         )
@@ -193,7 +193,7 @@
         self.ends.append(end)
         future = self.clients.loop.create_future()
         future.add_done_callback(lambda f: made(end) if not f.cancelled() and f.exception() is None else None)
-        self.world.network.dial(self.clients, lambda: end, DESK, 8405, future)
+        self.world.network.dial(self.clients, lambda: end, GATEWAY, 8405, future)
 
     def send(self, end: ClientEnd, data: bytes, pieces: int = 1) -> None:
         """Write in pieces, some milliseconds apart."""
--- a/crowseam/model_checks/callers/scripted.py
+++ b/crowseam/model_checks/callers/scripted.py
@@ -28,7 +28,7 @@
 LEFT = 1.0  # s that a client waits
 DELAY = 0.001  # s, one way
 HOST = "callers.example"
-DESK, REGISTRY = "10.0.0.1", "10.0.0.2"
+GATEWAY, CONTROLLER = "10.0.0.1", "10.0.0.2"
 SERVERS = ("i-1", "i-2", "i-3")
 TENANTS = ("north", "south")
 KINDS = (b"safe-", b"once-", b"kept-", b"none")  # how a server's body begins
@@ -504,13 +504,13 @@
 
     def __init__(self, scene: Scene) -> None:
         self.scene, self.rng = scene, scene.random("registrar")
-        self.process = scene.network.process("controller", REGISTRY)
+        self.process = scene.network.process("controller", CONTROLLER)
         self.link: Link | None = None
         self.draws: list[tuple[int, m.Draw]] = []  # with the life that asked
         self.said: dict[tuple[int, int], tuple[str, int]] = {}  # by (life, number): tenant, most handed out
         self.life = 0
         self.last: bytes = b""
-        scene.network.listen(self.process, lambda: Link(self._heard, self._ended), REGISTRY, 7660)
+        scene.network.listen(self.process, lambda: Link(self._heard, self._ended), CONTROLLER, 7660)
         self._pulse()
 
     def _ended(self, link: Link) -> None:
@@ -527,7 +527,7 @@
             self.link, self.life = link, message.life
             records = [Record(name, "s", f"10.1.0.{at + 1}:8080", "z", "v", 8) for at, name in enumerate(SERVERS)]
             link.send(
-                m.Welcome(f"{REGISTRY}:8407", [f"{REGISTRY}:8407"], m.PROTOCOL_VERSION),
+                m.Welcome(f"{CONTROLLER}:8407", [f"{CONTROLLER}:8407"], m.PROTOCOL_VERSION),
                 m.Servers("r", 1, True, records),
                 m.State(1, m.pack(configuration())),
                 m.Pulse(1, 1, True),
--- a/tests/crowseam/test_controller.py
+++ b/tests/crowseam/test_controller.py
@@ -28,8 +28,8 @@
 from crowseam.transport.messages import PROTOCOL_VERSION
 
 IPS = {"r1": "10.1.0.5", "r2": "10.2.0.5", "r3": "10.3.0.5", "gateway": "10.1.0.9"}
-REGISTRIES = ("r1", "r2", "r3")
-CTL = {name: f"{IPS[name]}:8407" for name in REGISTRIES}
+CONTROLLERS = ("r1", "r2", "r3")
+CTL = {name: f"{IPS[name]}:8407" for name in CONTROLLERS}
 COST = 0.0002  # s of the processor for each callback
 
 
@@ -71,10 +71,10 @@
         self.world = World(seed)
         self.network = Network(self.world, lambda a, b: 0.002, lambda ip: ip.rsplit(".", 2)[0])
         self.caller = self.network.process("caller", "10.250.0.1")
-        self.disk_images = {name: DiskImage(self.world.random(name)) for name in REGISTRIES}
+        self.disk_images = {name: DiskImage(self.world.random(name)) for name in CONTROLLERS}
         self.processes, self.controllers, self.answers, self.asked, self.lives = {}, {}, {}, {}, {}
         self.said, self.versions = [], {}
-        for name in REGISTRIES:
+        for name in CONTROLLERS:
             self.start(name, True)
         process = self.network.process("gateway", IPS["gateway"], COST)
         self.table, self.servers = None, {}
@@ -295,7 +295,7 @@
             """)
 
     def test_duties_are_held_a_tenth_of_a_second_after_a_majority_is_back(self):
-        for first, second, third in itertools.permutations(REGISTRIES):
+        for first, second, third in itertools.permutations(CONTROLLERS):
             system = self.play(f"""
                 time | events
                 3    | kill r1; kill r2; kill r3
@@ -374,7 +374,7 @@
                     self.assertEqual(usable, [], name)
 
     def test_an_acknowledged_end_is_known_after_any_one_is_lost(self):
-        for lost in REGISTRIES:
+        for lost in CONTROLLERS:
             self.play(f"""
                 time | events      | r1                  | r2            | r3      | gateway
                 2    |             | heartbeat i-1 up 1       | heartbeat i-2 up 1 |         |
@@ -412,7 +412,7 @@
             """)
         self.assertEqual(system.controller_session.hop, 1)
         with simulated_environment(system.world, lambda event, **fields: None):
-            for name in REGISTRIES:
+            for name in CONTROLLERS:
                 system.world.enter(system.processes[name])
                 controller = system.controllers[name]
                 self.assertEqual(list(controller.session_table.members(controller.now())), ["gateway"])
--- a/tests/crowseam/test_retirement.py
+++ b/tests/crowseam/test_retirement.py
@@ -31,7 +31,7 @@
 from crowseam.simulator.world.link_faults import Trouble
 from crowseam.simulator.world.patches import simulated_environment
 from tests.crowseam import test_controller
-from tests.crowseam.test_controller import COST, REGISTRIES
+from tests.crowseam.test_controller import CONTROLLERS, COST
 from tests.crowseam.test_load_balancer import ROUTES
 from tests.crowseam.test_simulator import small
 
@@ -243,7 +243,7 @@
         self.assertEqual([each for at, each in system.told["b"] if 3.0 < at < back_at], [])
 
     def test_a_controller_that_ends_just_after_the_acknowledgement(self):
-        for lost in REGISTRIES:
+        for lost in CONTROLLERS:
             for seed in (1, 2):
                 self.play(
                     f"""
@@ -358,7 +358,7 @@
                 seed,
             )
             self.assertEqual({system.answers[name].status for name in ("r1", "r2")} - {200, 409}, set())
-            epochs = {system.controllers[name].registry.get("i1", 0.0).retired for name in REGISTRIES}
+            epochs = {system.controllers[name].registry.get("i1", 0.0).retired for name in CONTROLLERS}
             epochs |= {system.used[name]["i1"].retired for name in ("a", "b")}
             self.assertEqual(len(epochs), 1)
 
