--- a/crowseam/capacity/code_measures.py
+++ b/crowseam/capacity/code_measures.py
@@ -22,7 +22,7 @@
 from crowseam.discovery.server_record import ServerRecord
 from crowseam.discovery.service_registry import ServiceRegistry
 from crowseam.gateway.gateway import Gateway
-from crowseam.gateway.load_balancer import LoadBalancer, Try
+from crowseam.gateway.load_balancer import LoadBalancer, RequestState
 from crowseam.membership.sessions import Session, SessionTable, SessionUpdate
 from crowseam.quotas.admission import Admission
 from crowseam.quotas.lease_grantor import QuotaLeaseGrantor
@@ -88,7 +88,7 @@
     rng = Random(1)
     budget = RetryBudget(0.2, 10.0, 60.0, 0.0, had_predecessor=False)
     made = LoadBalancer("zone-0", Admission(0.0, rng), budget, rng, "edge-1")
-    made.follow(servers, True, 0.0)
+    made.update_servers(servers, True, 0.0)
     return made
 
 
@@ -133,7 +133,7 @@
 
 def _gateway(gateways: int, tenants: int) -> Gateway:
     gateway = Gateway(None, Settings("edge-1", "10.1.0.1", "zone-0", (7660, 7675), [], Bind()), Random(1), 100)
-    gateway.members, gateway.share = gateways, lambda tenant, now: 0.01
+    gateway.gateway_count, gateway.lease_share = gateways, lambda tenant, now: 0.01
     gateway.configure(Table(Configuration.from_put(configuration(tenants)), None))
     return gateway
 
@@ -145,19 +145,19 @@
     """Choices among so many servers of one service, and their news."""
     by, name = "servers of a service", "service-0"
     route = Route("r", b"api.example", b"/", True, 5.0, 0.4, 0, ((name, 1.0),), 2, False, (1.0,))
-    attempt = Try(1, route, "", 0.0, 5.0, name)
+    attempt = RequestState(1, route, "", 0.0, 5.0, name)
     servers = records(count)
     one = balancer(servers)
     everyone = one.services[name]
-    yield Measure("choose", by, count, lambda: one._choose(attempt, 1.0))
-    yield Measure("choose of all", by, count, lambda: one._best(everyone, attempt, 0.1, 0.1, False, 1.0))
+    yield Measure("choose", by, count, lambda: one._choose_server(attempt, 1.0))
+    yield Measure("choose of all", by, count, lambda: one._cheapest_server(everyone, attempt, 0.1, 0.1, False, 1.0))
     back = servers[count // 2]
     left = ServerRecord(*back.__reduce__()[1][:6], "gone")
 
     def news() -> None:
         for record in (left, back):
-            one.follow([record], False, 1.0)
-            one.subsets.of(name, one.services[name])
+            one.update_servers([record], False, 1.0)
+            one.subsets.candidates(name, one.services[name])
 
     yield Measure("leave and come", by, count, news)
 
@@ -195,7 +195,7 @@
     yield Measure("count of members", "gateways", size.gateways, lambda: sessions.count(0.1))
     gateway = _gateway(size.gateways, size.tenants)
     now = time.monotonic()
-    yield Measure("slices of a gateway", "tenants", size.tenants, lambda: gateway.slices(now))
+    yield Measure("slices of a gateway", "tenants", size.tenants, lambda: gateway.update_shares(now))
 
 
 def measures(
--- a/crowseam/capacity/curves.py
+++ b/crowseam/capacity/curves.py
@@ -9,9 +9,9 @@
 
 from crowseam.capacity.message_costs import Deployment, costs
 from crowseam.controller.lease_service import TERMS
-from crowseam.gateway.daemon import FILES, UPSTREAM_PART
-from crowseam.gateway.gateway import IDLE_MOST
-from crowseam.gateway.subsetting import ENOUGH, MANY
+from crowseam.gateway.daemon import RESERVED_DESCRIPTORS, UPSTREAM_SHARE
+from crowseam.gateway.gateway import MAX_IDLE_S
+from crowseam.gateway.subsetting import SUBSET_SIZE, SUBSETTING_THRESHOLD
 from crowseam.quotas.lease_grantor import QuotaLeaseGrantor
 from crowseam.quotas.lease_messages import SHARE_UNITS, LeaseReport
 from crowseam.settings import Limits
@@ -59,16 +59,16 @@
 
 
 def connections(gateways: int, servers: int) -> Row:
-    """Connections between gateways and servers; those of a gateway stand unused for IDLE_MOST s at most.
+    """Connections between gateways and servers; those of a gateway stand unused for MAX_IDLE_S s at most.
 
     `gateway_most`: the bound of a gateway by its descriptors.  `gateway_open`: what stands open at ASKED requests a
     second.  `server_gateways`: gateways that may hold connections to one server, on average, and
     `server_gateways_all` if each considered all servers.  `server_each`: what MAXCONN leaves to each of them.
     """
     service = servers / SERVICES
-    considered = ENOUGH if service > MANY else service
-    most = int((Limits().nofile - FILES - OTHER_FILES) * UPSTREAM_PART)
-    touched = 1.0 - exp(-ASKED / SERVICES * IDLE_MOST / considered)
+    considered = SUBSET_SIZE if service > SUBSETTING_THRESHOLD else service
+    most = int((Limits().nofile - RESERVED_DESCRIPTORS - OTHER_FILES) * UPSTREAM_SHARE)
+    touched = 1.0 - exp(-ASKED / SERVICES * MAX_IDLE_S / considered)
     held = min(most, SERVICES * considered * touched + ASKED * LATENCY)
     gateways_a_server = gateways * considered / service
     return {
--- a/crowseam/capacity/hollow_gateways.py
+++ b/crowseam/capacity/hollow_gateways.py
@@ -19,7 +19,7 @@
 from crowseam.consensus.snapshot_transfer import SnapshotDownload
 from crowseam.gateway import controller_session
 from crowseam.quotas.gateway_leases import GatewayLeases
-from crowseam.quotas.shards import KEYS, shard_of
+from crowseam.quotas.shards import ROLE_KEYS, shard_of
 from crowseam.settings import SettingsError, address
 from crowseam.transport import links
 from crowseam.transport.messages import (
@@ -66,7 +66,7 @@
         self.slot, self.registry, self.place = -1, "", 0
         self.announced_slot = -1
         self.known = dict.fromkeys(self.crowd.seeds, 0.0)
-        self.holdings = {key: GatewayLeases(self.life) for key in KEYS}
+        self.holdings = {key: GatewayLeases(self.life) for key in ROLE_KEYS}
         self.link: HollowLink | None = None
         self.at = ""
         self.alone_since: float | None = None
@@ -93,10 +93,10 @@
         link = self.link
         # What this process was too slow to read is no silence of the controller.
         if link is not None and late < LATE_MOST:
-            if now - link.received_at > controller_session.SILENT:
+            if now - link.received_at > controller_session.CONTROLLER_SILENCE_TIMEOUT_S:
                 self._leave(now, 1.0, "left silent")
-            elif self.alone_since is not None and now - self.alone_since > controller_session.ALONE:
-                self._leave(now, controller_session.ALONE_AGAIN, "left alone")
+            elif self.alone_since is not None and now - self.alone_since > controller_session.NO_MAJORITY_TIMEOUT_S:
+                self._leave(now, controller_session.NO_MAJORITY_RETRY_S, "left alone")
         if self.link is None and not self.dialling:
             self.dialling = True
             self.crowd.loop.create_task(self._dial(now))
@@ -104,7 +104,7 @@
         if (
             fetch is not None
             and self.link is not None
-            and now - fetch.progress_checked_at > controller_session.PART_WAIT
+            and now - fetch.progress_checked_at > controller_session.CHUNK_TIMEOUT_S
         ):
             self._fetch_on(now)
         if now >= self.next_report:
@@ -124,7 +124,7 @@
             addr = self.rng.choice(able)
             self.known[addr] = now + self.rng.uniform(0.3, 0.6)
             link = HollowLink(self._heard, self._ended, self.crowd.traffic)
-            async with asyncio.timeout(controller_session.CONNECT):
+            async with asyncio.timeout(controller_session.CONNECT_TIMEOUT_S):
                 await self.crowd.loop.create_connection(lambda: link, addr.rpartition(":")[0], self.crowd.peer_port)
             self.link, self.at, self.alone_since = link, addr, None
             link.peer = addr
@@ -199,7 +199,7 @@
         self._note_whole(now)
 
     def _take_offer(self, link: links.Link, message: SnapshotOffer, now: float) -> None:
-        if message.last <= self.slot:
+        if message.last_slot <= self.slot:
             link.send(FollowingLog(self.slot))
         elif self.fetch is None:
             self._fetch_anew(now)
@@ -216,7 +216,7 @@
 
     def _fetch_anew(self, now: float) -> None:
         self.fetch = SnapshotDownload(
-            self.at, max(self.slot, 0), controller_session.PART, controller_session.WINDOW, now
+            self.at, max(self.slot, 0), controller_session.CHUNK_BYTES, controller_session.CHUNK_WINDOW, now
         )
         self.link.send(*self.fetch.next_requests())
 
@@ -239,7 +239,7 @@
             return link.send(FollowingLog(self.slot))
         if not fetch.add_chunk(message, now):
             return
-        if (body := fetch.joined()) is None:
+        if (body := fetch.assemble()) is None:
             return link.send(*fetch.next_requests())
         self.fetch = None
         if fetch.is_intact(body) and fetch.slot > self.slot:
@@ -263,12 +263,15 @@
 
     def _report_pause(self, now: float) -> float:
         """Seconds to the next report: fewer until the leases have been held for a while."""
-        if now - self.leased_at >= controller_session.YOUNG:
-            return controller_session.REPORT
+        if now - self.leased_at >= controller_session.LEASE_SETTLING_S:
+            return controller_session.REPORT_INTERVAL_S
         if not self.members:
-            return controller_session.REPORT_SOON
-        by_members = controller_session.SOON_LEAST + controller_session.SOON_EACH * self.members
-        return min(controller_session.REPORT_SOON, by_members)
+            return controller_session.MAX_SETTLING_REPORT_INTERVAL_S
+        by_members = (
+            controller_session.MIN_SETTLING_REPORT_INTERVAL_S
+            + controller_session.REPORT_INTERVAL_PER_GATEWAY_S * self.members
+        )
+        return min(controller_session.MAX_SETTLING_REPORT_INTERVAL_S, by_members)
 
     def _send_report(self, now: float) -> None:
         if self.link is None:
--- a/crowseam/capacity/hollow_link.py
+++ b/crowseam/capacity/hollow_link.py
@@ -72,7 +72,7 @@
                 self.traffic.add(f"in {type_name(body)}", LENGTH_SIZE + size)
                 continue
             self.traffic.add(f"in {type(message).__name__}", LENGTH_SIZE + size)
-            self.heard(self, message)
+            self.on_message(self, message)
             if not self.open:
                 return
         if at:
--- a/crowseam/capacity/message_costs.py
+++ b/crowseam/capacity/message_costs.py
@@ -17,7 +17,7 @@
 from crowseam.membership.role_messages import RoleLeaseGrant, RoleLeaseRequest
 from crowseam.membership.sessions import SessionUpdate
 from crowseam.quotas.lease_messages import LeaseReport, QuotaLease
-from crowseam.quotas.shards import KEYS, shard_of
+from crowseam.quotas.shards import ROLE_KEYS, shard_of
 from crowseam.transport.codec import pack
 from crowseam.transport.links import frame
 from crowseam.transport.messages import (
@@ -81,9 +81,9 @@
 
     def __init__(self, names: list[str]) -> None:
         self.asks = {name: 1.25 for name in names}
-        shares = {key: {name: SHARE for name in names if shard_of(name) == key} for key in KEYS}
-        self.held = {key: LeaseReport(1, 1.0, 1 << 20, 99_999, 7.5, shares[key]) for key in KEYS}
-        self.lent = {key: QuotaLease(1, 1.0, 1 << 20, 99_999, 8.0, shares[key]) for key in KEYS}
+        shares = {key: {name: SHARE for name in names if shard_of(name) == key} for key in ROLE_KEYS}
+        self.held = {key: LeaseReport(1, 1.0, 1 << 20, 99_999, 7.5, shares[key]) for key in ROLE_KEYS}
+        self.lent = {key: QuotaLease(1, 1.0, 1 << 20, 99_999, 8.0, shares[key]) for key in ROLE_KEYS}
 
     def slices(self) -> int:
         """Bytes of the slices that a controller sends to one gateway."""
@@ -124,8 +124,10 @@
     away = others / size.controllers  # part of the duties that another controller holds
     heard_per_update = size.servers / size.heartbeat * UPDATE_INTERVAL_S / size.controllers
     heard = [("i-0123456789", 1000)] * max(1, round(heard_per_update))
-    renewal = _size(RoleLeaseRequest(KEYS[0], 1 << 40, 1 << 20, 1.4), RoleLeaseGrant(KEYS[0], 1 << 40, 1 << 20))
-    duties = len(KEYS) / RoleLeaseTiming().renew_interval_s * others * renewal
+    renewal = _size(
+        RoleLeaseRequest(ROLE_KEYS[0], 1 << 40, 1 << 20, 1.4), RoleLeaseGrant(ROLE_KEYS[0], 1 << 40, 1 << 20)
+    )
+    duties = len(ROLE_KEYS) / RoleLeaseTiming().renew_interval_s * others * renewal
     gateways = size.gateways / size.controllers
     return {
         "pings": 2 * others * _size(PeerHeartbeat(1.0, 1.0, 10, addresses)) / HEARTBEAT_INTERVAL_S,
--- a/crowseam/capacity/tenant_requests.py
+++ b/crowseam/capacity/tenant_requests.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from crowseam.quotas.admission import DEMAND_DECAY, MIN_DEMAND
+from crowseam.quotas.admission import DEMAND_DECAY, MIN_DEMAND_RATE
 
 FORGET = 60.0  # s after which a tenant that asks no more is forgotten
 
@@ -65,7 +65,7 @@
     def report(self, now: float) -> dict[str, float]:
         """Requests a second by tenant, as a gateway reports them."""
         rates = {tenant: DEMAND_DECAY * demand.faded(now) for tenant, demand in self._demand.items()}
-        reported = {tenant: round(rate, 3) for tenant, rate in rates.items() if rate >= MIN_DEMAND}
+        reported = {tenant: round(rate, 3) for tenant, rate in rates.items() if rate >= MIN_DEMAND_RATE}
         if len(reported) < len(self._demand):
             self._demand = {tenant: self._demand[tenant] for tenant in reported}
         if now - self._swept > FORGET:
--- a/crowseam/cli/metrics_table.py
+++ b/crowseam/cli/metrics_table.py
@@ -10,7 +10,16 @@
 from crowseam.cli.calls import caller
 from crowseam.cli.console import Args, print_json, print_text
 from crowseam.cli.tables import table
-from crowseam.metrics.latency import FAILED, LATE, LONGEST, OUTCOMES, REFUSED, SERVED, SHORTEST, library
+from crowseam.metrics.latency import (
+    FAILED,
+    LATE,
+    MAX_LATENCY_S,
+    MIN_LATENCY_S,
+    OUTCOMES,
+    REFUSED,
+    SERVED,
+    load_sketch_type,
+)
 
 PLAIN = (
     "ready",
@@ -73,7 +82,9 @@
             asked, answered = sum(row.values()), row[SERVED] + row[LATE]
             half = most = None
             if answered:
-                half, most = (round(min(sketch.get_quantile_value(each), worst or LONGEST), 4) for each in (0.5, 0.99))
+                half, most = (
+                    round(min(sketch.get_quantile_value(each), worst or MAX_LATENCY_S), 4) for each in (0.5, 0.99)
+                )
             found.append(
                 {
                     "route": key[0],
@@ -92,7 +103,7 @@
 
 def _middles(counts: list[tuple[float, float]]) -> Iterator[tuple[float, float]]:
     """What rising cumulative buckets hold, each at the middle of its edges by ratio."""
-    before, low = 0.0, SHORTEST
+    before, low = 0.0, MIN_LATENCY_S
     for high, total in counts:
         if total > before:
             yield (low * high) ** 0.5 if high != float("inf") else low, total - before
@@ -101,7 +112,7 @@
 
 def metrics(args: Args) -> int:
     """Print what the daemons at the addresses have counted since they began. FAILED if none was reached."""
-    merged, at, missed = Merged(library()), {}, {}
+    merged, at, missed = Merged(load_sketch_type()), {}, {}
     for address, result in sorted(caller(args).each("metrics"), key=lambda each: each[0]):
         if address in at:
             continue  # named twice, and not to be counted so
--- a/crowseam/cli/operation_commands.py
+++ b/crowseam/cli/operation_commands.py
@@ -9,14 +9,14 @@
 from crowseam.cli.console import Args, print_json, print_text
 from crowseam.cli.errors import DONE, FAILED, CommandError
 from crowseam.cli.tables import table
-from crowseam.operations.identity import digest_of
+from crowseam.operations.identity import operation_digest
 
 
 def operations(args: Args) -> int:
     """Print a record for each controller, or for each claim of one operation. FAILED if no controller answers."""
     ident = ""
     if args["--key"] is not None:
-        ident = digest_of(args["--tenant"] or "", args["--key"].encode()).hex()
+        ident = operation_digest(args["--tenant"] or "", args["--key"].encode()).hex()
     records: list[dict[str, Any]] = []
     is_answered = False
     for address, result in sorted(caller(args).each("operations", ident), key=lambda each: each[0]):
--- a/crowseam/configuration/__init__.py
+++ b/crowseam/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its structs, its checks, its changes, and the table by which requests are routed."""
+"""The configuration: its structs, validation, changes, and the routing table."""
--- a/crowseam/configuration/errors.py
+++ b/crowseam/configuration/errors.py
@@ -1,11 +1,11 @@
-"""The errors of this layer."""
+"""The error of this package."""
 
 
 class ConfigurationError(Exception):
-    """A configuration or a change that is not taken.
+    """A configuration or a change that is rejected.
 
-    status: the HTTP status that says so: 400 for an invalid one, 412 where another version is current.
-    field: the place of the fault, as `objs[3].spec.timeout` or `routes.NAME.svc`; empty for the whole body.
+    status: the HTTP status of the answer: 400 if it is invalid, 412 if another version is current.
+    field: path of the invalid field, as `objs[3].spec.timeout` or `routes.NAME.svc`; empty for the whole body.
     text: the reason, in one line.
     """
 
--- a/crowseam/configuration/model.py
+++ b/crowseam/configuration/model.py
@@ -1,8 +1,7 @@
-"""A configuration as the operator sends it, and what a change makes of one.
+"""A configuration as the operator sends it, and the application of changes.
 
-A configuration never changes once it is built; a change builds the next one and shares every item that it
-does not touch. Each item keeps the JSON it came in, since what is read back must not differ from what was
-sent, fields unknown to this program included.
+A configuration is immutable; a change builds the next one, which shares all unchanged items. Each item keeps its
+original JSON, since a configuration must be read back exactly as it was sent, including unknown fields.
 
 Everything here is pure: no clock, no input or output.
 """
@@ -23,20 +22,20 @@
     objs: list[Raw] = []
 
 
-TOP = msgspec.json.Decoder(dict[str, Raw])
-OBJS = msgspec.json.Decoder(list[Raw])
-TEXT = msgspec.json.Decoder(str)
-_UPSERT = msgspec.json.Decoder(Upsert)
-_REMOVE = msgspec.json.Decoder(dict[str, list[str]])
-_ANY = msgspec.json.Decoder()
+BODY_DECODER = msgspec.json.Decoder(dict[str, Raw])
+OBJECTS_DECODER = msgspec.json.Decoder(list[Raw])
+STRING_DECODER = msgspec.json.Decoder(str)
+_UPSERT_DECODER = msgspec.json.Decoder(Upsert)
+_REMOVE_DECODER = msgspec.json.Decoder(dict[str, list[str]])
+_ANY_DECODER = msgspec.json.Decoder()
 
 
 class Change(Struct, frozen=True, eq=False):
-    """A PUT or PATCH that can be read, not yet held against any current configuration.
+    """A parsed PUT or PATCH, not yet validated against the current configuration.
 
-    digest: SHA-256, in hexadecimal, over the method and the content in canonical form; the same for a body
-    that is sent again, however its keys are ordered and spaced.
-    body: the bytes as sent. items: what is added or replaced. removed: keys taken away (PATCH only).
+    digest: SHA-256, in hexadecimal, of the method and the content in canonical form, which does not depend on the
+    order of keys and on whitespace.
+    body: the bytes as sent. items: added or replaced ones. removed: keys of removed items (PATCH only).
     """
 
     ver: int
@@ -52,9 +51,9 @@
 
 
 class Configuration:
-    """One version of the configuration, whole. Not to be changed once built.
+    """One version of the whole configuration. Immutable.
 
-    ver: its number; 0 is the empty one. items: by (kind, name), in the order they were sent.
+    ver: its number; 0 is the empty configuration. items: by (kind, name), in the order they were sent.
     """
 
     __slots__ = ("ver", "items", "_ver_raw", "_parent_raw", "_extras", "_dump")
@@ -76,22 +75,22 @@
 
     @classmethod
     def from_put(cls, body: bytes) -> "Configuration":
-        """Read a whole configuration, as put or as dumped. Raises ConfigurationError (400)."""
-        return _put(_read(True, body, False))
+        """Parse a whole configuration, as sent by a PUT or as dumped. Raises ConfigurationError (400)."""
+        return _from_change(_read(True, body, False))
 
     @classmethod
     def from_change(cls, current: "Configuration", whole: bool, body: bytes) -> "Configuration":
-        """Read the configuration that a change already agreed on makes of `current`.
+        """Apply a change that the controllers have already agreed on to `current`.
 
-        Raises ConfigurationError (400) if it cannot be read.
+        Raises ConfigurationError (400) if it cannot be parsed.
         """
         change = _read(whole, body, False)
-        return _put(change) if whole else current._patched(change)
+        return _from_change(change) if whole else current._patched(change)
 
     def patched(self, body: bytes) -> "Configuration":
-        """Return the whole configuration that a PATCH body makes of this one.
+        """Apply the body of a PATCH to this configuration.
 
-        The parent is not compared; `judge` does that. Raises ConfigurationError (400).
+        The parent is not compared; `apply_change` does that. Raises ConfigurationError (400).
         """
         return self._patched(_read(False, body, False))
 
@@ -100,17 +99,17 @@
         for key in change.removed:
             items.pop(key, None)
         items.update(change.items)
-        # Routes that stay can lose their service only where one is removed.
+        # Unchanged routes have to be checked only if a service is removed.
         touched = items if any(kind == "svcs" for kind, _ in change.removed) else change.items
         check_names(touched, items)
         return Configuration(change.ver, items, change.ver_raw, change.parent_raw, self._extras)
 
-    def of(self, kind: str) -> dict[str, Item]:
+    def items_of_kind(self, kind: str) -> dict[str, Item]:
         """Return the items of one kind by name."""
-        return {name: item for (each, name), item in self.items.items() if each == kind}
+        return {name: item for (item_kind, name), item in self.items.items() if item_kind == kind}
 
     def dump(self) -> bytes:
-        """Return the whole configuration as JSON, laid out as it is put, its parent included."""
+        """Return the whole configuration as JSON, in the form of a PUT."""
         if self._dump is None:
             parts = [
                 b'{"ver":',
@@ -131,38 +130,38 @@
 EMPTY = Configuration()
 
 
-def _read(whole: bool, body: bytes, digested: bool) -> Change:
-    """Read the body of a PUT (`whole`) or PATCH. Raises ConfigurationError (400)."""
-    top = decode(TOP, body, "")
+def _read(whole: bool, body: bytes, with_digest: bool) -> Change:
+    """Parse the body of a PUT (`whole`) or PATCH. Raises ConfigurationError (400)."""
+    top = decode(BODY_DECODER, body, "")
     raws = {}
     for field in ("ver", "parent"):
         if field not in top:
             raise ConfigurationError(400, field, "is missing")
         raws[field] = bytes(top.pop(field))
-    ver = version(decode(TEXT, raws["ver"], "ver"))
-    # The first configuration builds on 0, which some callers may write as a plain number.
-    parent = 0 if raws["parent"] == b"0" else version(decode(TEXT, raws["parent"], "parent"), "parent")
+    ver = version(decode(STRING_DECODER, raws["ver"], "ver"))
+    # The parent of the first configuration is 0, which may be a plain number.
+    parent = 0 if raws["parent"] == b"0" else version(decode(STRING_DECODER, raws["parent"], "parent"), "parent")
     items, removed = (_read_whole(top), frozenset()) if whole else _read_patch(top)
-    digest = _digest(whole, body) if digested else ""
+    digest = _digest(whole, body) if with_digest else ""
     extras = {name: bytes(raw) for name, raw in top.items()}
     return Change(ver, parent, whole, digest, body, items, removed, raws["ver"], raws["parent"], extras)
 
 
 def _read_whole(top: dict[str, Raw]) -> Items:
-    """Take the items of a PUT out of its fields."""
+    """Remove the items of a PUT from its fields, and parse them."""
     if "objs" not in top:
         raise ConfigurationError(400, "objs", "is missing")
-    return read_items(decode(OBJS, top.pop("objs"), "objs"), "objs")
+    return read_items(decode(OBJECTS_DECODER, top.pop("objs"), "objs"), "objs")
 
 
 def _read_patch(top: dict[str, Raw]) -> tuple[Items, frozenset[tuple[str, str]]]:
-    """Take what a PATCH sets, and the keys of what it removes, out of its fields."""
+    """Remove the upserted items and the removed keys of a PATCH from its fields, and parse them."""
     items: Items = {}
     removed = set()
     if "upsert" in top:
-        items = read_items(decode(_UPSERT, top.pop("upsert"), "upsert").objs, "upsert.objs")
+        items = read_items(decode(_UPSERT_DECODER, top.pop("upsert"), "upsert").objs, "upsert.objs")
     if "remove" in top:
-        for kind, names in decode(_REMOVE, top.pop("remove"), "remove").items():
+        for kind, names in decode(_REMOVE_DECODER, top.pop("remove"), "remove").items():
             if kind not in KINDS:
                 raise ConfigurationError(400, f"remove.{kind}", f"is none of {', '.join(KINDS)}")
             removed.update([(kind, name if kind != "limits" else "") for name in names])
@@ -173,21 +172,21 @@
 
 
 def _digest(whole: bool, body: bytes) -> str:
-    # Decoding the whole body also finds text that is not UTF-8 in fields nobody reads.
-    canonical = msgspec.json.encode(decode(_ANY, body, ""), order="sorted")
+    # Decoding the whole body also validates the UTF-8 of unused fields.
+    canonical = msgspec.json.encode(decode(_ANY_DECODER, body, ""), order="sorted")
     return hashlib.sha256((b"put " if whole else b"patch ") + canonical).hexdigest()
 
 
-def _put(change: Change) -> Configuration:
+def _from_change(change: Change) -> Configuration:
     check_names(change.items, change.items)
     return Configuration(change.ver, change.items, change.ver_raw, change.parent_raw, change.extras)
 
 
 def parse_change(method: str, body: bytes) -> Change:
-    """Read the body of a PUT or PATCH.
+    """Parse the body of a PUT or PATCH.
 
-    Everything that is invalid whatever the current version is raises ConfigurationError (400) here; a method
-    that is neither raises it with 405.
+    Raises ConfigurationError (400) for all errors that do not depend on the current version, and with 405 for other
+    methods.
     """
     if method not in ("PUT", "PATCH"):
         raise ConfigurationError(405, "", f"{method} changes no configuration")
@@ -197,12 +196,12 @@
     return change
 
 
-def judge(current: Configuration, change: Change) -> Configuration:
-    """Return the configuration that `change` makes of `current`.
+def apply_change(current: Configuration, change: Change) -> Configuration:
+    """Return the configuration that results from applying `change` to `current`.
 
-    Raises ConfigurationError: 412 where it was built on another version than the current one, 400 where its
-    version is not above the current one or what comes out of it is invalid. Whether the very same change has
-    been taken before (then it is acknowledged again) is known by its digest and asked by the caller first.
+    Raises ConfigurationError: 412 if its parent is not the current version, 400 if its version is not above the
+    current one or the result is invalid. The caller first recognizes a repeated change, which is acknowledged again,
+    by its digest.
     """
     if change.parent != current.ver:
         raise ConfigurationError(
@@ -212,4 +211,4 @@
         raise ConfigurationError(
             400, "ver", f"{version_text(change.ver)} is not above the current " f"{version_text(current.ver)}"
         )
-    return _put(change) if change.whole else current._patched(change)
+    return _from_change(change) if change.whole else current._patched(change)
--- a/crowseam/configuration/routing.py
+++ b/crowseam/configuration/routing.py
@@ -1,7 +1,7 @@
-"""The table by which the data plane routes requests, drawn from one configuration.
+"""The routing table of the data plane, built from one configuration.
 
-A table never changes once it is built; a request holds on to the one it was routed by. Building the next
-one from the one before keeps the very objects of everything unchanged, so that state may hang on them.
+A table is immutable; a request keeps the route that it was given. A table that is built from the previous one keeps
+the objects of everything unchanged, so that changes are recognized by identity.
 """
 
 from bisect import bisect_right
@@ -14,7 +14,7 @@
 
 
 class Route(Struct, frozen=True, eq=False):
-    """A route. Times in seconds; `prio` 0 is highest; `split` holds (service, weight), none of weight 0."""
+    """A route. Times in seconds; `prio` 0 is highest; `split` has pairs of service and weight, which is above 0."""
 
     name: str
     host: bytes
@@ -27,7 +27,7 @@
     tries: int
     public: bool
     bounds: tuple[float, ...]
-    keyed: bool = False  # its requests are tries of operations that run once (`idem`)
+    keyed: bool = False  # its requests have idempotency keys (`idem`)
 
     @property
     def kind(self) -> str:
@@ -37,12 +37,12 @@
         return "safe" if self.safe else "unsafe"
 
     def pick(self, draw: float) -> str:
-        """Return the service that a draw from [0, 1) falls to, by weight."""
+        """Return the service for a random number from [0, 1), by weight."""
         split = self.split
         if len(split) == 1:
             return split[0][0]
-        place = bisect_right(self.bounds, draw * self.bounds[-1])
-        return split[min(place, len(split) - 1)][0]
+        index = bisect_right(self.bounds, draw * self.bounds[-1])
+        return split[min(index, len(split) - 1)][0]
 
 
 class Service(Struct, frozen=True, eq=False):
@@ -63,7 +63,7 @@
 
 
 class Limits(Struct, frozen=True, gc=False):
-    """What a client may send, in bytes, and how long it may take or be idle, in seconds."""
+    """Limits for clients: sizes in bytes; time to send a head, and idle time, in seconds."""
 
     hdr_bytes: int = 16384
     body_max_bytes: int = 67108864
@@ -122,23 +122,22 @@
     return Limits(spec.hdr_bytes, spec.body_max_bytes, seconds(spec.hdr), seconds(spec.idle))
 
 
-_MAKE = {"routes": _route, "svcs": _service, "tenants": _tenant, "limits": _limits}
+_BUILDERS = {"routes": _route, "svcs": _service, "tenants": _tenant, "limits": _limits}
 
 
 class Table:
-    """What one configuration says, ready for use with each request.
+    """A configuration, prepared for lookups by each request.
 
     ver: the number of the configuration. routes, svcs, tenants: by name. keys: the tenant's name by key.
-    limits: the limits for clients. keyed: whether requests on routes that are not public need a key.
-    changed: names of (routes, svcs, tenants) that are new, altered or gone against the table before,
-    as a set of (kind, name).
+    limits: the limits for clients. requires_keys: whether requests on routes that are not public need a key.
+    changed: items that were added, altered or removed since the previous table, as a set of (kind, name).
     """
 
-    __slots__ = ("ver", "routes", "svcs", "tenants", "keys", "limits", "keyed", "changed", "_hosts", "_made")
+    __slots__ = ("ver", "routes", "svcs", "tenants", "keys", "limits", "requires_keys", "changed", "_hosts", "_built")
 
     def __init__(self, config: Configuration, previous: "Table | None" = None):
-        before = previous._made if previous is not None else {}
-        made: dict[tuple[str, str], tuple[Item, object]] = {}
+        before = previous._built if previous is not None else {}
+        built: dict[tuple[str, str], tuple[Item, object]] = {}
         changed = set()
         self.ver = config.ver
         self.routes: dict[str, Route] = {}
@@ -149,46 +148,46 @@
         for key, item in config.items.items():
             known = before.get(key)
             if known is None or (known[0] is not item and known[0].raw != item.raw):
-                known = (item, _MAKE[item.kind](item))
+                known = (item, _BUILDERS[item.kind](item))
                 changed.add(key)
-            made[key] = known
+            built[key] = known
             group = groups.get(item.kind)
             if group is None:
                 self.limits = known[1]
             else:
                 group[item.name] = known[1]
-        changed.update(before.keys() - made.keys())
+        changed.update(before.keys() - built.keys())
         self.changed = frozenset(changed)
-        self._made = made
-        self.keyed = bool(self.tenants)
+        self._built = built
+        self.requires_keys = bool(self.tenants)
         kinds = {kind for kind, _ in changed}
         if previous is not None and "tenants" not in kinds:
             self.keys = previous.keys
         else:
-            self.keys = self._keys(made)
+            self.keys = self._keys(built)
         if previous is not None and "routes" not in kinds:
             self._hosts = previous._hosts
         else:
-            self._hosts = self._by_host(self.routes)
+            self._hosts = self._routes_by_host(self.routes)
 
     @staticmethod
-    def _keys(made: dict) -> dict[str, str]:
+    def _keys(built: dict) -> dict[str, str]:
         keys: dict[str, str] = {}
-        for (kind, name), (item, _) in made.items():
+        for (kind, name), (item, _) in built.items():
             if kind == "tenants":
                 for key in item.spec.apikeys:
-                    # A key held twice goes to the same tenant on every machine, in whatever order sent.
+                    # A key of two tenants must belong to the same one on every machine, whatever the order of items.
                     if name <= keys.get(key, name):
                         keys[key] = name
         return keys
 
     @staticmethod
-    def _by_host(routes: dict[str, Route]) -> dict[bytes, tuple[int, dict[bytes, Route]]]:
+    def _routes_by_host(routes: dict[str, Route]) -> dict[bytes, tuple[int, dict[bytes, Route]]]:
         hosts: dict[bytes, dict[bytes, Route]] = {}
         for name, route in routes.items():
             prefixes = hosts.setdefault(route.host, {})
             other = prefixes.get(route.prefix)
-            # Of two routes for the same requests, every machine has to take the same one.
+            # Of two routes for the same requests, every machine must choose the same one.
             if other is None or name < other.name:
                 prefixes[route.prefix] = route
         return {host: (max(map(len, prefixes)), prefixes) for host, prefixes in hosts.items()}
@@ -196,8 +195,7 @@
     def route(self, host: bytes, path: bytes) -> Route | None:
         """Return the route of a request by its Host header and its target, or None if there is none.
 
-        Of the host's routes it is the one with the longest prefix that begins the path. A query string
-        does not count.
+        Of the routes of the host it is the one with the longest prefix of the path. The query string is ignored.
         """
         entry = self._hosts.get(host)
         if entry is None:
@@ -209,16 +207,16 @@
         end = len(path) if query < 0 else query
         if end > longest:
             end = longest
-        # Prefixes end with a slash, so only what ends with one can be one.
-        at = path.rfind(b"/", 0, end)
-        while at >= 0:
-            found = prefixes.get(path[: at + 1])
+        # Prefixes end with a slash, so only those parts of the path are looked up.
+        slash = path.rfind(b"/", 0, end)
+        while slash >= 0:
+            found = prefixes.get(path[: slash + 1])
             if found is not None:
                 return found
-            at = path.rfind(b"/", 0, at)
+            slash = path.rfind(b"/", 0, slash)
         return None
 
     def tenant(self, key: str) -> Tenant | None:
-        """Return the tenant that holds a key, or None."""
+        """Return the tenant of a key, or None."""
         name = self.keys.get(key)
         return self.tenants[name] if name is not None else None
--- a/crowseam/configuration/specs.py
+++ b/crowseam/configuration/specs.py
@@ -1,4 +1,4 @@
-"""The items of a configuration as sent, and what may be wrong with one."""
+"""The items of a configuration as sent, and their validation."""
 
 from collections.abc import Callable
 from typing import Any, Literal
@@ -41,7 +41,7 @@
     public: bool = False
 
     def services(self) -> tuple[str, ...]:
-        """Return the names of all services this route names, those of weight 0 included."""
+        """Return the names of all services of this route, including those with weight 0."""
         named = tuple(share.svc for share in self.split) if self.split is not None else ()
         return (*named, self.svc) if self.svc else named
 
@@ -96,8 +96,8 @@
     meta: Meta = Meta()
 
 
-HEAD = msgspec.json.Decoder(Head)
-_SPECS = {
+HEAD_DECODER = msgspec.json.Decoder(Head)
+_SPEC_DECODERS = {
     "routes": msgspec.json.Decoder(RouteSpec),
     "svcs": msgspec.json.Decoder(ServiceSpec),
     "tenants": msgspec.json.Decoder(TenantSpec),
@@ -121,9 +121,9 @@
         raise ConfigurationError(400, f"{field}.tries", "is below 1")
     if spec.split is not None:
         total = 0.0
-        for place, share in enumerate(spec.split):
+        for index, share in enumerate(spec.split):
             if share.wt < 0:
-                raise ConfigurationError(400, f"{field}.split[{place}].wt", f"{share.wt:g} is below 0")
+                raise ConfigurationError(400, f"{field}.split[{index}].wt", f"{share.wt:g} is below 0")
             total += share.wt
         if total <= 0:
             raise ConfigurationError(400, f"{field}.split", "the weights sum to 0")
@@ -165,30 +165,30 @@
 
 
 def read_item(raw: Raw, field: str) -> Item:
-    """Read one entry of `objs`. Raises ConfigurationError (400)."""
-    head = decode(HEAD, raw, field)
+    """Parse one entry of `objs`. Raises ConfigurationError (400)."""
+    head = decode(HEAD_DECODER, raw, field)
     kind = head.type
-    if kind not in _SPECS:
+    if kind not in _SPEC_DECODERS:
         raise ConfigurationError(400, f"{field}.type", f"{kind!r} is none of {', '.join(KINDS)}")
-    # There is one set of limits, whatever it may be called.
+    # There is one set of limits; a name is ignored.
     name = head.meta.name if kind != "limits" else ""
     if not name and kind != "limits":
         raise ConfigurationError(400, f"{field}.meta.name", "is missing or empty")
     field += ".spec"
-    spec = decode(_SPECS[kind], head.spec, field)
+    spec = decode(_SPEC_DECODERS[kind], head.spec, field)
     _CHECKS[kind](spec, field)
     return Item(kind, name, bytes(raw), spec)
 
 
 def read_items(raws: list[Raw], field: str) -> Items:
-    """Read a list of items. Raises ConfigurationError (400), also where two have one name."""
+    """Parse a list of items. Raises ConfigurationError (400), also for duplicate names."""
     items: Items = {}
-    for place, raw in enumerate(raws):
-        item = read_item(raw, f"{field}[{place}]")
+    for index, raw in enumerate(raws):
+        item = read_item(raw, f"{field}[{index}]")
         key = (item.kind, item.name)
         if key in items:
             raise ConfigurationError(
-                400, f"{field}[{place}].meta.name", f"there are two {item.kind} named {item.name!r}"
+                400, f"{field}[{index}].meta.name", f"there are two {item.kind} named {item.name!r}"
             )
         items[key] = item
     return items
--- a/crowseam/configuration/text.py
+++ b/crowseam/configuration/text.py
@@ -1,4 +1,4 @@
-"""Times, versions and JSON as configurations write them. Each error names the field."""
+"""Parsing of times, versions and JSON in configurations. Each error names the field."""
 
 import re
 from typing import Any
@@ -7,15 +7,15 @@
 
 from crowseam.configuration.errors import ConfigurationError
 
-MILLISECONDS = 1000.0  # in a second
+MILLISECONDS = 1000.0  # per second
 
 _TIME = re.compile(r"(\d+(?:\.\d+)?)(ms|s)", re.ASCII)
 _VERSION = re.compile(r"[0-9a-fA-F]{8}", re.ASCII)
-_WHERE = re.compile(r"^(.*) - at `\$(.*)`$", re.DOTALL)  # how msgspec names the place of a fault
+_ERROR_PATH = re.compile(r"^(.*) - at `\$(.*)`$", re.DOTALL)  # how msgspec reports the path of an error
 
 
 def seconds(text: str, field: str = "") -> float:
-    """Return the seconds a time such as `1500ms` or `2.5s` stands for.
+    """Parse a time such as `1500ms` or `2.5s`, and return its seconds.
 
     Raises ConfigurationError (400), naming `field`, for any other text.
     """
@@ -39,12 +39,12 @@
 
 
 def decode(decoder: msgspec.json.Decoder, data: bytes | msgspec.Raw, field: str) -> Any:
-    """Decode JSON. Raises ConfigurationError (400), naming the place under `field`."""
+    """Decode JSON. Raises ConfigurationError (400), naming the path below `field`."""
     try:
         return decoder.decode(data)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
         text = str(error) or type(error).__name__
-        match = _WHERE.match(text)
+        match = _ERROR_PATH.match(text)
         if match is not None:
             text, field = match[1], (field + match[2]).lstrip(".")
         raise ConfigurationError(400, field, text) from None
--- a/crowseam/consensus/__init__.py
+++ b/crowseam/consensus/__init__.py
@@ -1,5 +1,5 @@
-"""Agreement on versions of the configuration: a log of slots, each decided by Paxos ballots of its own.
+"""Consensus on versions of the configuration: a replicated log whose slots are each decided by single-decree Paxos.
 
-`node.Node` is the entry point. Nothing here reads a clock or does input or output: times are seconds of a steady
-clock and come in as parameters, and what is to be sent or written goes out as effects.
+`node.Node` is the entry point. The package reads no clock and does no I/O: callers pass the time as seconds of a
+monotonic clock, and messages to send and records to write are returned as effects.
 """
--- a/crowseam/consensus/ballots.py
+++ b/crowseam/consensus/ballots.py
@@ -1,4 +1,4 @@
-"""Ballot numbers of this node at the slot under way."""
+"""Ballot numbers of this node for the current slot."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 
 class BallotSequence:
-    """Ballots above all that were seen at the present slot."""
+    """Generates ballots higher than any seen for the current slot."""
 
     def __init__(self, context: NodeContext) -> None:
         self._context = context
         self.highest_round = 0
 
     def next(self) -> Ballot:
-        """Return a ballot higher than any seen at this slot."""
+        """Return a ballot higher than any seen for this slot."""
         self.highest_round += 1
         return Ballot(self.highest_round, self._context.proposer_name)
 
     def observe(self, ballot: Ballot) -> None:
-        """Note a ballot of another proposer."""
+        """Record a ballot of another proposer."""
         self.highest_round = max(self.highest_round, ballot.round)
 
     def reset(self) -> None:
-        """Begin again, as the slot is another."""
+        """Start over for a new slot."""
         self.highest_round = 0
--- a/crowseam/consensus/catch_up.py
+++ b/crowseam/consensus/catch_up.py
@@ -1,4 +1,4 @@
-"""How a node that lacks part of the log gets it, and how it serves others that do."""
+"""Catch-up: requests missing log entries from other nodes, and serves such requests."""
 
 from __future__ import annotations
 
@@ -8,35 +8,35 @@
 from crowseam.consensus.replicated_log import ReplicatedLog
 from crowseam.consensus.snapshot_exchange import SnapshotExchange
 
-# How soon another machine, and the same one again, is asked for what is lacking.
+# Minimum intervals between catch-up requests to different nodes, and to the same node.
 _NEXT_PEER_INTERVAL_S = 0.03
 _SAME_PEER_INTERVAL_S = 0.1
 _NOBODY_ASKED = ("", -1.0)
 
 
 class CatchUp:
-    """Requests and replies that carry the log.
+    """Sends catch-up requests and builds the replies to them.
 
-    `contacts` are the addresses asked while no voters are known.
+    `bootstrap_addrs` are the addresses to ask while no voters are known.
     """
 
     def __init__(
-        self, context: NodeContext, log: ReplicatedLog, exchange: SnapshotExchange, contacts: list[str]
+        self, context: NodeContext, log: ReplicatedLog, exchange: SnapshotExchange, bootstrap_addrs: list[str]
     ) -> None:
         self._context = context
         self._log = log
         self._exchange = exchange
-        self.contacts = contacts
-        self._last_request = _NOBODY_ASKED  # whom, and when
+        self.bootstrap_addrs = bootstrap_addrs
+        self._last_request = _NOBODY_ASKED  # address and time
         self.next_poll_at = 0.0
-        self._next_contact_at = 0.0
+        self._next_bootstrap_request_at = 0.0
 
     # Requesting
 
     def request_from(self, addr: str) -> list[Effect]:
-        """Ask `addr` for what is lacking here.
+        """Ask `addr` for the missing part of the log.
 
-        Where that is much, one machine is asked at a time: each answer takes a while on a thin link.
+        If that is large, only one node is asked at a time, because each reply takes long on a slow link.
         """
         context, log = self._context, self._log
         if addr == context.me.addr or self._exchange.download is not None:
@@ -50,17 +50,17 @@
         self._last_request = (addr, context.now)
         return [Send(addr, CatchUpRequest(log.last_slot + 1 if log.voters else 0, True))]
 
-    def answered_by(self, addr: str) -> None:
-        """Note that entries came from `addr`: if it was asked, it may be asked for the next ones at once."""
+    def reply_received_from(self, addr: str) -> None:
+        """Record that entries came from `addr`; if they were requested there, the next request may follow at once."""
         if addr == self._last_request[0]:
             self._last_request = _NOBODY_ASKED
 
     def snapshot_installed(self) -> None:
-        """Note that a snapshot came: what is lacking behind it may be asked for at once."""
+        """Allow the entries that follow on an installed snapshot to be requested at once."""
         self._last_request = _NOBODY_ASKED
 
     def poll(self) -> list[Effect]:
-        """Ask other voters for news: all of them at the start, later as `poll_all_voters` says."""
+        """Ask other voters for new entries: all of them at startup, later as `poll_all_voters` says."""
         context, log = self._context, self._log
         if context.now < self.next_poll_at:
             return []
@@ -74,26 +74,26 @@
         return [Send(addr, CatchUpRequest(log.last_slot + 1, True)) for addr in asked]
 
     def find_voters(self) -> list[Effect]:
-        """Ask the contacts for a snapshot, while no voters are known."""
+        """Ask the bootstrap addresses for a snapshot while no voters are known."""
         context = self._context
-        if context.now < self._next_contact_at:
+        if context.now < self._next_bootstrap_request_at:
             return []
-        # A contact that offers a large state is then asked for it alone.
+        # Ask less often during a download, which already has a source.
         timing = context.timing
         wait = timing.join_interval_s if self._exchange.download is None else timing.chunk_timeout_s
-        self._next_contact_at = context.now + wait * context.jitter()
-        return [Send(addr, CatchUpRequest(0, True)) for addr in self.contacts if addr != context.me.addr]
+        self._next_bootstrap_request_at = context.now + wait * context.jitter()
+        return [Send(addr, CatchUpRequest(0, True)) for addr in self.bootstrap_addrs if addr != context.me.addr]
 
     def next_due(self) -> float:
-        """Return when `poll` or `find_voters` has something to do (s)."""
-        return self.next_poll_at if self._log.voters else self._next_contact_at
+        """Return the time of the next `poll` or `find_voters` (s)."""
+        return self.next_poll_at if self._log.voters else self._next_bootstrap_request_at
 
     # Replying
 
     def reply_from(self, slot: int, request: CatchUpRequest | None = None) -> ChosenEntries | Snapshot | SnapshotOffer:
-        """Return what helps a machine that lacks the log from `slot` on.
+        """Return the reply for a node that is missing the log from `slot` on: entries, a snapshot or an offer of one.
 
-        Where it did not ask (`request` is None) only little is sent, as several may do so at once.
+        Without a `request` the reply is small, because several voters may send one at the same time.
         """
         log, max_run_bytes = self._log, self._context.timing.max_run_bytes
         accepts_chunks = request is not None and request.accepts_chunks
@@ -110,10 +110,10 @@
         return SnapshotOffer(log.last_slot) if accepts_chunks else ChosenEntries(slot, [], log.last_slot)
 
     def send_from(self, addr: str, slot: int) -> list[Effect]:
-        """Send `addr` what it lacks from `slot` on, though it did not ask."""
+        """Send `addr` the log from `slot` on, without a request."""
         return [Send(addr, self.reply_from(slot))]
 
 
 def carries_log(reply: ChosenEntries | Snapshot | SnapshotOffer) -> bool:
-    """Whether a reply brings its receiver up to date, rather than saying where to ask."""
+    """Whether a reply contains log entries or a snapshot, rather than only an offer or a slot number."""
     return isinstance(reply, Snapshot) or (isinstance(reply, ChosenEntries) and bool(reply.entries))
--- a/crowseam/consensus/context.py
+++ b/crowseam/consensus/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one node share."""
+"""State shared by the components of one node."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class NodeContext:
-    """Identity, figures, randomness, and the time of the call under way.
+    """Identity, timing parameters, random source and current time of a node.
 
-    `proposer_name` names this machine and its incarnation, so that no two ballots are equal. `now` is set by
-    the node at the start of each call (steady clock, s).
+    `proposer_name` identifies this machine and its incarnation, which makes its ballots unique. `now` is set by
+    the node at the start of each call (seconds, monotonic clock).
     """
 
     def __init__(self, me: Voter, timing: Timing, rng: Random) -> None:
@@ -23,9 +23,9 @@
         self.now = 0.0
 
     def jitter(self) -> float:
-        """Return a random factor near 1, to keep machines from acting in step."""
+        """Return a random factor near 1 that keeps nodes from acting at the same time."""
         return self.rng.uniform(0.8, 1.2)
 
     def new_proposal_id(self, kind: str) -> str:
-        """Return an id for an entry that this node proposes on its own behalf."""
+        """Return a unique id for an entry that this node proposes for itself."""
         return f"{kind}/{self.proposer_name}/{self.rng.getrandbits(32):08x}"
--- a/crowseam/consensus/effects.py
+++ b/crowseam/consensus/effects.py
@@ -1,4 +1,4 @@
-"""What a node asks its owner to do. The node itself does no input or output."""
+"""Actions that a node returns for its owner to carry out; the node itself does no I/O."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class Send(msgspec.Struct, frozen=True):
-    """Send `message`; if `addr` is the node's own, hand it to `Node.handle` instead."""
+    """Send `message` to `addr`; if that is the node's own address, pass it to `Node.handle` instead."""
 
     addr: str
     message: Message
 
 
 class Persist(msgspec.Struct, frozen=True):
-    """Write `records` in one transaction; carry out `then` once they are synced.
+    """Write `records` in one transaction, then send the messages in `then` once the write is durable.
 
-    Persists are carried out in the order given. If one fails, it and all that wait behind it are handed
-    to `Node.persist_failed`, and their `then` is dropped.
+    These effects are carried out in order. If a write fails, it and all queued behind it are passed to
+    `Node.persist_failed`, and their `then` messages are dropped.
     """
 
     records: list[Record]
@@ -29,14 +29,14 @@
 
 
 class NotifyApplied(msgspec.Struct, frozen=True):
-    """`entry` was applied at `slot` (in order); None when a snapshot was installed."""
+    """`entry` was applied at `slot`, in slot order; it is None when a snapshot was installed."""
 
     slot: int
     entry: Entry | None
 
 
 class CompleteRequest(msgspec.Struct, frozen=True):
-    """Answer a client request: `Committed`, `ReadReady`, `OutcomeUnknown`, or what its builder returned."""
+    """Complete a client request with `Committed`, `ReadReady`, `OutcomeUnknown` or what its builder returned."""
 
     request_id: Hashable
     outcome: object
--- a/crowseam/consensus/errors.py
+++ b/crowseam/consensus/errors.py
@@ -1,5 +1,5 @@
-"""The errors of the agreement."""
+"""Exceptions of the consensus package."""
 
 
 class ConsensusError(Exception):
-    """Bytes that are no message of the agreement, or a contradiction between two chosen entries."""
+    """Raised for bytes that do not decode to a message, and for two different entries chosen at one slot."""
--- a/crowseam/consensus/membership_proof.py
+++ b/crowseam/consensus/membership_proof.py
@@ -1,7 +1,7 @@
-"""Proof that the machines a change of voters counts on are there now.
+"""Proof that the machines that a change of voters relies on are alive.
 
-A machine that stood still (a stopped process, a paused virtual machine) then finds what came for it meanwhile, and
-would take it as recent, though its sender may be gone. An answer to a question put since then can't be old.
+After a pause of this process (SIGSTOP, a suspended virtual machine), queued messages look recent although their
+senders may have failed since. Replies to a request sent after the pause cannot be stale.
 """
 
 from __future__ import annotations
@@ -13,40 +13,40 @@
 
 
 class MembershipProof:
-    """Who has answered the question that precedes the change from `old` to `new` voters.
+    """Replies to the liveness request that precedes a change from `old` to `new` voters.
 
-    `asked_at` is when the question was put first, `ask_again_at` when it is to be put again (steady clock, s);
-    `nonce` tells its answers from others.
+    `started_at` is the time of the first request, `retransmit_at` that of the next one (seconds, monotonic clock).
+    `nonce` identifies the replies, and `answered` holds the ids of the voters that replied.
     """
 
     def __init__(self, me: Voter, old: Sequence[Voter], new: Sequence[Voter], nonce: int, now: float) -> None:
         self.old = list(old)
         self.new = list(new)
         self.nonce = nonce
-        self.asked_at = now
-        self.ask_again_at = now
+        self.started_at = now
+        self.retransmit_at = now
         self.answered = {me.id}
 
     @property
     def newcomers(self) -> list[Voter]:
-        """Those added by the change."""
+        """The voters that the change adds."""
         return [voter for voter in self.new if voter not in self.old]
 
     @property
     def missing(self) -> list[Voter]:
-        """Those that have not answered yet."""
+        """The old and new voters that have not replied yet."""
         return [voter for voter in sorted({*self.old, *self.new}) if voter.id not in self.answered]
 
     def is_complete(self) -> bool:
-        """Whether all that the change counts on have answered."""
+        """Whether all voters that the change relies on have replied."""
         return is_change_supported(self.old, self.new, self.answered)
 
 
 def is_change_supported(old: Sequence[Voter], new: Sequence[Voter], answered: Collection[str]) -> bool:
-    """Whether a change from `old` to `new` voters is safe if only those with ids in `answered` are there.
+    """Whether a change from `old` to `new` voters is safe if only those with ids in `answered` are alive.
 
-    That takes the newcomer and majorities of both, and all old voters where one is added that replaces nobody:
-    one more voter beside one that is gone would tolerate no further loss.
+    This requires the newcomer and majorities of both sets. If the change only adds a voter, it requires all old
+    voters, because a larger set with a failed voter would tolerate no further failure.
     """
     if any(voter.id not in answered for voter in new if voter not in old):
         return False
--- a/crowseam/consensus/messages.py
+++ b/crowseam/consensus/messages.py
@@ -1,8 +1,8 @@
-"""The messages between the machines that keep the log, and the entries they agree on.
+"""Messages between the replicas of the log, and the entries that they choose.
 
-Agreement is single-decree Paxos for each slot (L. Lamport, Paxos Made Simple, 2001): `Prepare` and `Promise`
-are phase 1, `Accept` and `Accepted` phase 2. All are arrays on the wire, so fields keep their order; new ones
-come last, with a default.
+Each slot runs single-decree Paxos (L. Lamport, Paxos Made Simple, 2001): `Prepare` and `Promise` are phase 1,
+`Accept` and `Accepted` phase 2. All messages are encoded as arrays, so the order of their fields is fixed and new
+fields are appended with a default.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 
 
 class Voter(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """The id that a machine keeps on its disk, and its address."""
+    """A voter: the id that the machine keeps on disk, and its address."""
 
     id: str
     addr: str
 
 
 class Ballot(msgspec.Struct, array_like=True, frozen=True, order=True):
-    """A ballot at a slot. `node` names the proposer and its incarnation, so no two ballots are equal."""
+    """A ballot at a slot, made unique by `proposer`, which identifies the proposer and its incarnation."""
 
     round: Slot
-    node: str
+    proposer: str
 
 
 class ConfigurationEntry(msgspec.Struct, tag="change", array_like=True, frozen=True):
-    """A configuration (`whole`), or a patch of one; `body` is opaque here, `digest` names its content."""
+    """A full configuration (`whole`) or a patch; `body` is opaque to consensus, `digest` identifies its content."""
 
     proposal_id: str
     ver: Slot
@@ -42,7 +42,7 @@
 
 
 class VotersEntry(msgspec.Struct, tag="voters", array_like=True, frozen=True):
-    """A change of the voters, in force from the next slot on."""
+    """A new set of voters, which takes effect at the next slot."""
 
     proposal_id: str
     voters: Annotated[list[Voter], msgspec.Meta(min_length=1)]
@@ -58,16 +58,16 @@
 
 
 class Prepare(msgspec.Struct, tag="c.prepare", array_like=True, frozen=True):
-    """Asks a voter not to vote for lower ballots at `slot` (phase 1a)."""
+    """Asks a voter to promise to reject lower ballots at `slot` (phase 1a)."""
 
     slot: Slot
     ballot: Ballot
 
 
 class Promise(msgspec.Struct, tag="c.promise", array_like=True, frozen=True):
-    """The answer to `Prepare`, with the vote given before, if there is one (phase 1b).
+    """The reply to `Prepare`, with the voter's earlier vote, if any (phase 1b).
 
-    `voter` is the id that promises: an address alone may belong to a machine that lost its disk.
+    `voter` is the id of the voter; the address alone is not enough, as its machine may have lost its disk.
     """
 
     slot: Slot
@@ -78,7 +78,7 @@
 
 
 class Reject(msgspec.Struct, tag="c.refuse", array_like=True, frozen=True):
-    """The answer to `Prepare` and `Accept` where a `higher` ballot is promised."""
+    """The reply to `Prepare` or `Accept` if the voter has promised a `higher` ballot."""
 
     slot: Slot
     ballot: Ballot
@@ -95,7 +95,7 @@
 
 
 class Accepted(msgspec.Struct, tag="c.accepted", array_like=True, frozen=True):
-    """The answer to `Accept`: a vote (phase 2b). A majority of them chooses the entry."""
+    """The reply to `Accept`: a vote (phase 2b). A majority of votes chooses the entry."""
 
     slot: Slot
     ballot: Ballot
@@ -103,24 +103,24 @@
 
 
 class ChosenBallot(msgspec.Struct, tag="c.decided", array_like=True, frozen=True):
-    """What was accepted at `slot` under `ballot` is chosen: for voters, who have the entry already."""
+    """Announces that the entry accepted at `slot` under `ballot` is chosen, to voters that already have the entry."""
 
     slot: Slot
     ballot: Ballot
 
 
 class ChosenEntries(msgspec.Struct, tag="c.chosen", array_like=True, frozen=True):
-    """ChosenEntries entries for `slot`, `slot` + 1, ...; `last` is the newest slot the sender knows."""
+    """Chosen entries for `slot`, `slot` + 1, ...; `last_slot` is the newest slot that the sender knows."""
 
     slot: Slot
     entries: list[Entry]
-    last: Slot
+    last_slot: Slot
 
 
 class CatchUpRequest(msgspec.Struct, tag="c.behind", array_like=True, frozen=True):
-    """Asks for what is chosen from `slot` on; 0 asks for a snapshot, where the sender knows no voters.
+    """Asks for the entries chosen from `slot` on. A sender that knows no voters uses slot 0 to ask for a snapshot.
 
-    `accepts_chunks`: a large snapshot may come in chunks, which earlier versions do not know.
+    `accepts_chunks`: the sender can receive a large snapshot in chunks, which earlier versions cannot.
     """
 
     slot: Slot
@@ -128,7 +128,7 @@
 
 
 class Snapshot(msgspec.Struct, tag="c.snapshot", array_like=True, frozen=True):
-    """The state after `slot`, and the voters for the slot after it."""
+    """The state after `slot`, and the voters for the next slot."""
 
     slot: Slot
     state: bytes
@@ -136,44 +136,44 @@
 
 
 class QuorumRead(msgspec.Struct, tag="c.peek", array_like=True, frozen=True):
-    """Asks whether anything was accepted at `slot`; nothing is promised or written."""
+    """Asks whether the voter has voted at `slot`; the voter promises and writes nothing."""
 
     slot: Slot
     nonce: Slot
 
 
 class QuorumReadReply(msgspec.Struct, tag="c.peeked", array_like=True, frozen=True):
-    """The answer to `QuorumRead`: `busy` if the voter has voted at `slot`, so that an entry may be chosen there."""
+    """The reply to `QuorumRead`. If the voter `has_voted` at `slot`, an entry may already be chosen there."""
 
     slot: Slot
     nonce: Slot
     voter: str
-    busy: bool
+    has_voted: bool
 
 
 class JoinRequest(msgspec.Struct, tag="c.knock", array_like=True, frozen=True):
-    """Asks to be made a voter; `slot` is the newest slot that the sender knows."""
+    """Asks to become a voter; `slot` is the newest slot that the sender knows."""
 
     voter: Voter
     slot: Slot
 
 
 class LeaveRequest(msgspec.Struct, tag="c.resign", array_like=True, frozen=True):
-    """Asks that `voter` be removed, as its machine ends or has no disk to keep votes on."""
+    """Asks to remove `voter`, whose machine is shutting down or has no disk for its votes."""
 
     voter: Voter
 
 
 class SnapshotOffer(msgspec.Struct, tag="c.offer", array_like=True, frozen=True):
-    """The answer to `CatchUpRequest` where the state is large: a snapshot of about slot `last` can be downloaded."""
+    """The reply to `CatchUpRequest` if the state is large: a snapshot of about `last_slot` can be downloaded."""
 
-    last: Slot
+    last_slot: Slot
 
 
 class SnapshotChunkRequest(msgspec.Struct, tag="c.fetch", array_like=True, frozen=True):
-    """Asks for `length` bytes from `offset` on of the compressed snapshot of this slot and digest.
+    """Asks for `length` bytes from `offset` on of the compressed snapshot with this slot and digest.
 
-    With an empty digest, of any snapshot that is newer than `slot`.
+    An empty digest asks for any snapshot newer than `slot`.
     """
 
     slot: Slot
@@ -183,7 +183,7 @@
 
 
 class SnapshotChunk(msgspec.Struct, tag="c.part", array_like=True, frozen=True):
-    """Bytes of a compressed snapshot of `size` bytes; `size` 0: it is not, or no longer, kept here."""
+    """Part of a compressed snapshot of `size` bytes; `size` is 0 if the sender does not have that snapshot."""
 
     slot: Slot
     digest: bytes
@@ -216,17 +216,17 @@
 
 
 def encode(message: Message) -> bytes:
-    """Return the bytes of a message."""
+    """Encode a message."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Return the message in `data`.
+    """Decode a message.
 
     Raises
     ------
     ConsensusError
-        If the bytes are no message.
+        If `data` is not a valid message.
     """
     try:
         return _decoder.decode(data)
--- a/crowseam/consensus/node.py
+++ b/crowseam/consensus/node.py
@@ -1,8 +1,7 @@
-"""One party to the agreement: acceptor, proposer and learner, with no leader among them.
+"""A consensus node: acceptor, proposer and learner in one, without a leader.
 
-Slots are chosen one after the other. The voters for a slot are those in force after the slot before it, and a
-voter votes at a slot only when it knows all earlier ones, so that whatever a majority has accepted builds on
-everything chosen before.
+Slots are chosen in order. The voters for a slot are those in effect after the previous slot, and a voter votes at a
+slot only if it knows all earlier ones, so an entry accepted by a majority follows on every entry chosen before it.
 """
 
 from __future__ import annotations
@@ -54,28 +53,28 @@
 from crowseam.consensus.state_machine import StateMachine
 from crowseam.consensus.timing import Timing
 
-_FREEZE_S = 1.0  # a gap between two calls after which this machine is taken to have stood still
+_PAUSE_THRESHOLD_S = 1.0  # gap between two calls after which this process is assumed to have been paused
 
 
 class Node:
-    """All that one machine decides about the log: hands messages and timers to its parts, and learns entries.
+    """Dispatches messages and timers to the components of the node, and learns chosen entries.
 
-    Every call returns effects for the owner to carry out, and `next_tick` then says when `tick` is needed at the
-    latest. All times are seconds of a steady clock.
+    Every call returns effects for the owner to carry out and sets `next_tick`, the latest time at which `tick` must
+    be called. All times are seconds of a monotonic clock.
 
     Parameters
     ----------
     me
-        This machine, under its id on disk; see `voter_selection.assign_identity`.
+        Id (from disk, see `voter_selection.assign_identity`) and address of this machine.
     durable
-        What the disk gave back.
-    machine
-        The state that the log builds.
+        State read from disk.
+    state_machine
+        The state machine that applies the log.
     voting
         Whether this machine wants to vote.
-    survive
-        How many machines may be lost at once.
-    contacts
+    tolerated_failures
+        How many simultaneous machine failures the voters have to tolerate.
+    bootstrap_addrs
         Addresses to ask while no voters are known.
     """
 
@@ -93,48 +92,48 @@
         self,
         me: Voter,
         durable: DurableState,
-        machine: StateMachine,
+        state_machine: StateMachine,
         rng: Random,
         timing: Timing | None = None,
         *,
         voting: bool = True,
-        survive: int = 1,
-        contacts: Iterable[str] = (),
+        tolerated_failures: int = 1,
+        bootstrap_addrs: Iterable[str] = (),
     ) -> None:
-        self.learners: list[str] = []  # addresses that are sent chosen entries though they do not vote
+        self.learners: list[str] = []  # addresses of non-voters that are sent chosen entries
         self.next_tick = 0.0
         self._context = context = NodeContext(me, timing or Timing(), rng)
         self._last_call_at: float | None = None
         cache = self.cache_type(context.timing.snapshot_retention_s)
-        self._log = log = self.log_type(context, machine, cache)
+        self._log = log = self.log_type(context, state_machine, cache)
         log.recover(durable)
         self._contacts = PeerContacts(context)
         self._writer = self.writer_type(context)
         self._exchange = self.exchange_type(context, log, cache)
-        self._catch_up = self.catch_up_type(context, log, self._exchange, list(contacts))
+        self._catch_up = self.catch_up_type(context, log, self._exchange, list(bootstrap_addrs))
         ballots = BallotSequence(context)
         self._acceptor = self.acceptor_type(context, log, self._catch_up, ballots, self._writer, durable)
         self._requests = self.queue_type(context, log)
         self._proposer = self.proposer_type(context, log, self._acceptor, ballots, self._requests)
         self._reconfiguration = self.reconfiguration_type(
-            context, log, self._contacts, self._requests, self._submit_internal, voting, survive
+            context, log, self._contacts, self._requests, self._submit_internal, voting, tolerated_failures
         )
 
     # State
 
     @property
     def me(self) -> Voter:
-        """This machine."""
+        """Id and address of this machine."""
         return self._context.me
 
     @property
-    def machine(self) -> StateMachine:
-        """The applied state."""
-        return self._log.machine
+    def state_machine(self) -> StateMachine:
+        """The state machine."""
+        return self._log.state_machine
 
     @property
     def last_slot(self) -> int:
-        """The newest slot known here as chosen."""
+        """The newest slot known to be chosen."""
         return self._log.last_slot
 
     @property
@@ -144,37 +143,37 @@
 
     @property
     def voters(self) -> list[Voter]:
-        """The voters in force; empty while none are known."""
+        """The current voters; empty while none are known."""
         return self._log.voters
 
     @property
     def voters_slot(self) -> int:
-        """No later change of the voters than at this slot is known here."""
+        """A slot since which the voters have not changed, as far as known here."""
         return self._log.voters_slot
 
     @property
     def state_size_bound(self) -> int:
-        """The size of the applied state in bytes, at the most."""
+        """Upper bound of the size of the state in bytes."""
         return self._log.state_size_bound
 
     @property
     def snapshot_caches(self) -> list[SnapshotCache]:
-        """Caches whose snapshots the log has to lead on from; the owner may add its own."""
+        """Caches of snapshots after which log entries are retained; the owner may add its own."""
         return self._log.snapshot_caches
 
     @property
     def failures(self) -> int:
-        """How many writes and downloads have failed."""
+        """Number of failed writes and corrupt downloads."""
         return self._writer.failures + self._exchange.corrupt_downloads
 
     @property
-    def contacts(self) -> list[str]:
+    def bootstrap_addrs(self) -> list[str]:
         """Addresses to ask while no voters are known."""
-        return self._catch_up.contacts
+        return self._catch_up.bootstrap_addrs
 
-    @contacts.setter
-    def contacts(self, addrs: list[str]) -> None:
-        self._catch_up.contacts = addrs
+    @bootstrap_addrs.setter
+    def bootstrap_addrs(self, addrs: list[str]) -> None:
+        self._catch_up.bootstrap_addrs = addrs
 
     @property
     def voting(self) -> bool:
@@ -187,7 +186,7 @@
 
     @property
     def ready_to_vote(self) -> bool:
-        """Whether this machine has all that a voter has to bring along; until then it does not ask to join."""
+        """Whether this machine has all the data that a voter needs; it does not ask to join before."""
         return self._reconfiguration.ready_to_vote
 
     @ready_to_vote.setter
@@ -196,28 +195,28 @@
 
     @property
     def is_changing_voters(self) -> bool:
-        """Whether this voter has accepted other voters for the next slot, and does not know what came of it."""
+        """Whether this voter has voted for a change of voters whose outcome it does not know yet."""
         vote = self._acceptor.vote_in_doubt()
         return vote is not None and isinstance(vote.entry, VotersEntry)
 
     @property
     def has_left(self) -> bool:
-        """Whether this machine may end: it is removed, and a majority of the voters after it knows so."""
+        """Whether this machine may exit: it was removed, and a majority of the remaining voters knows it."""
         return self._reconfiguration.has_left
 
     @property
     def should_wait_to_leave(self) -> bool:
-        """Whether this machine should run on until it `has_left`."""
+        """Whether this machine should keep running until it `has_left`."""
         return self._reconfiguration.should_wait_to_leave
 
     def entries_from(self, slot: int) -> list[Entry] | None:
-        """Return what was chosen from `slot` on, as far as it is known here; None where that is no longer kept."""
+        """Return the known entries from `slot` on, or None if some of them are no longer kept."""
         return self._log.entries_from(slot)
 
-    # Calls of the owner
+    # Entry points for the owner
 
     def handle(self, sender: str, message: Message, now: float) -> list[Effect]:
-        """Take a message that came from the address `sender`."""
+        """Process a message from the address `sender`."""
         self._set_clock(now)
         self._contacts.heard_at[sender] = now
         effects = self._dispatch(sender, message)
@@ -226,29 +225,29 @@
     def submit(
         self, request_id: Hashable, build: ProposalBuilder, now: float, timeout_s: float | None = None
     ) -> list[Effect]:
-        """Have an entry chosen.
+        """Propose an entry until it is chosen.
 
-        `build(machine)` looks at the applied state and returns the entry to propose, always under the same
-        proposal id, or else the outcome of the request, which holds once the state it rests on is known to be
-        current. It is asked again after each slot that another entry takes. The outcome is `Committed`, or
-        `OutcomeUnknown` after `timeout_s`.
+        `build(state_machine)` returns the entry to propose, always with the same proposal id, or the outcome of the
+        request, which is reported once the state is confirmed to be current. It is called again after each slot
+        for which another entry is chosen. Otherwise the outcome is `Committed`, or `OutcomeUnknown` after
+        `timeout_s`.
         """
         return self._enqueue(request_id, build, now, timeout_s)
 
     def read(self, request_id: Hashable, now: float, timeout_s: float | None = None) -> list[Effect]:
-        """Answer `ReadReady` once the applied state holds all that was acknowledged before this call."""
+        """Complete with `ReadReady` once the state includes every change acknowledged before this call."""
         return self._enqueue(request_id, None, now, timeout_s)
 
     def cancel(self, request_id: Hashable) -> None:
-        """Forget a request; what was proposed for it may still be chosen."""
+        """Remove a request; an entry already proposed for it may still be chosen."""
         self._requests.cancel(request_id)
 
     def record_contact(self, addr: str, now: float) -> None:
-        """Note that another layer heard from the machine with this address."""
-        self._contacts.heard(addr, now)
+        """Record that another layer received a message from `addr`."""
+        self._contacts.record_contact(addr, now)
 
     def observe_slot(self, addr: str, last_slot: int, now: float) -> list[Effect]:
-        """Note that another layer heard that the machine at `addr` knows the slots up to `last_slot`."""
+        """Record that another layer learned that the node at `addr` knows the slots up to `last_slot`."""
         self._set_clock(now)
         self._contacts.heard_at[addr] = now
         self._log.observe_slot(last_slot)
@@ -257,14 +256,14 @@
         return self._finish([])
 
     def persist_failed(self, persist: Persist, now: float) -> None:
-        """Note that a `Persist` could not be written; chosen entries in it go with the next one."""
+        """Record that a `Persist` could not be written; chosen entries in it are written with the next one."""
         self._set_clock(now)
         self._writer.persist_failed(persist)
 
     def leave(self, now: float) -> list[Effect]:
-        """Ask the others to remove this voter, for good.
+        """Ask the other voters to remove this one permanently.
 
-        They do so if a newcomer replaces it or enough voters remain. The owner runs it on while
+        They do so if a newcomer replaces it or enough voters remain. The owner keeps the node running while
         `should_wait_to_leave`.
         """
         self._context.now = now
@@ -272,7 +271,7 @@
         return self.tick(now)
 
     def tick(self, now: float) -> list[Effect]:
-        """Do what is due."""
+        """Perform all timed work that is due."""
         self._set_clock(now)
         effects = [*self._proposer.expire_requests(), *self._proposer.retransmit(), *self._writer.retry()]
         if self._log.voters:
@@ -291,11 +290,11 @@
     # Time
 
     def _set_clock(self, now: float) -> None:
-        if self._last_call_at is None or now - self._last_call_at > _FREEZE_S:
-            # After a freeze every peer seems silent, though it was this machine that did not listen.
+        if self._last_call_at is None or now - self._last_call_at > _PAUSE_THRESHOLD_S:
+            # After a pause of this process every peer seems silent, although it was this node that did not receive.
             self._contacts.reset(now)
             self._reconfiguration.cancel_planned_change()
-            # What the last proof was for is proposed anew, after another.
+            # A pending change of voters is proposed again only after a new proof.
             self._requests.cancel_internal()
         self._context.now = now
         if self._last_call_at is None:
@@ -303,7 +302,7 @@
         self._last_call_at = now
 
     def _finish(self, effects: list[Effect]) -> list[Effect]:
-        """End a call: note when the next one is needed."""
+        """Finish a call: set the time of the next tick."""
         due = [self._catch_up.next_due(), self._writer.retry_at, *self._requests.deadlines()]
         due += self._proposer.next_due()
         due += self._reconfiguration.next_due()
@@ -327,7 +326,7 @@
         return self._enqueue(None, build, self._context.now, timeout_s)
 
     def _recover_vote_in_doubt(self) -> list[Effect]:
-        """Bring a ballot to its end whose proposer seems to be gone: it may have acknowledged the entry."""
+        """Start a ballot to resolve a vote whose proposer may have failed after acknowledging its entry."""
         if self._acceptor.vote_in_doubt() is None or self._proposer.round is not None:
             return []
         now = self._context.now
@@ -338,7 +337,7 @@
 
     # Messages
 
-    def _dispatch(self, sender: str, message: Message) -> list[Effect]:  # noqa: C901, PLR0911, PLR0912 - a type a line
+    def _dispatch(self, sender: str, message: Message) -> list[Effect]:  # noqa: C901, PLR0911, PLR0912 - one case per message type
         match message:
             case Prepare():
                 return self._acceptor.on_prepare(sender, message)
@@ -402,7 +401,7 @@
         reply = self._catch_up.reply_from(message.slot, message)
         effects: list[Effect] = [Send(sender, reply)]
         if carries_log(reply):
-            effects += self._proposer.ask_again(sender)
+            effects += self._proposer.resend_to(sender)
         return effects
 
     # Learning
@@ -415,49 +414,53 @@
         return [*learned, *self._announce(finished, finished.ballot, finished.entry)]
 
     def _announce(self, finished: QuorumRound, ballot: Ballot, entry: Entry) -> list[Effect]:
-        """Tell all that follow the log that `entry` is chosen.
+        """Notify voters and learners that `entry` is chosen.
 
-        The voters of the round were all sent the entry, and one that missed it asks for it.
+        The voters of the round were already sent the entry; one that missed it will request it.
         """
         have_entry = set(finished.voters.values())
         others = have_entry | {voter.addr for voter in self._log.voters} | set(self.learners)
-        # What is large they ask for at their own pace.
+        # Others request a large entry themselves.
         entries = [entry] if entry_size(entry) <= self._context.timing.max_run_bytes else []
-        short = ChosenBallot(finished.slot, ballot)
-        full = ChosenEntries(finished.slot, entries, finished.slot)
-        return [Send(addr, short if addr in have_entry else full) for addr in sorted(others - {self.me.addr})]
+        to_round_voters = ChosenBallot(finished.slot, ballot)
+        to_others = ChosenEntries(finished.slot, entries, finished.slot)
+        return [
+            Send(addr, to_round_voters if addr in have_entry else to_others) for addr in sorted(others - {self.me.addr})
+        ]
 
     def _on_chosen_ballot(self, sender: str, message: ChosenBallot) -> list[Effect]:
         log = self._log
         if message.slot <= log.last_slot:
             return []
         entry = self._acceptor.accepted_entry(message.slot, message.ballot)
-        # A machine that knows no voters has lost its state: its vote alone must not be applied to nothing.
+        # A node that knows no voters has no state, so the entry it voted for must not be applied.
         if log.voters and message.slot == log.last_slot + 1 and entry is not None:
             return self._learn([entry])
         return self._catch_up.request_from(sender)
 
     def _on_chosen_entries(self, sender: str, message: ChosenEntries) -> list[Effect]:
         log = self._log
-        log.observe_slot(message.last)
+        log.observe_slot(message.last_slot)
         if not log.voters or message.slot > log.last_slot + 1:
             return self._catch_up.request_from(sender)
         known = log.last_slot + 1 - message.slot
         for slot, entry in enumerate(message.entries[:known], message.slot):
             kept = log.entry_at(slot)
             if kept is not None and kept.proposal_id != entry.proposal_id:
-                raise ConsensusError(f"slot {slot}: {entry.proposal_id} is chosen at {sender}, {kept.proposal_id} here")
+                raise ConsensusError(
+                    f"slot {slot}: {sender} has chosen {entry.proposal_id}, this node {kept.proposal_id}"
+                )
         effects: list[Effect] = []
         if new := message.entries[known:]:
-            self._catch_up.answered_by(sender)
+            self._catch_up.reply_received_from(sender)
             effects += self._learn(new)
-            self._exchange.abandon_if_overtaken(message.last)
-        if message.last > log.last_slot:
+            self._exchange.abandon_if_overtaken(message.last_slot)
+        if message.last_slot > log.last_slot:
             effects += self._catch_up.request_from(sender)
         return effects
 
     def _learn(self, entries: list[Entry]) -> list[Effect]:
-        """Apply the entries that follow on what is known, and complete the requests that they were proposed for."""
+        """Apply newly chosen entries and complete the requests that they belong to."""
         effects: list[Effect] = []
         records: list[Record] = []
         for entry in entries:
--- a/crowseam/consensus/outcomes.py
+++ b/crowseam/consensus/outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of a client request, besides the outcomes that its proposal builder returns."""
+"""Outcomes of client requests, in addition to those that a proposal builder returns."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class ReadReady(msgspec.Struct, frozen=True):
-    """The applied state, as of `slot`, holds all that was acknowledged before the read began (linearizable)."""
+    """A linearizable read: the state applied up to `slot` includes every change acknowledged before the read began."""
 
     slot: int
 
 
 class OutcomeUnknown(msgspec.Struct, frozen=True):
-    """No majority answered in time: the entry may still be chosen, or never."""
+    """No majority replied in time; the entry may or may not be chosen later."""
--- a/crowseam/consensus/records.py
+++ b/crowseam/consensus/records.py
@@ -1,6 +1,6 @@
-"""What a voter keeps on its disk.
+"""Records that a voter keeps on disk.
 
-`SnapshotRecord` is stored as a map, so the names of its fields on disk are given where they differ.
+`SnapshotRecord` is stored as a map, so fields whose stored name differs give it explicitly.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 
 class IdentityRecord(msgspec.Struct, frozen=True):
-    """The id under which this machine votes."""
+    """The voter id of this machine."""
 
     id: str
 
 
 class PromiseRecord(msgspec.Struct, frozen=True):
-    """A promise not to vote for lower ballots at `slot`."""
+    """A promise to reject lower ballots at `slot`."""
 
     slot: int
     ballot: Ballot
 
 
 class VoteRecord(msgspec.Struct, frozen=True):
-    """An accepted entry; promises its ballot as well."""
+    """An entry accepted at `slot` under `ballot`; this implies a promise for the same ballot."""
 
     slot: int
     ballot: Ballot
@@ -32,14 +32,14 @@
 
 
 class ChosenRecord(msgspec.Struct, frozen=True):
-    """A chosen entry; replaces the promise and the vote at its slot."""
+    """A chosen entry, which supersedes the promise and vote at its slot."""
 
     slot: int
     entry: Entry
 
 
 class SnapshotRecord(msgspec.Struct, frozen=True):
-    """The state after `slot`; chosen entries below `first_kept_slot` may go, as may votes up to `slot`."""
+    """The state after `slot`. Chosen entries below `first_kept_slot` and votes up to `slot` can be deleted."""
 
     slot: int
     state: bytes
@@ -51,7 +51,7 @@
 
 
 class SlotVote(msgspec.Struct):
-    """Promise and vote at a slot that is not known to be chosen."""
+    """Promise and vote at a slot for which no chosen entry is known."""
 
     promised: Ballot | None = None
     accepted: Ballot | None = None
@@ -59,10 +59,10 @@
 
 
 class DurableState(msgspec.Struct):
-    """What was read back from the disk.
+    """State read from disk at startup.
 
-    `highest_chosen_slot` is the highest slot ever known here as chosen. Should its entry be gone, this
-    machine must not vote on it again, for its vote went with it.
+    `highest_chosen_slot` is the highest slot ever known to be chosen on this machine. If its entry was lost, this
+    machine must not vote at that slot again, because its earlier vote was lost too.
     """
 
     id: str | None = None
--- a/crowseam/consensus/replicated_log.py
+++ b/crowseam/consensus/replicated_log.py
@@ -1,4 +1,4 @@
-"""The chosen entries, the state that they build, and the voters that they name."""
+"""The replicated log: chosen entries, the state machine that applies them, and the current voters."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class ReplicatedLog:
-    """Entries chosen one slot after the other, applied as they come, and cut behind snapshots.
+    """Applies chosen entries in slot order and compacts the log into snapshots.
 
-    `last_slot` is the newest one known as chosen, `first_slot` the oldest one whose entry is kept. `voters`
-    are those in force for the slot after `last_slot`; no later change of them than at `voters_slot` is known.
-    `highest_known_slot` is the newest slot that anyone is known to know. `state_size_bound` is an upper bound
-    of the state in bytes. Of the snapshots in `snapshot_caches` chunks may be under way, and their receivers
-    need the log from there on.
+    `last_slot` is the newest slot known to be chosen, `first_slot` the oldest slot whose entry is kept. `voters`
+    are those for the slot after `last_slot`; `voters_slot` is a slot since which they have not changed.
+    `highest_known_slot` is the newest slot that any node is known to have. `state_size_bound` is an upper bound of
+    the size of the state in bytes. Nodes may be downloading the snapshots in `snapshot_caches`, and then need the
+    log entries that follow on them.
     """
 
-    def __init__(self, context: NodeContext, machine: StateMachine, cache: SnapshotCache) -> None:
+    def __init__(self, context: NodeContext, state_machine: StateMachine, cache: SnapshotCache) -> None:
         self._context = context
-        self.machine = machine
+        self.state_machine = state_machine
         self.snapshot_caches = [cache]
         self.last_slot = 0
         self.first_slot = 1
@@ -39,16 +39,16 @@
         self._cached_state: tuple[int, bytes] | None = None
 
     def recover(self, durable: DurableState) -> None:
-        """Begin from what the disk gave back."""
+        """Restore the log from the records read from disk."""
         snapshot = durable.snapshot
         if snapshot is None:
             return
-        self.machine.restore(snapshot.state)
+        self.state_machine.restore(snapshot.state)
         self.last_slot = self._snapshot_slot = self.voters_slot = snapshot.slot
         self.state_size_bound = len(snapshot.state)
         self.first_slot = snapshot.slot + 1
         self.voters = list(snapshot.voters)
-        # Entries before the snapshot only serve those who are a little behind.
+        # Entries before the snapshot are kept for nodes that are slightly behind.
         while self.first_slot - 1 in durable.chosen:
             self.first_slot -= 1
             self._store(self.first_slot, durable.chosen[self.first_slot])
@@ -56,12 +56,12 @@
             self.append(durable.chosen[self.last_slot + 1])
 
     def append(self, entry: Entry) -> int:
-        """Apply the entry chosen at the next slot; returns the slot."""
+        """Apply the entry chosen at the next slot and return the slot."""
         slot = self.last_slot + 1
         self._store(slot, entry)
         self.last_slot = slot
         self._bytes_since_snapshot += entry_size(entry)
-        self.machine.apply(slot, entry)
+        self.state_machine.apply(slot, entry)
         if isinstance(entry, VotersEntry):
             self.voters = list(entry.voters)
             self.voters_slot = slot
@@ -74,8 +74,8 @@
         self.size_bytes += entry_size(entry)
 
     def install(self, snapshot: Snapshot) -> SnapshotRecord:
-        """Replace the state by a newer one; returns the record that is to be on disk."""
-        self.machine.restore(snapshot.state)
+        """Replace the state with a newer snapshot and return the record to be written."""
+        self.state_machine.restore(snapshot.state)
         self.last_slot = self._snapshot_slot = self.voters_slot = snapshot.slot
         self.first_slot = snapshot.slot + 1
         self._entries = {}
@@ -86,30 +86,30 @@
         self.voters = list(snapshot.voters)
         return SnapshotRecord(self.last_slot, snapshot.state, self.voters, self.first_slot)
 
-    # What is known elsewhere
+    # Progress of other nodes
 
     def observe_slot(self, slot: int) -> None:
-        """Note that another machine knows the slots up to `slot`."""
+        """Record that another node knows the slots up to `slot`."""
         self.highest_known_slot = max(self.highest_known_slot, slot)
 
     def is_far_behind(self) -> bool:
-        """Whether others are known to know many slots that are not known here."""
+        """Whether other nodes are known to be many slots ahead."""
         return self.highest_known_slot - self.last_slot > _FAR_BEHIND_SLOTS
 
     # Entries
 
     def entry_at(self, slot: int) -> Entry | None:
-        """Return the entry chosen at `slot` if it is kept."""
+        """Return the entry chosen at `slot` if it is still kept."""
         return self._entries.get(slot)
 
     def entries_from(self, slot: int) -> list[Entry] | None:
-        """Return what was chosen from `slot` on; None where that is no longer kept."""
+        """Return the entries from `slot` on, or None if some of them are no longer kept."""
         if slot < self.first_slot:
             return None
         return [self._entries[at] for at in range(slot, self.last_slot + 1)]
 
     def run_from(self, slot: int, max_bytes: int, at_least_one: bool) -> list[Entry]:
-        """Return the entries from `slot` on that fit into `max_bytes`."""
+        """Return consecutive entries from `slot` on that fit into `max_bytes`."""
         run: list[Entry] = []
         size = 0
         for at in range(slot, self.last_slot + 1):
@@ -120,7 +120,7 @@
         return run
 
     def is_longer_than_state(self, slot: int) -> bool:
-        """Whether a snapshot is shorter than the log from `slot` on."""
+        """Whether the log from `slot` on is larger than a snapshot."""
         bound = max(self.state_size_bound, 4 * self._context.timing.max_run_bytes)
         if self.size_bytes <= bound:
             return False
@@ -129,17 +129,17 @@
     # Snapshots
 
     def state(self) -> bytes:
-        """Return the applied state as bytes."""
+        """Return the serialized state after `last_slot`."""
         if self._cached_state is not None and self._cached_state[0] == self.last_slot:
             return self._cached_state[1]
-        state = self.machine.snapshot()
+        state = self.state_machine.snapshot()
         self.state_size_bound = len(state)
-        # Only a small one is kept: it is asked for by several at a time.
+        # Only a small state is cached, because several nodes may request it at the same time.
         self._cached_state = (self.last_slot, state) if len(state) <= self._context.timing.chunk_bytes else None
         return state
 
     def is_state_large(self) -> bool:
-        """Whether the state travels in chunks. The bound is made exact where it is small."""
+        """Whether the state is transferred in chunks. Recomputes a small size bound exactly first."""
         if self.state_size_bound <= 4 * self._context.timing.chunk_bytes:
             self.state()
         return self.state_size_bound > self._context.timing.chunk_bytes
@@ -149,14 +149,13 @@
         return Snapshot(self.last_slot, self.state(), self.voters)
 
     def compressed_snapshot(self) -> CompressedSnapshot:
-        """Return the snapshot as it travels in chunks."""
+        """Return the snapshot in the compressed form that is transferred in chunks."""
         return compress_snapshot(self.snapshot(), self._context.timing.compression_level, self._context.now)
 
     def compact(self) -> list[SnapshotRecord]:
-        """Cut the log and return a snapshot to be on disk, once the log has grown enough since the last one.
+        """Compact the log and return a snapshot to be written, if the log has grown enough since the last one.
 
-        A large state is saved only when the log has grown by a quarter of it, so that what is written stays
-        in proportion to what has changed.
+        A large state is written only once the log has grown by a quarter of its size, to limit write amplification.
         """
         timing = self._context.timing
         grown_slots = self.last_slot - self._snapshot_slot
@@ -173,9 +172,9 @@
         return [SnapshotRecord(self.last_slot, self.state(), self.voters, self.first_slot)]
 
     def _may_drop_oldest(self) -> bool:
-        """Whether the oldest entry of the log may go.
+        """Whether the oldest log entry may be dropped.
 
-        While a snapshot is being downloaded from here, the log after it is what brings its receiver up to date.
+        The limits are higher for entries after a cached snapshot, because nodes that download it need them next.
         """
         timing = self._context.timing
         kept_slots = self.last_slot - self.first_slot
@@ -189,5 +188,5 @@
 
 
 def entry_size(entry: Entry) -> int:
-    """Return about how many bytes an entry takes in memory and on the wire."""
+    """Return the approximate size of an entry in bytes, in memory and on the wire."""
     return _ENTRY_OVERHEAD_BYTES + (len(entry.body) if isinstance(entry, ConfigurationEntry) else 0)
--- a/crowseam/consensus/snapshot_exchange.py
+++ b/crowseam/consensus/snapshot_exchange.py
@@ -1,4 +1,4 @@
-"""Sends and receives large snapshots for a node."""
+"""Serves and downloads large snapshots for a node."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
     decompress_snapshot,
 )
 
-_ABANDON_FACTOR = 8  # a download is given up after so many times `download_timeout_s`
+_ABANDON_FACTOR = 8  # times `download_timeout_s` without a new chunk, after which a download is abandoned
 
 
 class ReceivedSnapshot(msgspec.Struct, frozen=True):
-    """A snapshot that has been downloaded, and who sent its last chunk."""
+    """A completely downloaded snapshot and the address that sent its last chunk."""
 
     snapshot: Snapshot
     source: str
 
 
 class SnapshotExchange:
-    """One side serves chunks of this node's snapshots, the other downloads one snapshot at a time."""
+    """Serves chunks of this node's snapshots, and downloads at most one snapshot at a time."""
 
     download_type = SnapshotDownload
 
@@ -40,7 +40,7 @@
     # Sending
 
     def on_chunk_request(self, sender: str, request: SnapshotChunkRequest) -> list[Effect]:
-        """Answer with the chunk, or with an empty one where there is none."""
+        """Reply with the chunk, or with an empty one if the snapshot is not available."""
         snapshot = self._requested_snapshot(request) if self._log.voters else None
         if snapshot is None:
             return [Send(sender, SnapshotChunk(request.slot, request.digest, 0, request.offset, b""))]
@@ -57,9 +57,9 @@
     # Receiving
 
     def on_offer(self, sender: str, offer: SnapshotOffer) -> list[Effect]:
-        """Begin to download, or remember the sender as a further source."""
-        self._log.observe_slot(offer.last)
-        if self._log.voters and offer.last <= self._log.last_slot:
+        """Start a download, or record the sender as an additional source of the current one."""
+        self._log.observe_slot(offer.last_slot)
+        if self._log.voters and offer.last_slot <= self._log.last_slot:
             return []
         if self.download is None:
             return self._begin(sender)
@@ -67,38 +67,38 @@
         return []
 
     def on_chunk(self, sender: str, chunk: SnapshotChunk) -> list[Effect] | ReceivedSnapshot:
-        """Add a chunk; returns the snapshot once it is complete, else what to request next."""
+        """Add a chunk; return the snapshot once it is complete, else the next requests."""
         download = self.download
         if download is None:
             return []
         if not chunk.size:
             is_from_source = sender == download.source and chunk.digest == download.digest
-            return self._source_lacks(download) if is_from_source else []
+            return self._on_chunk_unavailable(download) if is_from_source else []
         if not download.add_chunk(chunk, self._context.now):
             return []
-        data = download.joined()
+        data = download.assemble()
         if data is None:
             return self._request(download)
         self.download = None
         if not download.is_intact(data):
             self.corrupt_downloads += 1
-            return []  # to be begun anew with the next offer
+            return []  # the next offer starts a new download
         return ReceivedSnapshot(decompress_snapshot(data), download.source)
 
     def abandon_if_overtaken(self, highest_known_slot: int) -> None:
-        """End the download if the log leads on from here, or is already beyond it."""
+        """Abandon the download if log entries are arriving instead, or the log has passed its slot."""
         if self.download is None:
             return
         if self.download.slot <= self._log.last_slot or highest_known_slot > self._log.last_slot:
             self.download = None
 
     def abandon_if_installed(self) -> None:
-        """End the download of a snapshot that is no longer newer."""
+        """Abandon the download of a snapshot that is no newer than the installed state."""
         if self.download is not None and self.download.slot <= self._log.last_slot:
             self.download = None
 
     def check_progress(self) -> list[Effect]:
-        """Turn to another source when no chunk has come for a while."""
+        """Switch to another source, or abandon the download, if no chunk has arrived for too long."""
         download, timing, now = self.download, self._context.timing, self._context.now
         if download is None or now < download.progress_checked_at + timing.chunk_timeout_s:
             return []
@@ -113,7 +113,7 @@
         return self._request(download)
 
     def next_check(self) -> float | None:
-        """Return when `check_progress` may have something to do (s)."""
+        """Return the time of the next progress check (s), or None without a download."""
         if self.download is None:
             return None
         return self.download.progress_checked_at + self._context.timing.chunk_timeout_s
@@ -130,10 +130,10 @@
     def _request(self, download: SnapshotDownload) -> list[Effect]:
         return [Send(download.source, request) for request in download.next_requests()]
 
-    def _source_lacks(self, download: SnapshotDownload) -> list[Effect]:
-        """Turn away from a source that no longer has the snapshot: to another one, or to another snapshot."""
-        download.lacking.add(download.source)
-        if not set(download.offers) <= download.lacking:
+    def _on_chunk_unavailable(self, download: SnapshotDownload) -> list[Effect]:
+        """The source no longer has the snapshot: switch to another source, or download another snapshot."""
+        download.sources_without_snapshot.add(download.source)
+        if not set(download.offers) <= download.sources_without_snapshot:
             download.switch_source(self._context.now)
             return self._request(download)
         if not download.digest:
--- a/crowseam/consensus/snapshot_transfer.py
+++ b/crowseam/consensus/snapshot_transfer.py
@@ -1,8 +1,8 @@
-"""Large snapshots in chunks: compressed and cached where they are, downloaded where they are missing.
+"""Chunked transfer of large snapshots: a cache of compressed snapshots, and the state of a download.
 
-The receiver requests each chunk, a few at a time, so that other messages on the link never wait for more than
-those few. A compressed snapshot has a digest; chunks are joined only under one digest, whoever sent them, and
-the result is used only if it has that digest.
+The receiver keeps only a few chunk requests in flight, so that other messages on the link are not delayed for long.
+Chunks are identified by the digest of the compressed snapshot and may come from different sources; the assembled
+snapshot is used only if it matches that digest.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from crowseam.consensus.messages import Snapshot, SnapshotChunk, SnapshotChunkRequest, decode, encode
 
 MAX_CACHED_SNAPSHOTS = 2
-MAX_SNAPSHOT_BYTES = 64 << 20  # compressed, and again uncompressed
+MAX_SNAPSHOT_BYTES = 64 << 20  # limit of both the compressed and the uncompressed size
 
 _NEVER = float("inf")
 
 
 class CompressedSnapshot(msgspec.Struct):
-    """A snapshot as it travels. `last_used_at`: when a chunk of it was last requested (s)."""
+    """A snapshot in transfer form; `last_used_at` is the time of the last request for one of its chunks (s)."""
 
     slot: int
     digest: bytes
@@ -31,37 +31,37 @@
     last_used_at: float
 
 
-def digested(slot: int, data: bytes, now: float) -> CompressedSnapshot:
-    """Return `data`, the state after `slot`, under its digest (SHA-256)."""
+def snapshot_with_digest(slot: int, data: bytes, now: float) -> CompressedSnapshot:
+    """Return `data`, the state after `slot`, with its SHA-256 digest."""
     return CompressedSnapshot(slot, hashlib.sha256(data).digest(), data, now)
 
 
 def compress_snapshot(snapshot: Snapshot, level: int, now: float) -> CompressedSnapshot:
-    """Compress a snapshot, slot and voters included, with zlib's `level`; to the same bytes on every machine."""
-    return digested(snapshot.slot, zlib.compress(encode(snapshot), level), now)
+    """Compress a snapshot, including slot and voters, with the given zlib level; deterministic on all machines."""
+    return snapshot_with_digest(snapshot.slot, zlib.compress(encode(snapshot), level), now)
 
 
 def decompress_snapshot(data: bytes) -> Snapshot:
-    """Return the snapshot that `compress_snapshot` was given.
+    """Return the snapshot that `compress_snapshot` compressed.
 
     Raises
     ------
     ConsensusError
-        If the bytes are no compressed snapshot.
+        If `data` is not a valid compressed snapshot.
     """
     try:
         message = decode(zlib.decompressobj().decompress(data, MAX_SNAPSHOT_BYTES))
     except zlib.error as error:
-        raise ConsensusError(f"a compressed snapshot: {error}") from error
+        raise ConsensusError(f"cannot decompress a snapshot: {error}") from error
     if not isinstance(message, Snapshot):
-        raise ConsensusError(f"a compressed {type(message).__name__} where a Snapshot is due")
+        raise ConsensusError(f"decompressed a {type(message).__name__} instead of a Snapshot")
     return message
 
 
 class SnapshotCache:
     """The compressed snapshots of one machine.
 
-    They stay unchanged while chunks of them are requested, and go `retention_s` after the last request.
+    A snapshot stays unchanged while its chunks are being requested, and expires `retention_s` after the last request.
     """
 
     def __init__(self, retention_s: float) -> None:
@@ -69,7 +69,7 @@
         self.snapshots: list[CompressedSnapshot] = []
 
     def find(self, slot: int, digest: bytes, now: float) -> CompressedSnapshot | None:
-        """Return the one of this slot and digest, and note its use."""
+        """Return the snapshot with this slot and digest and update its last use, or None."""
         for snapshot in self.snapshots:
             if (snapshot.slot, snapshot.digest) == (slot, digest):
                 snapshot.last_used_at = now
@@ -77,7 +77,7 @@
         return None
 
     def newest(self, first_log_slot: int, after_slot: int, now: float) -> CompressedSnapshot | None:
-        """Return the newest one after `after_slot` from which the log leads on, and note its use."""
+        """Return the newest snapshot after `after_slot` that the kept log follows on, and update its last use."""
         oldest = max(first_log_slot - 1, after_slot + 1 if after_slot else 0)
         usable = [snapshot for snapshot in self.snapshots if snapshot.slot >= oldest]
         best = max(usable, key=lambda snapshot: snapshot.slot, default=None)
@@ -93,9 +93,10 @@
         create: Callable[[], CompressedSnapshot],
         now: float,
     ) -> CompressedSnapshot | None:
-        """Return the snapshot that a chunk is requested of, if there is one.
+        """Return the snapshot that a chunk request refers to, or None.
 
-        `create` makes that of `last_slot`, where none serves or where it can be made as it was made elsewhere.
+        `create` makes the snapshot of `last_slot`. It is called if no cached one is usable, or if the request names
+        `last_slot`, because every machine creates the same bytes.
         """
         if not request.digest:
             if request.slot >= last_slot:
@@ -106,32 +107,33 @@
         return self.find(request.slot, request.digest, now)
 
     def add(self, snapshot: CompressedSnapshot) -> CompressedSnapshot:
-        """Keep one more, in place of the one that was requested the longest ago."""
+        """Add a snapshot, evicting the least recently used one if the cache is full."""
         while len(self.snapshots) >= MAX_CACHED_SNAPSHOTS:
             self.snapshots.remove(min(self.snapshots, key=lambda each: each.last_used_at))
         self.snapshots.append(snapshot)
         return snapshot
 
     def expire(self, now: float) -> None:
-        """Drop what nobody requests any more."""
+        """Drop snapshots that have not been requested for `retention_s`."""
         self.snapshots = [each for each in self.snapshots if now < each.last_used_at + self.retention_s]
 
     def next_expiry(self) -> float:
-        """Return when `expire` has something to do (s)."""
+        """Return the time of the next expiry (s)."""
         return min((each.last_used_at + self.retention_s for each in self.snapshots), default=_NEVER)
 
     def oldest_slot(self) -> float:
-        """Return the oldest slot from which a receiver may have to follow the log; infinite if there is none."""
+        """Return the slot of the oldest cached snapshot, infinite if there is none."""
         return min((each.slot for each in self.snapshots), default=_NEVER)
 
 
 class SnapshotDownload:
-    """One snapshot being downloaded.
+    """State of a snapshot download.
 
-    `source` is who is asked for it, `newer_than` the slot that it has to be newer than, `offers` who has a
-    large state, by when it said so, and `lacking` who no longer has this one. `began_at` is when it began,
-    `progress_checked_at` when a
-    chunk came or the source changed, `last_new_chunk_at` when the last new chunk came (steady clock, s).
+    `source` is the address that chunks are requested from, and `newer_than` the slot that the snapshot has to be
+    newer than. `offers` maps the addresses that offered a snapshot to the time of the offer, and
+    `sources_without_snapshot` has those that no longer have this snapshot. `began_at` is the start of the download,
+    `progress_checked_at` the time of the last chunk or change of source, and `last_new_chunk_at` that of the last
+    new chunk (seconds, monotonic clock).
     """
 
     def __init__(self, source: str, newer_than: int, chunk_bytes: int, window: int, now: float) -> None:
@@ -145,11 +147,11 @@
         self.chunks: dict[int, bytes] = {}
         self.requested: set[int] = set()
         self.offers: dict[str, float] = {source: now}
-        self.lacking: set[str] = set()
+        self.sources_without_snapshot: set[str] = set()
         self.began_at = self.progress_checked_at = self.last_new_chunk_at = now
 
     def next_requests(self) -> list[SnapshotChunkRequest]:
-        """Return the requests that the window allows now, and count them as sent."""
+        """Return the requests that fit into the window, and count them as in flight."""
         if not self.size:
             if self.requested:
                 return []
@@ -165,12 +167,12 @@
         return requests
 
     def add_chunk(self, chunk: SnapshotChunk, now: float) -> bool:
-        """Keep a chunk; whether it is one of this snapshot, in its place. The first one says which it is."""
+        """Add a chunk; return whether it is a valid part of this snapshot. The first chunk determines the snapshot."""
         if not self.size:
             if chunk.slot < self.newer_than + (self.newer_than > 0) or chunk.size > MAX_SNAPSHOT_BYTES:
                 return False
             self.slot, self.digest, self.size = chunk.slot, chunk.digest, chunk.size
-        if not self.is_of_this_snapshot(chunk):
+        if not self.belongs_to_snapshot(chunk):
             return False
         if chunk.offset % self.chunk_bytes or len(chunk.data) != min(self.chunk_bytes, self.size - chunk.offset):
             return False
@@ -181,29 +183,29 @@
             self.chunks[chunk.offset] = bytes(chunk.data)
         return True
 
-    def is_of_this_snapshot(self, chunk: SnapshotChunk) -> bool:
-        """Whether this chunk is of the snapshot being downloaded."""
+    def belongs_to_snapshot(self, chunk: SnapshotChunk) -> bool:
+        """Whether this chunk is part of the snapshot being downloaded."""
         return (chunk.slot, chunk.digest, chunk.size) == (self.slot, self.digest, self.size)
 
-    def joined(self) -> bytes | None:
-        """Return the whole once all chunks are here."""
+    def assemble(self) -> bytes | None:
+        """Return the complete compressed snapshot, or None while chunks are missing."""
         if not self.size or len(self.chunks) * self.chunk_bytes < self.size:
             return None
         return b"".join(data for _, data in sorted(self.chunks.items()))
 
     def is_intact(self, data: bytes) -> bool:
-        """Whether these bytes have the digest of the snapshot."""
+        """Whether `data` matches the digest of the snapshot."""
         return hashlib.sha256(data).digest() == self.digest
 
     def switch_source(self, now: float) -> None:
-        """Request the rest from another source: the one that offered last and may have it."""
-        others = [addr for addr in self.offers if addr != self.source and addr not in self.lacking]
+        """Request the remaining chunks from another source: the latest offer that may still be available."""
+        others = [addr for addr in self.offers if addr != self.source and addr not in self.sources_without_snapshot]
         self.requested.clear()
         self.progress_checked_at = now
         if others:
             self.source = max(others, key=self.offers.__getitem__)
 
     def recent_offer(self, now: float, max_age_s: float) -> str | None:
-        """Return who offered a state of its own in the last `max_age_s`, rather not the present source."""
+        """Return the address of the latest offer within `max_age_s`, preferring others to the current source."""
         recent = [addr for addr, offered_at in self.offers.items() if now - offered_at <= max_age_s]
         return max(recent, key=lambda addr: (addr != self.source, self.offers[addr]), default=None)
--- a/crowseam/consensus/state_machine.py
+++ b/crowseam/consensus/state_machine.py
@@ -1,4 +1,4 @@
-"""The interface between the log and the state that it builds."""
+"""The interface of the state machine that the replicated log drives."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class StateMachine(Protocol):
-    """The state that the log builds; called in order, within `Node.handle`, `tick` and `submit`."""
+    """Application state built from the log; called in slot order from `Node.handle`, `tick` and `submit`."""
 
     def apply(self, slot: int, entry: Entry) -> None:
-        """Apply a chosen entry. Must do the same on every machine."""
+        """Apply a chosen entry. Must be deterministic, so that all replicas reach the same state."""
 
     def snapshot(self) -> bytes:
-        """Return the state as bytes."""
+        """Serialize the state."""
         ...
 
     def restore(self, state: bytes) -> None:
-        """Replace the state by one that `snapshot` returned; b"" is the state before the first slot."""
+        """Replace the state with one that `snapshot` returned; b"" is the initial state."""
--- a/crowseam/consensus/timing.py
+++ b/crowseam/consensus/timing.py
@@ -1,4 +1,4 @@
-"""The figures of the agreement: waits, and how much of the log is kept."""
+"""Timeouts, intervals and size limits of the consensus package."""
 
 from __future__ import annotations
 
@@ -6,38 +6,42 @@
 
 
 class Timing(msgspec.Struct, frozen=True):
-    """Waits in seconds (`..._s`), sizes in bytes (`..._bytes`) and lengths of the log in slots (`..._slots`).
+    """Durations in seconds (`..._s`), sizes in bytes (`..._bytes`) and log lengths in slots (`..._slots`).
 
     Parameters
     ----------
     retransmit_interval_s, max_retransmit_interval_s
-        A question to the voters is sent again after the first, and at the latest after the second.
+        Initial and largest interval at which a request is resent to voters that have not replied.
     base_backoff_s, max_backoff_s
-        The pause after a rejected ballot doubles from the first up to the second.
+        Initial and largest backoff after a rejected ballot; it doubles with each rejection.
     request_timeout_s
-        A client request without an outcome by then ends as `OutcomeUnknown`.
+        A client request without an outcome after this time completes as `OutcomeUnknown`.
     poll_interval_s, poll_all_voters
-        How often other voters are asked for news of the log. Unless all of them are, the owner has to call
-        `Node.record_contact` for every voter more often than `replace_after_s`.
+        How often other voters are asked for new log entries, and whether all of them or one at random is asked.
+        If not all are, the owner has to call `Node.record_contact` for every voter more often than
+        `replace_after_s`.
     in_doubt_vote_timeout_s
-        A vote whose proposer falls silent is brought to an end after this.
+        A vote whose ballot is still undecided after this time is resolved by a new ballot.
     join_interval_s
-        Between two requests to join or to leave.
+        Interval between two requests to join or to leave.
     suspect_after_s, replace_after_s, evict_after_s
-        Silence after which a voter may be gone, may be replaced, and may be removed with no replacement.
+        Time without contact after which a voter is suspected, may be replaced, and may be removed without a
+        replacement.
     turn_interval_s
-        What each voter waits for every voter that comes before it in proposing a change of voters.
+        Delay per rank before a voter proposes a change of voters, so that one voter proposes at a time.
     kept_slots, max_kept_slots, max_log_bytes
-        The log is kept for the first, and while it is shorter than half of the state, up to the others.
+        The newest `kept_slots` entries are kept; older ones are kept up to the other two limits while the log is
+        smaller than half of the state.
     max_run_bytes
-        What a message may carry of the log.
+        Size limit of the log entries in one message.
     chunk_bytes, chunk_window, chunk_timeout_s, download_timeout_s
-        A larger state travels compressed in chunks, so many requested at a time. Without one for the third,
-        another source is tried; without a new one for the fourth, another snapshot.
+        A state larger than `chunk_bytes` is transferred compressed and in chunks of that size, with up to
+        `chunk_window` requests in flight. If no chunk arrives for `chunk_timeout_s`, the download switches to
+        another source; if no new chunk arrives for `download_timeout_s`, to another snapshot.
     snapshot_retention_s
-        How long a compressed snapshot is kept after a chunk of it was last requested.
+        How long a compressed snapshot is cached after the last request for one of its chunks.
     compression_level
-        Of zlib.
+        zlib level for snapshots.
     """
 
     retransmit_interval_s: float = 0.12
--- a/crowseam/controller/api.py
+++ b/crowseam/controller/api.py
@@ -28,7 +28,7 @@
 from crowseam.membership.role_leases import RoleLeases
 from crowseam.membership.sessions import SessionTable
 from crowseam.operations.records import OperationRecord
-from crowseam.quotas.shards import KEYS
+from crowseam.quotas.shards import ROLE_KEYS
 from crowseam.transport.http import Call
 from crowseam.transport.links import Link
 
@@ -158,7 +158,7 @@
 
     def call_duties(self, call: Call, _: str, now: float) -> None:
         """Return who holds which role."""
-        self._show(call, {key: self.role_leases.holder(key, now) for key in KEYS}, now)
+        self._show(call, {key: self.role_leases.holder(key, now) for key in ROLE_KEYS}, now)
 
     def call_operations(self, call: Call, key: str, now: float) -> None:
         """Return what this controller keeps of keyed operations, or of one, named by its digest in hexadecimal."""
@@ -204,7 +204,7 @@
                 "servers": len(self.registry.snapshot(now)),
                 "silent": self.gateways.server_feed.silent,
                 "disk_late_s": self.store.overdue_s(),
-                "unreadable": Link.unreadable,
+                "unreadable": Link.unreadable_messages,
             },
             now,
         )
@@ -213,7 +213,7 @@
         """Return the metrics, for Prometheus."""
         from crowseam.metrics import exposition, families
 
-        exposition.answer(call, self.loop, families.of_controller(self, now))
+        exposition.answer_scrape(call, self.loop, families.of_controller(self, now))
 
     def call_readyz(self, call: Call, _: str, __: float) -> None:
         """Return whether calls should come here.
--- a/crowseam/controller/configuration_feed.py
+++ b/crowseam/controller/configuration_feed.py
@@ -12,7 +12,7 @@
     SnapshotOffer,
 )
 from crowseam.consensus.node import Node
-from crowseam.consensus.snapshot_transfer import CompressedSnapshot, SnapshotCache, digested
+from crowseam.consensus.snapshot_transfer import CompressedSnapshot, SnapshotCache, snapshot_with_digest
 from crowseam.controller.state_machine import ConfigurationStateMachine
 from crowseam.transport.codec import pack
 from crowseam.transport.links import Link, frame
@@ -128,7 +128,7 @@
         """Answer a gateway that downloads a large configuration."""
 
         def create() -> CompressedSnapshot:
-            return digested(self.node.last_slot, pack(self.machine.config.dump()), now)
+            return snapshot_with_digest(self.node.last_slot, pack(self.machine.config.dump()), now)
 
         node = self.node
         snapshot = self.cache.find_or_create(request, node.first_slot, node.last_slot, create, now)
--- a/crowseam/controller/daemon.py
+++ b/crowseam/controller/daemon.py
@@ -220,7 +220,7 @@
             return
         for seed in settings.seeds:
             self.peers.add(seed)
-        self.node.contacts = [seed for seed in settings.seeds if seed != self.peers.me]
+        self.node.bootstrap_addrs = [seed for seed in settings.seeds if seed != self.peers.me]
 
     def stop(self) -> None:
         """Release roles, leave the voters, answer what waits, end: `stopped` is then done."""
--- a/crowseam/controller/gateway_sessions.py
+++ b/crowseam/controller/gateway_sessions.py
@@ -85,7 +85,7 @@
         if not self.protocol_check.matches(message.gateway, message.protocol):
             # It is told our version, logs that, and tries another controller.
             link.send(SessionOpened(self.peers.me, [], self.protocol_check.ours))
-            link.finish()
+            link.close_when_flushed()
             return
         link.peer = message.gateway
         earlier = self.sessions.get(message.gateway)
--- a/crowseam/controller/lease_service.py
+++ b/crowseam/controller/lease_service.py
@@ -18,7 +18,7 @@
 from crowseam.quotas.lease_grantor import GrantorTerms, QuotaLeaseGrantor
 from crowseam.quotas.lease_messages import LeaseReport, QuotaLease
 from crowseam.quotas.reserve import QuotaReserve
-from crowseam.quotas.shards import KEYS, shard_of
+from crowseam.quotas.shards import ROLE_KEYS, shard_of
 from crowseam.storage.records import Note
 from crowseam.transport.messages import (
     ForwardedLease,
@@ -75,7 +75,7 @@
 
     def sort_tenants(self) -> None:
         """Find the tenants of each role anew; to be called with each new configuration."""
-        self._limited = {key: [] for key in KEYS}
+        self._limited = {key: [] for key in ROLE_KEYS}
         for (_, name), item in self.machine.config.items.items():
             if isinstance(item.spec, TenantSpec) and item.spec.rate_per_s:
                 self._limited[shard_of(name)].append(name)
@@ -143,7 +143,7 @@
     def on_gateway_report(self, session: GatewaySession, report: GatewayReport, now: float) -> None:
         """Take a gateway's demand and what it holds; its leases come from here, or from the holders of the roles."""
         for key, held in report.held.items():
-            if key not in KEYS:
+            if key not in ROLE_KEYS:
                 continue
             demand = {tenant: rate for tenant, rate in report.demand.items() if shard_of(tenant) == key}
             holder = self.role_leases.holder(key, now)
--- a/crowseam/controller/operation_service.py
+++ b/crowseam/controller/operation_service.py
@@ -77,7 +77,7 @@
         self.replica = self.replica_type(voter_id, retention, max_bytes(settings), now)
         self.coordinator = self.coordinator_type(first_number)
         self.catch_up = self.catch_up_type(
-            voter_id, store.has_counted_for_operations, retention.longest(MAX_SEND_WITHIN_S)
+            voter_id, store.has_counted_for_operations, retention.max_retention_s(MAX_SEND_WITHIN_S)
         )
         self._view: _VoterView | None = None
         self._expired_at = now
--- a/crowseam/controller/parts.py
+++ b/crowseam/controller/parts.py
@@ -36,7 +36,7 @@
 from crowseam.discovery.voter_catch_up import VoterCatchUp
 from crowseam.membership.role_leases import RoleLeases
 from crowseam.membership.sessions import SessionTable
-from crowseam.quotas.shards import KEYS
+from crowseam.quotas.shards import ROLE_KEYS
 from crowseam.settings import Settings
 from crowseam.storage.store import Store
 from crowseam.transport.links import Link
@@ -106,12 +106,12 @@
         rng,
         Timing(poll_all_voters=False),
         voting=store.writer is not None and settings.voting,
-        survive=settings.survive.nodes,
-        contacts=[seed for seed in settings.seeds if seed != me],
+        tolerated_failures=settings.survive.nodes,
+        bootstrap_addrs=[seed for seed in settings.seeds if seed != me],
     )
     registry = ServiceRegistry(incarnation, now)
     session_table = SessionTable(me, incarnation)
-    role_leases = RoleLeases(me, rng, now, KEYS, remembered=store.granted_roles())
+    role_leases = RoleLeases(me, rng, now, ROLE_KEYS, saved_notes=store.granted_roles())
     anti_entropy = AntiEntropy(registry)
     acknowledgements = PendingAcknowledgements(me, first_number)
     catch_up = VoterCatchUp(store.durable.id or "", store.has_counted)
--- a/crowseam/controller/peers.py
+++ b/crowseam/controller/peers.py
@@ -97,7 +97,7 @@
         addr = greeting.addr
         if not self.protocol_check.matches(addr, greeting.protocol):
             link.send(self._greeting())
-            link.finish()
+            link.close_when_flushed()
             self._reject(addr)
             return
         link.peer = addr
@@ -108,8 +108,8 @@
         self.add(addr)
         dialer = self.dialers.get(addr)
         if dialer is not None:
-            dialer.accepted()
-            dialer.hasten()
+            dialer.on_version_match()
+            dialer.retry_now()
         self._note_alive(addr, clock.monotonic())
 
     def on_returned_greeting(self, addr: str, greeting: PeerGreeting, _: float) -> None:
@@ -120,7 +120,7 @@
     def _reject(self, addr: str) -> None:
         dialer = self.dialers.get(addr)
         if dialer is not None:
-            dialer.rejected()
+            dialer.on_version_mismatch()
 
     def on_heartbeat(self, addr: str, heartbeat: PeerHeartbeat, now: float) -> None:
         """Take a sign of life, and whom its sender knows."""
--- a/crowseam/controller/state_machine.py
+++ b/crowseam/controller/state_machine.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from crowseam.configuration.errors import ConfigurationError
-from crowseam.configuration.model import EMPTY, Change, Configuration, judge
+from crowseam.configuration.model import EMPTY, Change, Configuration, apply_change
 from crowseam.configuration.text import version_text
 from crowseam.consensus.messages import ConfigurationEntry, Entry
 
@@ -137,7 +137,7 @@
         if self.config.ver < change.parent < change.ver:
             return UnknownParent(self.config.ver, change.parent)
         try:
-            judge(self.config, change)
+            apply_change(self.config, change)
         except ConfigurationError as error:
             return error
         return ConfigurationEntry(proposal_id, change.ver, change.parent, change.whole, change.body, change.digest)
--- a/crowseam/discovery/__init__.py
+++ b/crowseam/discovery/__init__.py
@@ -1,4 +1,5 @@
-"""What servers report of themselves: a mergeable registry, its repair, and acknowledgements by a majority.
+"""Service discovery: a mergeable registry of servers, its anti-entropy, and acknowledgements by a majority.
 
-Nothing here reads a clock or does input or output: times are seconds of a steady clock and come in as parameters.
+Nothing here reads a clock or does input or output: times are seconds of a monotonic clock and are passed as
+parameters.
 """
--- a/crowseam/discovery/anti_entropy.py
+++ b/crowseam/discovery/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Anti-entropy between two copies of the registry: digests over ranges of ids, then the records that differ.
+"""Anti-entropy between two copies of the registry: compares digests, then sends the records that differ.
 
-A round costs one short digest while the copies agree. The one that sees a difference answers with digests over
-ranges, the other with its records of the ranges that differ, and gets back only those it lacks or has older. Records
-are merged, so that no copy can take another back.
+A round costs one short digest while the copies agree. A peer that sees a difference answers with digests over ranges
+of ids. The other one answers with its records of the differing ranges, and receives those that it lacks or has older.
+Records are merged, so no copy can revert another one.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from crowseam.discovery.service_registry import ServiceRegistry
 
 RANGES = 16
-MAX_RANGES = 1024  # that a peer may ask about
+MAX_RANGES = 1024  # accepted in a peer's message
 _MAX_CACHED = 4
 _DIGEST_BYTES = 8
 _HASH_BYTES = 4
@@ -25,13 +25,13 @@
 
 
 class DigestOffer(msgspec.Struct, frozen=True, array_like=True, tag="digests"):
-    """Digests over equal parts of the ids, in order; a single one stands for the whole registry."""
+    """Digests over equal ranges of the ids, in order; a single one covers the whole registry."""
 
     ranges: list[bytes]
 
 
 class RangeRecords(msgspec.Struct, frozen=True, array_like=True, tag="range"):
-    """All the sender's records in some of `count` ranges. `reply` asks for what the sender lacks."""
+    """All of the sender's records in the given ones of `count` ranges. `reply` asks for what the sender lacks."""
 
     count: int
     ranges: list[int]
@@ -40,7 +40,7 @@
 
 
 class RoundStep(NamedTuple):
-    """What to send back to a peer, and how many records changed here."""
+    """The messages to send back to a peer, and how many records changed here."""
 
     replies: list[DigestOffer | RangeRecords]
     changed: int
@@ -52,7 +52,7 @@
 
 
 def range_of(ident: str, count: int) -> int:
-    """Return the range, 0 to `count` - 1, that an id falls into."""
+    """Return the range of an id, 0 to `count` - 1."""
     return int.from_bytes(hashlib.blake2b(ident.encode(), digest_size=_HASH_BYTES).digest()) * count >> 32
 
 
@@ -65,23 +65,23 @@
 
 
 def differing_ranges(ours: list[bytes], theirs: list[bytes]) -> list[int]:
-    """Return the ranges that differ. Raises ValueError for lists of different length."""
+    """Return the ranges that differ. Raises ValueError for lists of different lengths."""
     return [number for number, (one, other) in enumerate(zip(ours, theirs, strict=True)) if one != other]
 
 
 class AntiEntropy:
-    """Keeps one registry alike with those of others; an offer goes to each of them about once a second."""
+    """Synchronizes one registry with those of other controllers; each is sent an offer about once a second."""
 
     def __init__(self, registry: ServiceRegistry) -> None:
         self._registry = registry
         self._cache: dict[int, _CachedDigests] = {}  # by number of ranges
 
     def offer(self, now: float) -> DigestOffer:
-        """Return what to send to a peer to begin a round."""
+        """Return the message that starts a round with a peer."""
         return DigestOffer(self._digests(1, now))
 
     def handle(self, message: DigestOffer | RangeRecords, now: float) -> RoundStep:
-        """Take a peer's message."""
+        """Handle a peer's message."""
         if isinstance(message, DigestOffer):
             return RoundStep(self._compare(message, now), 0)
         changed = sum(self._registry.merge(record, now) for record in message.records)
--- a/crowseam/discovery/drain_status.py
+++ b/crowseam/discovery/drain_status.py
@@ -1,4 +1,7 @@
-"""Who still has requests in flight at servers that leave, and when these are safe to switch off."""
+"""Which gateways still have requests in flight at leaving servers, and when it is safe to switch these off.
+
+A leaving server is draining, gone, or retired by an operator.
+"""
 
 from __future__ import annotations
 
@@ -8,11 +11,11 @@
 
 from crowseam.discovery.service_registry import LeavingServer
 
-LOST_GATEWAY_KEPT_S = 60.0  # for which a gateway that was lost from sight holds back that a server is safe
+LOST_GATEWAY_RETENTION_S = 60.0  # how long a lost gateway prevents servers from being reported as safe
 
 
 class DrainedServer(msgspec.Struct, frozen=True):
-    """What an operator gets to see of a server that leaves. The fields have the names of the control API."""
+    """The status of a leaving server as shown to an operator. Fields have the names of the control API."""
 
     id: str
     svc: str
@@ -29,11 +32,12 @@
 
 
 class DrainStatusQuery:
-    """One look at what gateways still have in flight at servers that leave, from all who can tell.
+    """Collects the requests in flight at leaving servers from all gateways.
 
-    `own_gateways` are those asked by ourselves, `controllers` those asked for theirs, `other_gateways` the gateways
-    that are known to be with these. `in_flight` has what each gateway told, by server; None while it has told
-    nothing. `lost_gateways` are lost from sight, by seconds, and `ages_s` how long servers have been leaving.
+    `own_gateways` are queried directly, `controllers` are queried for their gateways, and `other_gateways` are known
+    to be connected to those. `in_flight` holds each gateway's answer, by server; None until it has answered.
+    `lost_gateways` maps gateways without a session to the seconds since then, and `ages_s` holds for how long servers
+    have been leaving.
     """
 
     def __init__(
@@ -46,7 +50,7 @@
         self.ages_s: dict[str, float] = {}
 
     def add_gateway(self, name: str, in_flight: dict[str, int]) -> None:
-        """Take the answer of a gateway that knows of the servers: its requests by server; others have none."""
+        """Record the answer of a gateway that knows of the leaving servers: requests in flight by server, if any."""
         self.in_flight[name] = in_flight
         self.waiting_gateways.discard(name)
 
@@ -57,7 +61,7 @@
         lost_gateways: Mapping[str, float],
         ages_s: Mapping[str, float],
     ) -> None:
-        """Take what another controller gathered."""
+        """Merge what another controller has collected."""
         self.waiting_controllers.discard(addr)
         for gateway, requests in in_flight.items():
             if requests is not None or gateway not in self.in_flight:
@@ -69,33 +73,35 @@
 
     @property
     def is_complete(self) -> bool:
-        """Whether all have answered that were asked."""
+        """Whether all queried gateways and controllers have answered."""
         return not (self.waiting_gateways or self.waiting_controllers)
 
     def missing_gateways(self) -> dict[str, float]:
-        """Return the gateways lost from sight, by seconds; those that have answered since are none."""
+        """Return the lost gateways with the seconds since then, without those that have answered."""
         return {
             gateway: lost_s
             for gateway, lost_s in sorted(self.lost_gateways.items())
-            if gateway not in self.in_flight and lost_s < LOST_GATEWAY_KEPT_S
+            if gateway not in self.in_flight and lost_s < LOST_GATEWAY_RETENTION_S
         }
 
-    def report(self, leaving: Iterable[LeavingServer], is_in_touch: bool, wall_time: float) -> list[DrainedServer]:
-        """Return what an operator gets to see of each server; `wall_time` is the time of day in seconds.
+    def report(
+        self, leaving: Iterable[LeavingServer], is_majority_reachable: bool, wall_time: float
+    ) -> list[DrainedServer]:
+        """Return the status of each server; `wall_time` is the time of day in seconds.
 
-        A server is safe to switch off when every gateway that may know of it has confirmed that it leaves, and
-        none has a request in flight there.
+        A server is safe to switch off when every gateway that may know it has confirmed that it is leaving, and none
+        has a request in flight there.
         """
         unconfirmed = sorted(gateway for gateway, requests in self.in_flight.items() if requests is None)
-        all_confirmed = is_in_touch and not unconfirmed and not self.missing_gateways()
-        return [self._row(server, unconfirmed, all_confirmed, wall_time) for server in leaving]
+        all_confirmed = is_majority_reachable and not unconfirmed and not self.missing_gateways()
+        return [self._server_status(server, unconfirmed, all_confirmed, wall_time) for server in leaving]
 
-    def _row(
+    def _server_status(
         self, server: LeavingServer, unconfirmed: list[str], all_confirmed: bool, wall_time: float
     ) -> DrainedServer:
         record = server.record
         age_s = max(server.age_s, self.ages_s.get(record.id, 0.0))
-        busy = {
+        in_flight = {
             gateway: requests[record.id]
             for gateway, requests in sorted(self.in_flight.items())
             if requests is not None and requests.get(record.id)
@@ -110,7 +116,7 @@
             since=round(wall_time - age_s, 3),
             for_s=round(age_s, 3),
             silent_s=round(record.silence_s, 3),
-            under_way=busy,
+            under_way=in_flight,
             unconfirmed=unconfirmed,
-            safe=all_confirmed and not busy,
+            safe=all_confirmed and not in_flight,
         )
--- a/crowseam/discovery/errors.py
+++ b/crowseam/discovery/errors.py
@@ -1,8 +1,8 @@
-"""The errors of service discovery."""
+"""Errors of service discovery."""
 
 
 class DiscoveryError(Exception):
-    """A server's report cannot be taken: `field` names the part at fault, `reason` says why."""
+    """A server's report is invalid: `field` names the offending part, `reason` the problem."""
 
     def __init__(self, field: str, reason: str) -> None:
         super().__init__(f"{field}: {reason}")
@@ -11,8 +11,8 @@
 
 
 class NoMajorityError(Exception):
-    """No majority of the voters can be reached, so nothing may be acknowledged."""
+    """No majority of the voters is reachable, so nothing can be acknowledged."""
 
 
 class RetirementRaceError(Exception):
-    """Others retire the same server and take it back at the same time."""
+    """The same server is being retired and restored concurrently."""
--- a/crowseam/discovery/heartbeat.py
+++ b/crowseam/discovery/heartbeat.py
@@ -1,4 +1,4 @@
-"""The body of a server's report (PUT /-/backends/ID), read and checked."""
+"""Parses and validates the body of a server's report (PUT /-/backends/ID)."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 _MAX_PORT = 65535
 _PORT_DIGITS = 5
 _TIME = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s)")
-_NAME = re.compile(r"[!-.0-~]{1,200}")  # printable, no slash, no blank
-_FIELD = re.compile(r"`(\$[^`]*)`$")
+_NAME = re.compile(r"[!-.0-~]{1,200}")  # printable ASCII without slash and space
+_FIELD_PATH = re.compile(r"`(\$[^`]*)`$")
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """A report as read and checked; `warm` is how much longer the server stays slow, in ms.
+    """A validated report; `warm` is the remaining time of the server's slow start in ms.
 
     The other fields are those of `ServerRecord`.
     """
@@ -55,11 +55,11 @@
     stat: _Stat
 
 
-_bodies = msgspec.json.Decoder(_Body)
+_body_decoder = msgspec.json.Decoder(_Body)
 
 
 def parse_time(text: str, field: str = "time") -> int:
-    """Return a time as written in bodies (`1500ms`, `2.5s`) in whole ms. Raises DiscoveryError."""
+    """Return a duration such as `1500ms` or `2.5s` in whole ms. Raises DiscoveryError."""
     match = _TIME.fullmatch(text)
     if match is None:
         raise DiscoveryError(field, "must be a number followed by ms or s")
@@ -67,14 +67,14 @@
 
 
 def check_id(ident: str) -> str:
-    """Return a server's id if it can be one. Raises DiscoveryError."""
+    """Return a server's id if it is valid. Raises DiscoveryError."""
     if _NAME.fullmatch(ident) is None:
         raise DiscoveryError("id", "must be 1 to 200 printable characters without a slash")
     return ident
 
 
 def parse_heartbeat(ident: str, body: bytes) -> Heartbeat:
-    """Return the report in `body`. Raises DiscoveryError naming the part at fault."""
+    """Parse a report. Raises DiscoveryError, which names the offending part."""
     check_id(ident)
     report = _decode(body)
     addr = _checked_address(report.addr)
@@ -86,9 +86,9 @@
 
 def _decode(body: bytes) -> _Body:
     try:
-        return _bodies.decode(body)
+        return _body_decoder.decode(body)
     except msgspec.ValidationError as error:
-        where = _FIELD.search(str(error))
+        where = _FIELD_PATH.search(str(error))
         field = where[1].removeprefix("$").removeprefix(".") if where else ""
         raise DiscoveryError(field or "body", str(error)) from error
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -108,7 +108,7 @@
 
 
 def _checked_fields(summary: _Summary, stat: _Stat) -> Phase:
-    """Check the other fields; returns the phase."""
+    """Validate the remaining fields, and return the phase."""
     if _NAME.fullmatch(summary.svc) is None:
         raise DiscoveryError("summary.svc", "must be a name")
     if not 0 < summary.slots <= MAX_SLOTS:
--- a/crowseam/discovery/retirement_call.py
+++ b/crowseam/discovery/retirement_call.py
@@ -1,4 +1,4 @@
-"""An operator's call that retires servers, or takes that back."""
+"""An operator's call that retires servers, or restores them."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from crowseam.discovery.server_record import ServerRecord
 from crowseam.discovery.service_registry import ServiceCapacity
 
-MIN_CAPACITY_FRACTION = 1 / 3  # of the slots of a service; a retirement that leaves less has to be forced
-MAX_WRITES = 3  # of one server, before it is taken for a race
+MIN_CAPACITY_FRACTION = 1 / 3  # of the slots of a service; a retirement that leaves less must be forced
+MAX_WRITES = 3  # writes of one server before a concurrent change is reported
 
 
 def services_below_minimum(capacity: Mapping[str, ServiceCapacity]) -> list[str]:
@@ -27,11 +27,11 @@
 
 
 class RetirementCall:
-    """Servers to retire or take back, until a majority of the voters has each.
+    """Retires or restores servers until a majority of the voters has each change.
 
-    Our own copy may be behind what another controller acknowledged, so what a majority has may turn out to be
-    later than what we wrote, and the opposite of it. Then it is written once more on top of that. `pending` are
-    the servers that no majority has yet, `changed` those that were written.
+    Our own copy may lag behind what another controller has acknowledged. The majority's record may then turn out to
+    be newer than what we wrote and contradict it, in which case the change is written again on top of it. `pending`
+    are the servers that no majority has yet, `changed` those that were written.
     """
 
     def __init__(self, idents: Iterable[str], is_retired: bool) -> None:
@@ -42,12 +42,12 @@
         self._writes = dict.fromkeys(self.idents, 0)
 
     def needs_rewrite(self, ident: str, record: ServerRecord | None) -> bool:
-        """Take that a majority has `record`, our newest of this server; whether it has to be written again.
+        """Record that a majority has `record`, and return whether the change must be written again on top of it.
 
         Raises
         ------
         RetirementRaceError
-            If that has been so too often.
+            If the change had to be written too often.
         """
         if record is None or record.phase == "gone" or record.is_retired == self.is_retired:
             self.pending.discard(ident)
--- a/crowseam/discovery/server_record.py
+++ b/crowseam/discovery/server_record.py
@@ -1,8 +1,8 @@
-"""A server's record: groups of fields that each merge by themselves, so copies can merge in any order.
+"""A server's record: groups of fields that merge independently, so that copies can be merged in any order.
 
-The phase only ever moves towards `gone`, the description follows the higher `seq`, the operator's retirement the
-higher epoch. Times travel as ages, because steady clocks of two machines cannot be compared; each copy keeps them
-against its own clock.
+The phase only moves towards `gone`, the description follows the higher `seq`, the operator's retirement the higher
+epoch. Times are sent as ages because the monotonic clocks of two machines are not comparable; each copy tracks them
+by its own clock.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class ServerRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is known of one incarnation of a server. The fields have the names that the control API gives them.
+    """What is known of one incarnation of a server. Fields have the names of the control API.
 
-    `svc` is its service, `addr` its address, `az` its zone, `ver` the version of its software, `slots` how many
-    requests it runs at a time, `seq` the number of its newest report. `warm` (ms left of its slow start), `born`
-    (ms since its first report) and `quiet` (ms since its last report, or since it was gone) hold for the moment at
-    which this copy was made. `retired` counts the operator's changes: odd while the server is retired.
+    `svc` is its service, `addr` its address, `az` its zone, `ver` its software version, `slots` how many requests it
+    processes concurrently, `seq` the number of its newest report. `warm` (remaining ms of its slow start), `born` (ms
+    since its first report) and `quiet` (ms since its last report, or since it was gone) are ages as of when this copy
+    was made. `retired` counts the operator's changes: odd while the server is retired.
     """
 
     id: str
@@ -45,12 +45,12 @@
 
     @property
     def is_retired(self) -> bool:
-        """Whether an operator has taken it out of use."""
+        """Whether an operator has taken it out of service."""
         return self.retired % 2 == 1
 
     @property
     def must_be_remembered(self) -> bool:
-        """Whether this says what nobody may forget: it drains, is gone, or an operator decided on it."""
+        """Whether the record contains state that must not be lost: draining, gone, or changed by an operator."""
         return self.phase != "up" or self.retired > 0
 
     @property
@@ -60,7 +60,7 @@
 
 
 class ReplicatedFields(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """The part of a record whose change others have to hear of."""
+    """The fields of a record whose changes are replicated."""
 
     id: str
     svc: str
@@ -73,7 +73,7 @@
 
 
 def replicated_fields(record: ServerRecord) -> ReplicatedFields:
-    """Return the part of a record whose change others have to hear of."""
+    """Return the fields of a record whose changes are replicated."""
     return ReplicatedFields(
         record.id, record.svc, record.addr, record.az, record.ver, record.slots, record.phase, record.retired
     )
@@ -84,7 +84,7 @@
 
 
 def later_phase(one: Phase, other: Phase) -> Phase:
-    """Return the phase that comes later in a server's life."""
+    """Return the later of two phases of a server's life cycle."""
     return max(one, other, key=PHASE_ORDER.__getitem__)
 
 
@@ -93,7 +93,7 @@
     newer = max(one, other, key=_description)
     if (one.phase == "gone") == (other.phase == "gone"):
         quiet = min(one.quiet, other.quiet)
-    else:  # the age of a tombstone counts from the end, not from reports that came before it
+    else:  # the age of a tombstone counts from the end, not from earlier reports
         quiet = one.quiet if one.phase == "gone" else other.quiet
     return ServerRecord(
         id=newer.id,
@@ -104,7 +104,7 @@
         slots=newer.slots,
         phase=later_phase(one.phase, other.phase),
         seq=newer.seq,
-        # The end of a slow start is never put off: some servers report what is left, some the whole.
+        # The end of a slow start is never postponed: some servers report the remaining time, others always the total.
         warm=min(one.warm, other.warm),
         retired=max(one.retired, other.retired),
         born=max(one.born, other.born),
@@ -113,7 +113,7 @@
 
 
 def aged(record: ServerRecord, seconds: float) -> ServerRecord:
-    """Return the same copy `seconds` later."""
+    """Return the record as it is `seconds` later."""
     ms = int(seconds * MS_PER_S)
     if ms <= 0:
         return record
--- a/crowseam/discovery/service_registry.py
+++ b/crowseam/discovery/service_registry.py
@@ -1,4 +1,4 @@
-"""The registry of servers: state that any two copies can merge in any order (see `server_record`)."""
+"""The registry of servers, whose copies can be merged in any order (see `server_record`)."""
 
 from __future__ import annotations
 
@@ -10,31 +10,31 @@
 from crowseam.discovery.heartbeat import Heartbeat
 from crowseam.discovery.server_record import MS_PER_S, ServerRecord, aged, merge, replicated_fields
 
-FORGET_AFTER_S = 30.0  # of silence, after which a server that never said that it ends is dropped
-TOMBSTONE_S = 60.0  # for which a server that is gone is remembered as such
-RETIRED_KEPT_S = 600.0  # of silence, for which an operator's retirement outlives the server's heartbeats
-_MIN_RETENTION_S = min(FORGET_AFTER_S, TOMBSTONE_S, RETIRED_KEPT_S)
-MAX_QUIET_S = 5.0  # a longer gap with no report from anybody is taken for a fault of this machine
-SUCCESSOR_SILENCE_MS = 1000  # for which an older server must be silent before a newer one takes its address over
-OTHER_SILENCE_MS = 10_000  # after which any other server that reports takes the address over
+FORGET_AFTER_S = 30.0  # of silence, after which a server that never announced its end is dropped
+TOMBSTONE_RETENTION_S = 60.0  # how long a server that is gone is remembered
+RETIRED_RETENTION_S = 600.0  # of silence, after which a retired server is dropped
+_MIN_RETENTION_S = min(FORGET_AFTER_S, TOMBSTONE_RETENTION_S, RETIRED_RETENTION_S)
+MAX_REPORT_GAP_S = 5.0  # a longer gap without any report is attributed to this machine
+SUCCESSOR_SILENCE_MS = 1000  # of silence of an older server, after which a newer one takes over its address
+ADDRESS_TAKEOVER_SILENCE_MS = 10_000  # of silence, after which any reporting server takes over the address
 
 
 class HeartbeatResult(NamedTuple):
-    """The record after a report, and whether anything changed that others have to hear of."""
+    """The record after a report, and whether the change must be replicated."""
 
     record: ServerRecord
     is_changed: bool
 
 
 class HeardReport(NamedTuple):
-    """The number of the newest report of a server that somebody has heard."""
+    """The number of the newest report of a server that any controller has received."""
 
     id: str
     seq: int
 
 
 class LeavingServer(NamedTuple):
-    """A server that gets no new requests, and for how many seconds that has been known here."""
+    """A server that gets no new requests, and for how many seconds this has been known here."""
 
     record: ServerRecord
     age_s: float
@@ -49,17 +49,18 @@
 
 
 class LogPosition(NamedTuple):
-    """A place in the log of changes of one copy of the registry, which `incarnation` names."""
+    """A position in the change log of the copy of the registry named `incarnation`."""
 
     incarnation: str
     number: int
 
 
 class _Entry:
-    """A record as kept. Times are steady seconds.
+    """A stored record. Times are monotonic seconds.
 
-    `copied_at` is when the copy was made, `heard_seq` the highest `seq` anybody has heard of, and `was_relayed`
-    whether that came through another copy. `leaving_since` is from when on, as known here, no new requests go there.
+    `copied_at` is when the copy was made, `heard_seq` the highest `seq` that any controller has received, and
+    `was_relayed` whether that was learned from another copy. `leaving_since` is since when, as known here, the server
+    gets no new requests.
     """
 
     __slots__ = ("copied_at", "heard_at", "heard_seq", "leaving_since", "record", "was_relayed")
@@ -86,26 +87,26 @@
 
 class _Forgotten(NamedTuple):
     record: ServerRecord
-    at: float
+    forgotten_at: float
 
 
 class ServiceRegistry:
     """One copy of the registry of servers, with a log of its changes.
 
-    `incarnation` names this copy: positions in the log mean something only within one. `version` grows with
-    every change that digests can see.
+    `incarnation` names this copy: log positions are valid only within one incarnation. `version` increases with every
+    change that affects digests.
     """
 
     def __init__(self, incarnation: str, now: float = 0.0) -> None:
         self.incarnation = incarnation
         self.version = 0
         self._entries: dict[str, _Entry] = {}
-        self._at_address: dict[str, set[str]] = {}
-        self._order: dict[str, int] = {}  # id -> number of its latest change, in the order of numbers
+        self._servers_at_address: dict[str, set[str]] = {}
+        self._change_numbers: dict[str, int] = {}  # id -> number of its latest change, in increasing order
         self._forgotten: dict[str, _Forgotten] = {}  # still reported to sessions as gone
         self._last_number = 0
-        self._oldest_number = 0  # changes up to this one are no longer listed
-        self._listening_since = now  # since when reports have been coming in without a long gap
+        self._pruned_number = 0  # changes up to this number are no longer listed
+        self._listening_since = now  # since when reports have arrived without a long gap
         self._last_heard_at = now
 
     def __len__(self) -> int:
@@ -116,13 +117,13 @@
 
     @property
     def position(self) -> LogPosition:
-        """The latest change."""
+        """The position of the latest change."""
         return LogPosition(self.incarnation, self._last_number)
 
-    # What servers and the operator say
+    # Reports of servers and changes by the operator
 
     def record_heartbeat(self, ident: str, heartbeat: Heartbeat, now: float) -> HeartbeatResult:
-        """Take a server's report. A late one changes nothing; neither does any of a server that is gone."""
+        """Apply a server's report. Late reports, and reports of a server that is gone, are ignored."""
         self._note_listening(now)
         reported = ServerRecord(
             ident,
@@ -149,7 +150,7 @@
     def _merge_report(self, entry: _Entry, reported: ServerRecord, now: float) -> bool:
         before = entry.as_of(now)
         is_late = reported.seq <= entry.heard_seq
-        if is_late:  # others heard a newer one, of which no more is known here than that it came
+        if is_late:  # another copy has received a newer one, of which only the number is known here
             reported = msgspec.structs.replace(reported, quiet=before.quiet)
         merged = merge(before, reported)
         is_changed = replicated_fields(merged) != replicated_fields(before)
@@ -163,7 +164,7 @@
         return is_changed
 
     def leave(self, ident: str, now: float) -> ServerRecord:
-        """Take a server's word that it ends (or is known to have ended). It never comes back under this id."""
+        """Mark a server as gone, at its own request or because it has ended. It never returns under this id."""
         entry = self._entries.get(ident)
         if entry is not None and entry.record.phase == "gone":
             return entry.as_of(now)
@@ -171,7 +172,7 @@
         return self._put(ident, msgspec.structs.replace(before, phase="gone", quiet=0), now).record
 
     def retire(self, idents: Iterable[str], is_retired: bool, now: float) -> list[ServerRecord]:
-        """Retire servers for the operator, or take that back. Returns the records that changed."""
+        """Retire servers for the operator, or restore them. Returns the records that changed."""
         changed = []
         for ident in idents:
             entry = self._entries.get(ident)
@@ -185,9 +186,9 @@
     def capacity(
         self, idents: Iterable[str], is_retired: bool, silent: Iterable[str] = ()
     ) -> dict[str, ServiceCapacity]:
-        """Return the capacity of the services of these servers, before and after they are retired or put back.
+        """Return the capacity of the services of these servers, before and after they are retired or restored.
 
-        The total counts servers that leave, too, but nobody gone; in use are servers that get new requests and
+        The total includes leaving servers except those that are gone; in use are servers that get new requests and
         are not among the `silent`.
         """
         chosen, silent_ids = set(idents), set(silent)
@@ -205,7 +206,7 @@
         return {service: ServiceCapacity(after[service], before[service], total[service]) for service in services}
 
     def leaving(self, now: float) -> list[LeavingServer]:
-        """Return the servers, not gone, that get no new requests."""
+        """Return the servers that get no new requests, except those that are gone."""
         return [
             LeavingServer(entry.as_of(now), now - entry.leaving_since)
             for _, entry in sorted(self._entries.items())
@@ -213,7 +214,7 @@
         ]
 
     def matching(self, **fields: str) -> list[str]:
-        """Return the ids of servers not gone whose fields (svc, addr, az, ver, id, phase) equal those given."""
+        """Return the ids of servers, not gone, whose fields (svc, addr, az, ver, id, phase) have the given values."""
         return sorted(
             ident
             for ident, entry in self._entries.items()
@@ -221,14 +222,14 @@
             and all(getattr(entry.record, name) == value for name, value in fields.items())
         )
 
-    # What other copies say
+    # Updates from other copies
 
     def merge(self, record: ServerRecord, now: float) -> bool:
-        """Merge another copy's record; whether anything changed that sessions here have to hear of."""
+        """Merge another copy's record, and return whether sessions here must be told about a change."""
         entry = self._entries.get(record.id)
         if entry is None:
             if record.silence_s >= _retention_s(record):
-                return False  # its owner is about to drop it too; taking it back would keep it for ever
+                return False  # the other copy is about to drop it too; adding it again would keep it forever
             self._put(record.id, record, now)
             return True
         before = entry.as_of(now)
@@ -243,11 +244,11 @@
         return False
 
     def _record_relayed(self, ident: str, seq: int, now: float) -> bool:
-        """Note that another copy has heard report `seq` of a server. False if the server is not known here."""
+        """Record that another copy has received report `seq` of a server. False if the server is unknown here."""
         entry = self._entries.get(ident)
         if entry is None:
             return False
-        # Only a higher number is new: an echo of what was sent from here must not keep a dead server alive.
+        # Only a higher number is new: an echo of what this copy has sent must not keep a dead server alive.
         if seq > entry.heard_seq and entry.record.phase != "gone":
             self._note_listening(now)
             entry.record = msgspec.structs.replace(entry.as_of(now), quiet=0)
@@ -256,7 +257,7 @@
         return True
 
     def heard_since(self, moment: float, include_relayed: bool = False) -> list[HeardReport]:
-        """Return the servers heard after `moment`: here, or with `include_relayed` through others too."""
+        """Return the servers that reported after `moment`: to this copy, or with `include_relayed` to any copy."""
         return [
             HeardReport(ident, entry.heard_seq)
             for ident, entry in self._entries.items()
@@ -264,13 +265,13 @@
         ]
 
     def apply_heard(self, reports: Iterable[tuple[str, int]], now: float) -> list[str]:
-        """Take another copy's `heard_since`. Returns the ids that are not known here."""
+        """Apply another copy's `heard_since`. Returns the ids that are unknown here."""
         return [ident for ident, seq in reports if not self._record_relayed(ident, seq, now)]
 
     # Time
 
     def silent(self, now: float, after_s: float) -> list[str]:
-        """Return the servers, not gone, of which nobody has reported a heartbeat for `after_s`."""
+        """Return the servers, not gone, for which no copy has received a heartbeat for `after_s`."""
         return sorted(
             ident
             for ident, entry in self._entries.items()
@@ -278,11 +279,11 @@
         )
 
     def expire(self, now: float) -> list[str]:
-        """Drop old tombstones and servers silent everywhere; returns the ids of the latter.
+        """Drop old tombstones and silent servers; returns the ids of the latter.
 
-        While nobody is heard, or has only just begun to be, silence says nothing about servers.
+        While this copy receives no reports at all, or has only just begun to, the silence of a server proves nothing.
         """
-        is_quiet = now - self._last_heard_at > MAX_QUIET_S
+        is_quiet = now - self._last_heard_at > MAX_REPORT_GAP_S
         is_listening = not is_quiet and now - self._listening_since >= FORGET_AFTER_S
         forgotten = []
         for ident, entry in list(self._entries.items()):
@@ -292,20 +293,20 @@
                 continue
             if record.phase == "gone":
                 self._drop(ident)
-                self._oldest_number = max(self._oldest_number, self._order.pop(ident))
+                self._pruned_number = max(self._pruned_number, self._change_numbers.pop(ident))
             elif is_listening:
                 self._drop(ident)
                 tombstone = msgspec.structs.replace(entry.as_of(now), phase="gone")
                 self._forgotten[ident] = _Forgotten(tombstone, now)
-                self._log(ident)
+                self._log_change(ident)
                 forgotten.append(ident)
         for ident, old in list(self._forgotten.items()):
-            if now - old.at >= TOMBSTONE_S:
+            if now - old.forgotten_at >= TOMBSTONE_RETENTION_S:
                 del self._forgotten[ident]
-                self._oldest_number = max(self._oldest_number, self._order.pop(ident))
+                self._pruned_number = max(self._pruned_number, self._change_numbers.pop(ident))
         return forgotten
 
-    # What sessions and others read
+    # Queries
 
     def get(self, ident: str, now: float) -> ServerRecord | None:
         """Return one record, gone or not."""
@@ -313,23 +314,23 @@
         return None if entry is None else entry.as_of(now)
 
     def records(self, now: float) -> list[ServerRecord]:
-        """Return every record, tombstones included."""
+        """Return all records, including tombstones."""
         return [entry.as_of(now) for entry in self._entries.values()]
 
     def snapshot(self, now: float) -> list[ServerRecord]:
-        """Return every server that is not gone; it stands for the state at `position`."""
+        """Return all servers that are not gone; it represents the state at `position`."""
         return [entry.as_of(now) for entry in self._entries.values() if entry.record.phase != "gone"]
 
     def changes_since(self, incarnation: str, number: int, now: float) -> list[ServerRecord] | None:
         """Return the records changed after this position, oldest first; None if it is of another copy or too old.
 
-        A session puts each in the place of what it had; a server that was forgotten is reported as gone.
+        A session replaces its record of each server; a server that was dropped is reported as gone.
         """
-        if incarnation != self.incarnation or not self._oldest_number <= number <= self._last_number:
+        if incarnation != self.incarnation or not self._pruned_number <= number <= self._last_number:
             return None
         found = []
-        for ident in reversed(self._order):
-            if self._order[ident] <= number:
+        for ident in reversed(self._change_numbers):
+            if self._change_numbers[ident] <= number:
                 break
             entry = self._entries.get(ident)
             found.append(entry.as_of(now) if entry is not None else self._forgotten[ident].record)
@@ -337,18 +338,18 @@
         return found
 
     def service_of(self, ident: str) -> str | None:
-        """Return the service of a usable server; None if there is none of this id."""
+        """Return the service of a usable server; None if there is no such server."""
         entry = self._entries.get(ident)
         return entry.record.svc if entry is not None and entry.record.usable else None
 
     def size_of(self, service: str) -> int:
-        """Count the usable servers of a service."""
+        """Return the number of usable servers of a service."""
         return sum(entry.record.svc == service and entry.record.usable for entry in self._entries.values())
 
     # Changes
 
     def _note_listening(self, now: float) -> None:
-        if now - self._last_heard_at > MAX_QUIET_S:
+        if now - self._last_heard_at > MAX_REPORT_GAP_S:
             self._listening_since = now
         self._last_heard_at = now
 
@@ -359,7 +360,7 @@
             entry.heard_at = now - record.silence_s
             self._forgotten.pop(ident, None)
         else:
-            self._at_address.get(entry.record.addr, set()).discard(ident)
+            self._servers_at_address.get(entry.record.addr, set()).discard(ident)
             entry.record = record
             entry.copied_at = now
             if record.seq > entry.heard_seq:
@@ -368,40 +369,40 @@
             entry.leaving_since = None
         elif entry.leaving_since is None:
             entry.leaving_since = now
-        self._at_address.setdefault(record.addr, set()).add(ident)
-        self._log(ident)
+        self._servers_at_address.setdefault(record.addr, set()).add(ident)
+        self._log_change(ident)
         return entry
 
     def _drop(self, ident: str) -> None:
         entry = self._entries.pop(ident)
-        here = self._at_address.get(entry.record.addr)
-        if here is not None:
-            here.discard(ident)
-            if not here:
-                del self._at_address[entry.record.addr]
+        servers_here = self._servers_at_address.get(entry.record.addr)
+        if servers_here is not None:
+            servers_here.discard(ident)
+            if not servers_here:
+                del self._servers_at_address[entry.record.addr]
         self.version += 1
 
-    def _log(self, ident: str) -> None:
+    def _log_change(self, ident: str) -> None:
         self._last_number += 1
         self.version += 1
-        self._order.pop(ident, None)
-        self._order[ident] = self._last_number
+        self._change_numbers.pop(ident, None)
+        self._change_numbers[ident] = self._last_number
 
     def _end_predecessors(self, record: ServerRecord, now: float) -> None:
-        """End the other servers that had the address of this report before, as addresses are reused."""
-        here = self._at_address.get(record.addr, set())
-        for ident in sorted(here - {record.id}):
+        """Mark other servers at the address of this report as gone, because addresses are reused."""
+        servers_here = self._servers_at_address.get(record.addr, set())
+        for ident in sorted(servers_here - {record.id}):
             other = self._entries[ident].as_of(now)
             if other.phase == "gone":
                 continue
-            # A report held up on its way can speak for a server that is no more, hence both conditions.
+            # A delayed report may come from a server that has ended already, hence both conditions.
             is_successor = other.born > record.born and other.quiet >= SUCCESSOR_SILENCE_MS
-            if is_successor or other.quiet >= OTHER_SILENCE_MS:
+            if is_successor or other.quiet >= ADDRESS_TAKEOVER_SILENCE_MS:
                 self.leave(ident, now)
 
 
 def _retention_s(record: ServerRecord) -> float:
-    """Return for how long of silence a record is kept."""
+    """Return after how much silence a record is dropped."""
     if record.phase == "gone":
-        return TOMBSTONE_S
-    return RETIRED_KEPT_S if record.is_retired else FORGET_AFTER_S
+        return TOMBSTONE_RETENTION_S
+    return RETIRED_RETENTION_S if record.is_retired else FORGET_AFTER_S
--- a/crowseam/gateway/__init__.py
+++ b/crowseam/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The data plane: what a gateway does with a request, from its first byte to its answer."""
+"""The data plane: how a gateway handles a request, from its first byte to its answer."""
