--- a/crowseam/gateway/controller_session.py
+++ b/crowseam/gateway/controller_session.py
@@ -1,4 +1,4 @@
-"""A gateway's session with a controller: what it follows, what it reports, where it goes when that one fails."""
+"""A gateway's session with a controller: received state, reports, and failover to another controller."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from crowseam.discovery.leaving_servers import LeavingServers
 from crowseam.operations.messages import ClaimDecision, GatewayMessage, OperationSettled
 from crowseam.quotas.gateway_leases import GatewayLeases
-from crowseam.quotas.shards import KEYS, shard_of
+from crowseam.quotas.shards import ROLE_KEYS, shard_of
 from crowseam.settings import Settings, SettingsError, address
 from crowseam.transport.codec import unpack
 from crowseam.transport.links import Link
@@ -40,22 +40,23 @@
 )
 from crowseam.transport.protocol_check import ProtocolCheck
 
-REPORT, REPORT_SOON = 0.5, 0.15  # s between reports; at the most, while a lease is missing or new
-SOON_LEAST, SOON_EACH = 0.04, 0.001  # s between them then: at the least, and for each gateway there is
-YOUNG = 2.0  # s after a first lease in which it hardly fits: all asks are new to the grantor
-SILENT = 1.1  # s without a pulse after which another controller is tried
-ALONE = 0.8  # s that a controller may say it has no majority before another one is tried
-ALONE_AGAIN = 4.0  # s before one that had no majority is tried again
-DRAW_TIMEOUT = 0.06  # s for an answer from the reserve: a request waits for it
-DRAW_BITS = 10  # of a draw's number below the life's microseconds: more draws than that take longer
-CONNECT = 0.5  # s for a connection to come up
-UNLIKE_LEAST, UNLIKE_MOST = 0.3, 4.0  # s before one that speaks another version is tried again, growing
-PART, WINDOW = 32 << 10, 2  # bytes of a part of a large configuration; parts asked for at a time
-PART_WAIT = 3.0  # s without a part after which it is asked for again
+# While leases are missing or new, reports come sooner: by the number of gateways, between MIN and MAX.
+REPORT_INTERVAL_S, MAX_SETTLING_REPORT_INTERVAL_S = 0.5, 0.15
+MIN_SETTLING_REPORT_INTERVAL_S, REPORT_INTERVAL_PER_GATEWAY_S = 0.04, 0.001
+LEASE_SETTLING_S = 2.0  # after a first lease, which is granted before the grantor knows the demand
+CONTROLLER_SILENCE_TIMEOUT_S = 1.1  # without a message, after which another controller is tried
+NO_MAJORITY_TIMEOUT_S = 0.8  # after which a controller that reports no majority is left
+NO_MAJORITY_RETRY_S = 4.0  # before such a controller is tried again
+DRAW_TIMEOUT_S = 0.06  # for an answer from the reserve, which delays a request
+DRAW_NUMBER_BITS = 10  # low bits of a draw's number; the bits above are the incarnation
+CONNECT_TIMEOUT_S = 0.5
+MIN_MISMATCH_RETRY_S, MAX_MISMATCH_RETRY_S = 0.3, 4.0  # backoff of a controller with another protocol version
+CHUNK_BYTES, CHUNK_WINDOW = 32 << 10, 2  # of a large configuration; chunks requested at a time
+CHUNK_TIMEOUT_S = 3.0  # without a chunk, after which it is requested again
 
 
 class ControllerSession:
-    """Keeps one session standing. `table` and the registry never go back within one process."""
+    """Keeps one session open. The configuration and the servers never go back to an older state."""
 
     def __init__(
         self,
@@ -64,344 +65,365 @@
         rng: Random,
         on_table: Callable[[Table], None],
         on_servers: Callable[[list, bool], None],
-        on_quiet: Callable[[list[str]], None],
-        asks: Callable[[], dict[str, float]],
-        leaving: Callable[[], dict[str, int]] = dict,
+        on_silent: Callable[[list[str]], None],
+        demand: Callable[[], dict[str, float]],
+        in_flight_on_draining: Callable[[], dict[str, int]] = dict,
     ) -> None:
-        """`on_table`, `on_servers`, `on_quiet` take what is heard; `asks`, `leaving` give what is reported."""
+        """`on_table`, `on_servers`, `on_silent` get news; `demand`, `in_flight_on_draining` return what is reported."""
         self.loop, self.settings, self.rng = loop, settings, rng
-        self.on_table, self.on_servers, self.on_quiet, self.asks = on_table, on_servers, on_quiet, asks
-        self.leaving = leaving  # requests under way at servers that leave, by id
-        self.life = clock.time_ns() // 1000
-        self.hop = 0
+        self.on_table, self.on_servers, self.on_silent, self.demand = on_table, on_servers, on_silent, demand
+        self.in_flight_on_draining = (
+            in_flight_on_draining  # requests in flight at draining servers, by id of the server
+        )
+        self.incarnation = clock.time_ns() // 1000
+        self.session_number = 0
         self.config: Configuration = EMPTY
         self.table: Table | None = None
         self.slot = -1
-        self.fetch: SnapshotDownload | None = None  # a large configuration on its way, which outlives a session
-        self.registry, self.place = "", 0
-        self.memory = LeavingServers()
-        self.known: dict[str, float] = {}  # controllers, by when they may be tried again
+        self.download: SnapshotDownload | None = None  # of a large configuration; goes on in the next session
+        self.registry, self.registry_position = "", 0
+        self.leaving_servers = LeavingServers()
+        self.retry_at: dict[str, float] = {}  # by controller
         self.protocol_check = ProtocolCheck()
-        self.failed: dict[str, int] = {}  # how often each was tried in vain since one was last in touch
-        self.holdings: dict[str, GatewayLeases] = {}
-        self.on_lease: Callable[[], None] = lambda: None  # what was missing is lent
-        self.on_shun: Callable[[list[str]], None] = lambda ids: None
+        self.failure_counts: dict[str, int] = {}  # by controller, since one was last in touch with a majority
+        self.leases: dict[str, GatewayLeases] = {}
+        self.on_lease_granted: Callable[[], None] = lambda: None  # a missing lease has been granted
+        self.on_ejected: Callable[[list[str]], None] = lambda ids: None
         self.on_claim_decision: Callable[[ClaimDecision], None] = lambda decision: None
         self.on_operation_settled: Callable[[OperationSettled], None] = lambda settled: None
-        self.on_connected: Callable[[], None] = lambda: None  # a controller has just been reached
+        self.on_connected: Callable[[], None] = lambda: None  # a session was opened
         self.leased_at = -1e9  # when a lease was last missing
-        self.draws: dict[int, Callable[[int, float], None]] = {}
-        # Begun with the life: controllers pass answers on by the gateway's name, whichever life it is in.
-        self.last_draw = self.life << DRAW_BITS
-        self.members = 0
+        self.pending_draws: dict[int, Callable[[int, float], None]] = {}
+        # Starts with the incarnation: controllers address replies by the gateway's name, so that a reply to an earlier
+        # incarnation may arrive.
+        self.last_draw_number = self.incarnation << DRAW_NUMBER_BITS
+        self.gateway_count = 0
         self.link: Link | None = None
-        self.at = ""  # the controller that the session is with
-        self.heard_at = -1e9
-        self.unread = 0  # bytes that have come of a message that is not whole yet
-        self.alone_since: float | None = None
-        self.told_slot = -1
-        self.fresh = False  # configuration and servers are as new as a controller in touch has them
-        self.have_servers = False
+        self.controller_addr = ""
+        self.last_heard_at = -1e9
+        self.buffered_bytes = 0  # of an incomplete message
+        self.no_majority_since: float | None = None
+        self.announced_slot = -1
+        self.is_caught_up = False  # with a controller that is in touch with a majority
+        self.has_servers = False
         self.stopping = False
-        self.dialling = False
-        self.learn(settings.seeds)
+        self.is_connecting = False
+        self.add_controllers(settings.seeds)
 
-    def learn(self, controllers: list[str]) -> None:
-        """Add controllers that may be tried, by their addresses; what is no address is left out."""
+    def add_controllers(self, controllers: list[str]) -> None:
+        """Add addresses of controllers; invalid ones are ignored."""
         for addr in controllers:
             try:
                 address(addr)
             except SettingsError:
                 continue
-            self.known.setdefault(addr, 0.0)
+            self.retry_at.setdefault(addr, 0.0)
 
     def start(self) -> None:
-        """Begin to look for a controller, and to report."""
+        """Start to connect to a controller, and to report."""
         self._tick()
         self._report()
 
     def _tick(self) -> None:
         now = clock.monotonic()
         if self.link is not None:
-            if (unread := len(self.link.buffer)) != self.unread:
-                # All servers of a large site, asked for by all gateways at once, may take longer than SILENT to
-                # come; who left over that would ask the next controller for as much.
-                self.unread, self.heard_at = unread, now
-            if now - self.heard_at > SILENT:
-                self._leave("silent")
+            if (buffered_bytes := len(self.link.buffer)) != self.buffered_bytes:
+                # A large message to many gateways may take longer than CONTROLLER_SILENCE_TIMEOUT_S; a gateway that
+                # left because of that would request the same from the next controller.
+                self.buffered_bytes, self.last_heard_at = buffered_bytes, now
+            if now - self.last_heard_at > CONTROLLER_SILENCE_TIMEOUT_S:
+                self._leave_controller("silent")
             elif (
-                self.alone_since is not None
-                and now - self.alone_since > ALONE
-                and any(at <= now for addr, at in self.known.items() if addr != self.at)
+                self.no_majority_since is not None
+                and now - self.no_majority_since > NO_MAJORITY_TIMEOUT_S
+                and any(retry_at <= now for addr, retry_at in self.retry_at.items() if addr != self.controller_addr)
             ):
-                # Where all say so, we stay a while longer with each.
-                self._leave("alone", ALONE_AGAIN)
-        if self.fetch is not None and self.link is not None and now - self.fetch.progress_checked_at > PART_WAIT:
-            self.fetch.requested.clear()
-            self.fetch.progress_checked_at = now
-            self._ask_parts()
-        if self.link is None and not self.dialling and not self.stopping:
-            self.dialling = True
-            self.loop.create_task(self._dial(now))
+                # Without an alternative the gateway stays.
+                self._leave_controller("alone", NO_MAJORITY_RETRY_S)
+        if (
+            self.download is not None
+            and self.link is not None
+            and now - self.download.progress_checked_at > CHUNK_TIMEOUT_S
+        ):
+            self.download.requested.clear()
+            self.download.progress_checked_at = now
+            self._request_chunks()
+        if self.link is None and not self.is_connecting and not self.stopping:
+            self.is_connecting = True
+            self.loop.create_task(self._connect(now))
         self.loop.call_later(0.1, self._tick)
 
-    def _leave(self, why: str, again: float = 1.0) -> None:
-        logs.say("session_left", controller=self.at, why=why)
-        self._in_vain(self.at, again)
+    def _leave_controller(self, reason: str, retry_after_s: float = 1.0) -> None:
+        logs.say("session_left", controller=self.controller_addr, why=reason)
+        self._record_failure(self.controller_addr, retry_after_s)
         link, self.link = self.link, None
         link.close()
 
-    def _in_vain(self, addr: str, again: float) -> None:
-        self.known[addr] = clock.monotonic() + again
-        self.failed[addr] = self.failed.get(addr, 0) + 1
+    def _record_failure(self, addr: str, retry_after_s: float) -> None:
+        self.retry_at[addr] = clock.monotonic() + retry_after_s
+        self.failure_counts[addr] = self.failure_counts.get(addr, 0) + 1
 
-    def _pick(self, now: float) -> str | None:
-        """A controller to try: those tried in vain least; of them one of our zone, as bytes between zones cost.
+    def _pick_controller(self, now: float) -> str | None:
+        """Choose a controller with the fewest failures, preferably of the gateway's zone.
 
-        Two of our zone that don't answer would else be tried in turns for ever.
+        If the zone came first, two dead controllers of the zone would be tried alternately forever.
         """
-        able = [addr for addr, at in self.known.items() if at <= now]
-        if not able:
+        eligible = [addr for addr, retry_at in self.retry_at.items() if retry_at <= now]
+        if not eligible:
             return None
-        least = min(self.failed.get(addr, 0) for addr in able)
-        able = [addr for addr in able if self.failed.get(addr, 0) == least]
+        fewest_failures = min(self.failure_counts.get(addr, 0) for addr in eligible)
+        eligible = [addr for addr in eligible if self.failure_counts.get(addr, 0) == fewest_failures]
         zone = self.settings.ip.rsplit(".", 2)[0]
-        near = [addr for addr in able if addr.startswith(zone + ".")]
-        return self.rng.choice(near or able)
+        local = [addr for addr in eligible if addr.startswith(zone + ".")]
+        return self.rng.choice(local or eligible)
 
-    async def _dial(self, now: float) -> None:
-        addr = self._pick(now)
+    async def _connect(self, now: float) -> None:
+        addr = self._pick_controller(now)
         try:
             if addr is None:
                 return
-            self.known[addr] = now + self.rng.uniform(0.3, 0.6)
+            self.retry_at[addr] = now + self.rng.uniform(0.3, 0.6)
             host, _ = address(addr)
-            link = Link(self._heard, self._ended)
+            link = Link(self._on_message, self._on_link_closed)
             link.peer = addr
-            async with asyncio.timeout(CONNECT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await self.loop.create_connection(lambda: link, host, self.settings.port_range[0])
-            self.link, self.at, self.alone_since = link, addr, None
-            self.heard_at = clock.monotonic()
-            self.hop += 1
-            self.told_slot = -1
+            self.link, self.controller_addr, self.no_majority_since = link, addr, None
+            self.last_heard_at = clock.monotonic()
+            self.session_number += 1
+            self.announced_slot = -1
             link.send(
                 OpenSession(
                     self.settings.hostname,
-                    self.life,
-                    self.hop,
+                    self.incarnation,
+                    self.session_number,
                     self.settings.az,
                     self.slot,
                     self.registry,
-                    self.place,
+                    self.registry_position,
                     True,
                     self.protocol_check.ours,
                 )
             )
-            self._send_report(clock.monotonic())  # others may wait for it, to be lent what is not ours
+            self._send_report(clock.monotonic())  # the grantor may wait for it to lease the rest to others
             self.on_connected()
         except (OSError, TimeoutError):
-            self._in_vain(addr, 0.4)
+            self._record_failure(addr, 0.4)
         finally:
-            self.dialling = False
+            self.is_connecting = False
 
-    def _ended(self, link: Link) -> None:
+    def _on_link_closed(self, link: Link) -> None:
         if self.link is link:
             self.link = None
-            self._in_vain(self.at, 0.3)
+            self._record_failure(self.controller_addr, 0.3)
             if not self.stopping:
-                logs.say("session_lost", controller=self.at)
+                logs.say("session_lost", controller=self.controller_addr)
 
-    def _heard(self, link: Link, message: Message) -> None:
+    def _on_message(self, link: Link, message: Message) -> None:
         if link is not self.link:
             return
         now = clock.monotonic()
-        self.heard_at = now
+        self.last_heard_at = now
         kind = type(message)
         if kind is SessionHeartbeat:
-            self.members, self.told_slot = message.members, message.slot
+            self.gateway_count, self.announced_slot = message.members, message.slot
             if message.is_in_touch:
-                self.alone_since = None
-                self.failed.clear()
-                self.fresh = self.fresh or (self.slot >= message.slot and self.have_servers)
-            elif self.alone_since is None:
-                self.alone_since = now
+                self.no_majority_since = None
+                self.failure_counts.clear()
+                self.is_caught_up = self.is_caught_up or (self.slot >= message.slot and self.has_servers)
+            elif self.no_majority_since is None:
+                self.no_majority_since = now
         elif kind is ServerUpdate:
-            self.registry, self.place = message.registry, message.position
-            self.have_servers = True
-            self.on_servers(self.memory.apply(message.records, message.is_complete, now), message.is_complete)
+            self.registry, self.registry_position = message.registry, message.position
+            self.has_servers = True
+            self.on_servers(self.leaving_servers.apply(message.records, message.is_complete, now), message.is_complete)
         elif kind is SilentServers:
-            self.on_quiet(message.ids)
+            self.on_silent(message.ids)
         elif kind is ConfigurationState:
-            self._state(message)
+            self._on_state(message)
         elif kind is ConfigurationStep:
-            self._step(message)
+            self._on_step(message)
         elif kind is SnapshotOffer:
-            self._offered(message, now)
+            self._on_snapshot_offer(message, now)
         elif kind is SnapshotChunk:
-            self._part(message, now)
+            self._on_chunk(message, now)
         elif kind is LeaseUpdate:
-            holdings = self._holdings(message.key)
-            had = holdings.remaining_s(now) > 0.0
-            if holdings.apply(message.lease, now):
+            leases = self._leases_of(message.key)
+            had_lease = leases.remaining_s(now) > 0.0
+            if leases.apply(message.lease, now):
                 self._send_report(now)
-            if not had and holdings.remaining_s(now) > 0.0:
-                self.on_lease()
+            if not had_lease and leases.remaining_s(now) > 0.0:
+                self.on_lease_granted()
         elif kind is ClaimDecision:
             self.on_claim_decision(message)
         elif kind is OperationSettled:
             self.on_operation_settled(message)
         elif kind is EjectedServers:
-            self.on_shun(message.ids)
+            self.on_ejected(message.ids)
         elif kind is ReserveDrawReply:
-            if (done := self.draws.pop(message.number, None)) is not None:
+            if (done := self.pending_draws.pop(message.number, None)) is not None:
                 done(message.granted, message.wait_s)
         elif kind is InFlightCountRequest:
-            link.send(InFlightCounts(message.number, self.registry, self.place, self.leaving()))
+            link.send(
+                InFlightCounts(message.number, self.registry, self.registry_position, self.in_flight_on_draining())
+            )
         elif kind is SessionOpened:
-            self._welcomed(message)
+            self._on_session_opened(message)
 
-    def _welcomed(self, message: SessionOpened) -> None:
-        self.learn(message.controllers)
-        if self.protocol_check.matches(self.at, message.protocol):
+    def _on_session_opened(self, message: SessionOpened) -> None:
+        self.add_controllers(message.controllers)
+        if self.protocol_check.matches(self.controller_addr, message.protocol):
             return
         link, self.link = self.link, None
-        self._in_vain(self.at, min(UNLIKE_MOST, UNLIKE_LEAST * 2 ** self.failed.get(self.at, 0)))
+        self._record_failure(
+            self.controller_addr,
+            min(MAX_MISMATCH_RETRY_S, MIN_MISMATCH_RETRY_S * 2 ** self.failure_counts.get(self.controller_addr, 0)),
+        )
         link.close()
 
-    def _state(self, message: ConfigurationState) -> None:
+    def _on_state(self, message: ConfigurationState) -> None:
         if message.slot <= self.slot:
-            return  # guards against going back: that controller is behind
+            return  # the controller is behind this gateway
         try:
             config = Configuration.from_put(unpack(message.body))
         except (ConfigurationError, ValueError) as error:
-            if message.slot:  # before the first configuration there is none to read
+            if message.slot:  # slot 0 has no configuration
                 logs.say("state_unread", error=error)
             config = EMPTY
-        self._take(message.slot, config)
+        self._apply(message.slot, config)
 
-    def _offered(self, message: SnapshotOffer, now: float) -> None:
-        """The controller's configuration is large: fetch it, or go on with one that another began to send."""
-        if message.last <= self.slot:
+    def _on_snapshot_offer(self, message: SnapshotOffer, now: float) -> None:
+        """The controller offers a large configuration: start its download, or continue one from another controller."""
+        if message.last_slot <= self.slot:
             return self.link.send(FollowingLog(self.slot))
-        if self.fetch is None:
-            self._fetch_anew(now)
+        if self.download is None:
+            self._start_download(now)
         else:
-            self.fetch.requested.clear()
-            self.fetch.progress_checked_at = now
-            self._ask_parts()
+            self.download.requested.clear()
+            self.download.progress_checked_at = now
+            self._request_chunks()
 
-    def _fetch_anew(self, now: float) -> None:
-        self.fetch = SnapshotDownload(self.at, max(self.slot, 0), PART, WINDOW, now)
-        self._ask_parts()
+    def _start_download(self, now: float) -> None:
+        self.download = SnapshotDownload(self.controller_addr, max(self.slot, 0), CHUNK_BYTES, CHUNK_WINDOW, now)
+        self._request_chunks()
 
-    def _ask_parts(self) -> None:
-        if requests := self.fetch.next_requests():
+    def _request_chunks(self) -> None:
+        if requests := self.download.next_requests():
             self.link.send(*requests)
 
-    def _part(self, message: SnapshotChunk, now: float) -> None:
-        fetch = self.fetch
-        if fetch is None:
+    def _on_chunk(self, message: SnapshotChunk, now: float) -> None:
+        download = self.download
+        if download is None:
             return
         if not message.size:
-            if message.digest != fetch.digest:
+            if message.digest != download.digest:
                 return
-            if fetch.digest:
-                return self._fetch_anew(now)
-            self.fetch = None  # it has nothing newer than we have
+            if download.digest:
+                return self._start_download(now)
+            self.download = None  # the controller has nothing newer
             return self.link.send(FollowingLog(self.slot))
-        if not fetch.add_chunk(message, now):
+        if not download.add_chunk(message, now):
             return
-        if (body := fetch.joined()) is None:
-            return self._ask_parts()
-        self.fetch = None
-        if fetch.is_intact(body):
-            logs.say("state_fetched", slot=fetch.slot, bytes=fetch.size, seconds=round(now - fetch.began_at, 1))
-            self._state(ConfigurationState(fetch.slot, body))
+        if (body := download.assemble()) is None:
+            return self._request_chunks()
+        self.download = None
+        if download.is_intact(body):
+            logs.say(
+                "state_fetched", slot=download.slot, bytes=download.size, seconds=round(now - download.began_at, 1)
+            )
+            self._on_state(ConfigurationState(download.slot, body))
         else:
-            logs.say("state_unsound", slot=fetch.slot, bytes=fetch.size)
+            logs.say("state_unsound", slot=download.slot, bytes=download.size)
         self.link.send(FollowingLog(self.slot))
 
-    def _step(self, message: ConfigurationStep) -> None:
+    def _on_step(self, message: ConfigurationStep) -> None:
         if message.slot <= self.slot:
-            return  # said twice
+            return  # duplicate
         if message.slot != self.slot + 1:
             logs.say("step_missing", have=self.slot, got=message.slot)
-            return self._leave("gap")  # the next session starts from our place
+            return self._leave_controller("gap")  # the next session starts from this slot
         config = self.config
         if message.body:
             try:
                 config = Configuration.from_change(config, message.whole, unpack(message.body))
             except (ConfigurationError, ValueError) as error:
                 logs.say("step_unread", error=error)
-        self._take(message.slot, config)
+        self._apply(message.slot, config)
 
-    def _take(self, slot: int, config: Configuration) -> None:
+    def _apply(self, slot: int, config: Configuration) -> None:
         self.slot = slot
-        if self.fetch is not None and self.fetch.slot <= slot:
-            self.fetch = None
-        # A whole state often comes for slots that changed nothing: a version is acted on once.
+        if self.download is not None and self.download.slot <= slot:
+            self.download = None
+        # Slots may leave the configuration unchanged; each version is applied once.
         if config.ver != self.config.ver and config.ver:
             self.config = config
             self.table = Table(config, self.table)
             logs.say("config", slot=slot, ver=f"{config.ver:08x}")
             self.on_table(self.table)
-            if not self.holdings:
+            if not self.leases:
                 self._send_report(clock.monotonic())
 
-    def _holdings(self, key: str) -> GatewayLeases:
-        return self.holdings.setdefault(key, GatewayLeases(self.life))
+    def _leases_of(self, key: str) -> GatewayLeases:
+        return self.leases.setdefault(key, GatewayLeases(self.incarnation))
 
-    def share(self, tenant: str, now: float) -> float | None:
-        """The part of the tenant's quota that is lent to us."""
-        holdings = self.holdings.get(shard_of(tenant))
-        return None if holdings is None else holdings.share(tenant, now)
+    def lease_share(self, tenant: str, now: float) -> float | None:
+        """Return the share of the tenant's quota that is leased to this gateway; None without a lease."""
+        leases = self.leases.get(shard_of(tenant))
+        return None if leases is None else leases.share(tenant, now)
 
-    def left(self, tenant: str, now: float) -> float:
-        """Seconds until the lease that this is part of ends."""
-        holdings = self.holdings.get(shard_of(tenant))
-        return 0.0 if holdings is None else holdings.remaining_s(now)
+    def lease_remaining_s(self, tenant: str, now: float) -> float:
+        """Return the seconds until the tenant's lease ends."""
+        leases = self.leases.get(shard_of(tenant))
+        return 0.0 if leases is None else leases.remaining_s(now)
 
-    def complain(self, news: dict[str, int]) -> None:
-        """Tell the fleet of servers that fail, or do no more."""
+    def report_outliers(self, outcomes: dict[str, int]) -> None:
+        """Report servers that fail, and ejected ones that succeed."""
         if self.link is not None:
-            self.link.send(OutlierReport(self.settings.hostname, news))
+            self.link.send(OutlierReport(self.settings.hostname, outcomes))
 
     def send(self, message: GatewayMessage) -> None:
-        """Pass a message on to the controller; it is lost where there is none."""
+        """Send a message to the controller; it is lost if there is no session."""
         if self.link is not None:
             self.link.send(message)
 
-    def draw(self, tenant: str, count: int, done: Callable[[int, float], None]) -> None:
-        """Ask for requests of a tenant beyond our slice; `done` gets how many, and the wait for one more."""
+    def draw_reserve(self, tenant: str, count: int, done: Callable[[int, float], None]) -> None:
+        """Draw requests beyond the tenant's lease; `done` gets the number granted, and the wait for one more."""
         if self.link is None:
-            return done(0, DRAW_TIMEOUT)
-        self.last_draw += 1
-        number = self.last_draw
-        self.draws[number] = done
+            return done(0, DRAW_TIMEOUT_S)
+        self.last_draw_number += 1
+        number = self.last_draw_number
+        self.pending_draws[number] = done
         self.link.send(ReserveDraw(self.settings.hostname, tenant, count, number))
-        self.loop.call_later(DRAW_TIMEOUT, self._undrawn, number)
+        self.loop.call_later(DRAW_TIMEOUT_S, self._on_draw_timeout, number)
 
-    def _undrawn(self, number: int) -> None:
-        if (done := self.draws.pop(number, None)) is not None:
-            done(0, DRAW_TIMEOUT)
+    def _on_draw_timeout(self, number: int) -> None:
+        if (done := self.pending_draws.pop(number, None)) is not None:
+            done(0, DRAW_TIMEOUT_S)
 
     def _report(self) -> None:
         now = clock.monotonic()
         self._send_report(now)
-        held = all(self._holdings(key).remaining_s(now) > 0.0 for key in KEYS)
-        if not held:
+        is_leased = all(self._leases_of(key).remaining_s(now) > 0.0 for key in ROLE_KEYS)
+        if not is_leased:
             self.leased_at = now
-        soon = now - self.leased_at < YOUNG
-        pause = REPORT
-        if soon:
-            pause = min(REPORT_SOON, SOON_LEAST + SOON_EACH * self.members) if self.members else REPORT_SOON
-        self.loop.call_later(pause * self.rng.uniform(0.9, 1.1), self._report)
+        is_settling = now - self.leased_at < LEASE_SETTLING_S
+        interval_s = REPORT_INTERVAL_S
+        if is_settling:
+            interval_s = (
+                min(
+                    MAX_SETTLING_REPORT_INTERVAL_S,
+                    MIN_SETTLING_REPORT_INTERVAL_S + REPORT_INTERVAL_PER_GATEWAY_S * self.gateway_count,
+                )
+                if self.gateway_count
+                else MAX_SETTLING_REPORT_INTERVAL_S
+            )
+        self.loop.call_later(interval_s * self.rng.uniform(0.9, 1.1), self._report)
 
     def _send_report(self, now: float) -> None:
         if self.link is None:
             return
-        held = {key: self._holdings(key).report(now) for key in KEYS}
-        self.link.send(GatewayReport(self.asks(), held))
+        held = {key: self._leases_of(key).report(now) for key in ROLE_KEYS}
+        self.link.send(GatewayReport(self.demand(), held))
 
     def stop(self) -> None:
         """The process is about to end."""
--- a/crowseam/gateway/counters.py
+++ b/crowseam/gateway/counters.py
@@ -1,14 +1,14 @@
-"""What was asked of a gateway, counted for the line that it logs each span and that a replay reads."""
+"""Counts of requests by route and tenant, logged periodically and read by replays."""
 
-ASKED = "asked"
-SPAN = 5.0  # s that one line covers
+ASKED_EVENT = "asked"
+REPORT_INTERVAL_S = 5.0
 
 
 class RequestCounters:
-    """Counts what is asked, for the line that a gateway logs each span."""
+    """Counts requests for the log line that a gateway writes each REPORT_INTERVAL_S."""
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start with empty counts."""
         self.counts: dict[tuple[str, str], int] = {}
 
     def add(self, route: str, tenant: str) -> None:
@@ -17,7 +17,7 @@
         self.counts[key] = self.counts.get(key, 0) + 1
 
     def take(self) -> str:
-        """The counts as they stand in the log, which begin anew; empty if nothing was asked."""
-        told = ",".join(f"{route}/{tenant}:{count}" for (route, tenant), count in sorted(self.counts.items()))
+        """Return the counts in the format of the log, and reset them; empty if there were no requests."""
+        counts = ",".join(f"{route}/{tenant}:{count}" for (route, tenant), count in sorted(self.counts.items()))
         self.counts.clear()
-        return told
+        return counts
--- a/crowseam/gateway/daemon.py
+++ b/crowseam/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""One gateway: the process that carries traffic on a machine."""
+"""The gateway process, which carries traffic on a machine."""
 
 from __future__ import annotations
 
@@ -14,74 +14,77 @@
 from crowseam import settings as settings_file
 from crowseam.configuration.routing import Table
 from crowseam.gateway.controller_session import ControllerSession
-from crowseam.gateway.counters import SPAN
+from crowseam.gateway.counters import REPORT_INTERVAL_S
 from crowseam.gateway.gateway import Gateway
 from crowseam.gateway.keyed_requests import KeyedRequests
-from crowseam.gateway.request_reader import Reader
+from crowseam.gateway.request_reader import RequestReader
 from crowseam.metrics import latency
 from crowseam.operations.claims import OperationClaims
-from crowseam.quotas.admission import PERIOD
+from crowseam.quotas.admission import PERIOD_S
 from crowseam.transport.http import Call, HttpConnection
-from fennelpoint.net.server import Bounds, Server
-
-SLICES, SWEEP = 0.1, 0.5  # s between looks at the leases; at idle connections
-FILES = 200  # descriptors that are kept for files, and no socket gets
-UPSTREAM_PART = 0.55  # of the descriptors, for connections to servers
-ACCEPT_ON = 2.6  # s after SIGTERM that connections are taken: the platform asks each second, twice
-END_BEFORE = 0.4  # s before the grace is over by which the process has ended
-LOAD_LOOK = 0.5  # s between looks whether it is time to load the library of the histograms
+from fennelpoint.net.server import ClientLimits, Server
+
+TICK_INTERVAL_S, SWEEP_INTERVAL_S = 0.1, 0.5  # sweeps close idle connections
+RESERVED_DESCRIPTORS = 200  # not available to sockets
+UPSTREAM_SHARE = 0.55  # of the sockets, for connections to servers
+ACCEPT_AFTER_SIGTERM_S = 2.6  # until the platform has noticed: it probes each second, and acts on two failures
+EXIT_MARGIN_S = 0.4  # before the grace period ends
+READY_POLL_INTERVAL_S = 0.5
 GC_THRESHOLDS = (20_000, 20, 50)
 
 
 class Process:
-    """Wires the gateway to its sockets, clock and signals."""
+    """Connects the gateway to its sockets, clock and signals."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, settings: settings_file.Settings, rng: Random | None = None
     ) -> None:
-        """Wire the parts together; nothing listens before `start`."""
+        """Connect the components; nothing listens before `start`."""
         self.loop, self.settings = loop, settings
-        sockets = max(64, settings.limits.nofile - FILES - 32)
-        upstream = int(sockets * UPSTREAM_PART)
+        sockets = max(64, settings.limits.nofile - RESERVED_DESCRIPTORS - 32)
+        upstream = int(sockets * UPSTREAM_SHARE)
         rng = rng or Random()
         self.gateway = Gateway(loop, settings, rng, upstream)
-        self.reader = Reader()
-        self.server = Server(loop, self.gateway, sockets - upstream, self.reader, Bounds())
+        self.reader = RequestReader()
+        self.server = Server(loop, self.gateway, sockets - upstream, self.reader, ClientLimits())
         self.controller_session = ControllerSession(
             loop,
             settings,
             rng,
             self._on_table,
-            self.gateway.follow,
-            self.gateway.balancer.silent,
-            self.gateway.asks,
-            self.gateway.balancer.leaving,
+            self.gateway.update_servers,
+            self.gateway.balancer.set_silent,
+            self.gateway.demand,
+            self.gateway.balancer.in_flight_on_draining,
         )
-        self.gateway.reserve, self.gateway.share = self.controller_session.draw, self.controller_session.share
-        self.controller_session.on_lease = self.gateway.lent
-        self.gateway.left = self.controller_session.left
+        self.gateway.draw_reserve, self.gateway.lease_share = (
+            self.controller_session.draw_reserve,
+            self.controller_session.lease_share,
+        )
+        self.controller_session.on_lease_granted = self.gateway.on_lease_granted
+        self.gateway.lease_remaining_s = self.controller_session.lease_remaining_s
         keyed_requests = KeyedRequests(
             loop,
             rng,
-            OperationClaims(settings.hostname, self.controller_session.life),
+            OperationClaims(settings.hostname, self.controller_session.incarnation),
             self.controller_session.send,
         )
         self.gateway.keyed_requests = keyed_requests
         self.controller_session.on_claim_decision = keyed_requests.on_decision
         self.controller_session.on_operation_settled = keyed_requests.on_settled
         self.controller_session.on_connected = keyed_requests.on_connected
-        self.gateway.relent = lambda now: [
-            name for each in self.controller_session.holdings.values() for name in each.take_changed(now)
+        self.gateway.take_lease_changes = lambda now: [
+            name for leases in self.controller_session.leases.values() for name in leases.take_changed(now)
         ]
-        self.controller_session.on_shun = lambda ids: self.gateway.balancer.shun(ids, clock.monotonic())
+        self.controller_session.on_ejected = lambda ids: self.gateway.balancer.set_ejected(ids, clock.monotonic())
         self.listeners: list[asyncio.Server] = []
         self.stopping_since: float | None = None
-        self.period_at = self.sweep_at = 0.0
-        self.asked_at = clock.monotonic() + SPAN
+        self.next_regulate_at = self.next_sweep_at = 0.0
+        self.next_report_at = clock.monotonic() + REPORT_INTERVAL_S
         self.stopped: asyncio.Future = loop.create_future()
 
     async def start(self) -> None:
-        """Listen for clients and for the platform's probes. Raises OSError where an address is taken."""
+        """Listen for clients and for the platform's probes. Raises OSError if an address is in use."""
         self.controller_session.start()
         await self.server.listen(settings_file.address(self.settings.bind.http))
         host, port = settings_file.address(self.settings.bind.readyz)
@@ -96,19 +99,19 @@
     def _on_table(self, table: Table) -> None:
         self.reader.table = table
         limits = table.limits
-        # Clients keep within these; a little more is let through, as limits are counted in ways that differ.
-        self.server.bounds = Bounds(limits.hdr_bytes + 1024, limits.body_max_bytes, limits.hdr, limits.idle)
+        # Some slack, as clients may count the size of a head differently.
+        self.server.limits = ClientLimits(limits.hdr_bytes + 1024, limits.body_max_bytes, limits.hdr, limits.idle)
         self.gateway.configure(table)
 
     def ready(self) -> bool:
-        """Whether the platform may send clients here."""
-        return self.stopping_since is None and self.controller_session.fresh and self.reader.table is not None
+        """Whether the platform may send clients to this gateway."""
+        return self.stopping_since is None and self.controller_session.is_caught_up and self.reader.table is not None
 
     def _readyz(self, call: Call) -> None:
         if call.path == "/-/metrics":
             from crowseam.metrics import exposition, families
 
-            return exposition.answer(call, self.loop, families.of_gateway(self))
+            return exposition.answer_scrape(call, self.loop, families.of_gateway(self))
         if call.path != "/-/readyz":
             return call.reply(404)
         call.reply(200 if self.ready() else 503)
@@ -116,27 +119,27 @@
     def _tick(self) -> None:
         now = clock.monotonic()
         try:
-            self.gateway.members = self.controller_session.members
-            self.gateway.slices(now)
-            self.gateway.balancer.ingresses = max(1, self.controller_session.members)
-            if news := self.gateway.balancer.ill_news(now):
-                self.controller_session.complain(news)
+            self.gateway.gateway_count = self.controller_session.gateway_count
+            self.gateway.update_shares(now)
+            self.gateway.balancer.gateway_count = max(1, self.controller_session.gateway_count)
+            if outlier_counts := self.gateway.balancer.take_outlier_counts(now):
+                self.controller_session.report_outliers(outlier_counts)
             self.gateway.keyed_requests.tick(now)
-            if now >= self.period_at:
-                self.period_at = now + PERIOD
+            if now >= self.next_regulate_at:
+                self.next_regulate_at = now + PERIOD_S
                 self.gateway.admission.regulate(now)
-            if now >= self.asked_at:
-                self.asked_at = now + SPAN
+            if now >= self.next_report_at:
+                self.next_report_at = now + REPORT_INTERVAL_S
                 if counts := self.gateway.counters.take():
-                    logs.say("asked", span=SPAN, counts=counts)
+                    logs.say("asked", span=REPORT_INTERVAL_S, counts=counts)
                 self._report_claims()
-            if now >= self.sweep_at:
-                self.sweep_at = now + SWEEP
+            if now >= self.next_sweep_at:
+                self.next_sweep_at = now + SWEEP_INTERVAL_S
                 self.server.sweep()
                 self.gateway.backends.sweep()
         except Exception:
             logs.failure("tick_failed")
-        self.loop.call_later(SLICES, self._tick)
+        self.loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _report_claims(self) -> None:
         keyed = self.gateway.keyed_requests
@@ -147,26 +150,26 @@
             logs.say("operation_claims", outcomes=outcomes, p50_ms=p50_ms, p99_ms=p99_ms, unsettled=unsettled)
 
     def reload(self) -> None:
-        """The settings may name other seeds."""
+        """Read the seeds from the settings again."""
         try:
-            self.controller_session.learn(settings_file.read().seeds)
+            self.controller_session.add_controllers(settings_file.read().seeds)
         except settings_file.SettingsError as error:
             logs.say("settings_invalid", error=error)
 
     def stop(self) -> None:
-        """No longer ready; what still comes is served, what is under way is finished."""
+        """Stop being ready, and drain: new requests are still served, then those in flight are finished."""
         if self.stopping_since is None:
             self.stopping_since = clock.monotonic()
-            self.server.stopping = True  # each answer is the last of its connection
-            logs.say("stopping", under_way=self.gateway.under_way)
-            self.loop.call_later(ACCEPT_ON, self._finish)
+            self.server.stopping = True  # closes each connection after its next answer
+            logs.say("stopping", under_way=self.gateway.in_flight_count)
+            self.loop.call_later(ACCEPT_AFTER_SIGTERM_S, self._finish)
 
     def _finish(self) -> None:
         self.server.stop_listening()
         self.server.close_unused(clock.monotonic())
         grace = settings_file.seconds(self.settings.bounds.grace, "grace")
-        late = clock.monotonic() - self.stopping_since > grace - END_BEFORE
-        if late or not (self.server.connections or self.gateway.under_way):
+        is_grace_over = clock.monotonic() - self.stopping_since > grace - EXIT_MARGIN_S
+        if is_grace_over or not (self.server.connections or self.gateway.in_flight_count):
             self.controller_session.stop()
             self.loop.call_later(0.05, self._end)
         else:
@@ -185,18 +188,18 @@
 
 
 async def load_metrics(process: Process) -> None:
-    """Import the library of the histograms once the gateway is ready, so that it delays no start.
+    """Import the library of the histograms once the gateway is ready, so that it does not delay the start.
 
-    In a thread, as requests are under way by then.
+    This runs in a thread, as requests are in flight by then.
     """
     while not process.ready():
-        await asyncio.sleep(LOAD_LOOK)
-    make = await process.loop.run_in_executor(None, latency.library)
-    process.gateway.metrics.use(make)
+        await asyncio.sleep(READY_POLL_INTERVAL_S)
+    sketch_type = await process.loop.run_in_executor(None, latency.load_sketch_type)
+    process.gateway.metrics.use_sketch_type(sketch_type)
 
 
 async def serve(settings: settings_file.Settings) -> None:
-    """Run one gateway until it is told to stop."""
+    """Run a gateway until it is told to stop."""
     loop = asyncio.get_running_loop()
     process = Process(loop, settings)
     loop.add_signal_handler(signal.SIGHUP, process.reload)
@@ -213,8 +216,8 @@
 
 
 def main() -> int:
-    """Run the role; the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the file is about to be read anyway
+    """Run the gateway role, and return the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the settings are about to be read anyway
     try:
         settings = settings_file.read()
         for name in ("http", "readyz"):
--- a/crowseam/gateway/gateway.py
+++ b/crowseam/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The owner of the balancer: sockets' events in, its decisions out; every request gets exactly one answer."""
+"""Carries out the load balancer's decisions on sockets and timers; every request gets exactly one answer."""
 
 from __future__ import annotations
 
@@ -11,36 +11,44 @@
 from crowseam.configuration.routing import Table
 from crowseam.discovery.server_record import ServerRecord
 from crowseam.gateway.counters import RequestCounters
-from crowseam.gateway.http_dialect import ServerDialect, load_of
-from crowseam.gateway.in_flight import DepartedClient, InFlightRequest, StreamedAnswer
+from crowseam.gateway.http_dialect import ServerDialect, parse_server_load
+from crowseam.gateway.in_flight import DisconnectedClient, InFlightRequest, StreamedAnswer
 from crowseam.gateway.keyed_requests import KeyedRequests
-from crowseam.gateway.load_balancer import RETURN_LEAST, Draw, Give, LoadBalancer, Send, Wake
-from crowseam.gateway.request_reader import Asked
-from crowseam.metrics.latency import Recorder
+from crowseam.gateway.load_balancer import (
+    MIN_RETRY_AFTER_S,
+    DrawFromReserve,
+    LoadBalancer,
+    Respond,
+    Send,
+    StartHedgeTimer,
+)
+from crowseam.gateway.request_reader import ParsedRequest
+from crowseam.metrics.latency import RequestRecorder
 from crowseam.operations.claims import GrantedClaim, OperationClaims
-from crowseam.operations.messages import ClaimDecision, ClaimOutcome, KeptAnswer, OperationEnd, OperationWithdrawal
+from crowseam.operations.messages import ClaimDecision, ClaimOutcome, OperationEnd, OperationWithdrawal, StoredAnswer
 from crowseam.quotas.admission import Admission
 from crowseam.quotas.retry_budget import RetryBudget, SlidingMaximum
 from crowseam.quotas.unleased_allowance import unleased_allowance
 from crowseam.settings import Settings, seconds
 from fennelpoint.interface import BackendEntry, BackendState, Roster, RosterKind, Status
-from fennelpoint.net.backends import HOP_BY_HOP, Answer, Backends, Exchange
-from fennelpoint.net.flow import Budget
-
-CONNECT_TIMEOUT = 0.3  # s for a server to take a connection
-IDLE_MOST = 4.0  # s that a connection to a server is kept unused: the servers close theirs some time
-UNSAFE_IDLE = (0.03, 1.0)  # s that a connection for what may run once only has stood unused: young enough
-# not to have been forgotten, old enough for a second answer to have shown
-LATELY = 60.0  # s for which the highest number of gateways told counts, where something is cut evenly
-UNKNOWN = 96  # gateways reckoned with until a number is told
-YOUNG = 2.0  # s from its start in which a gateway is lent its first slices
-SETTLED = 0.6  # s, least told to come back after then: all who were cut off come back at the same
-# time, and buckets begin empty
-NOT_RUN = frozenset((429, 503, 408, 421))  # a promise: it has not run and never will
-REASON = b"x-refused-by"
-ATTEMPT_ID = b"x-attempt-id"
-# What a repeat of a keyed operation gets that is neither granted nor answered from memory: status and reason.
-REPEATS = {
+from fennelpoint.net.backends import HOP_BY_HOP, Answer, BackendPool, Exchange
+from fennelpoint.net.flow import BufferBudget
+
+CONNECT_TIMEOUT_S = 0.3
+MAX_IDLE_S = 4.0  # idle time after which a connection to a server is not reused: servers close theirs eventually
+# Idle time of a connection that may be reused for an unsafe request: long enough for excess bytes of the last answer
+# to have arrived, and short enough that the server has not closed it.
+UNSAFE_IDLE_RANGE_S = (0.03, 1.0)
+GATEWAY_COUNT_WINDOW_S = 60.0  # window of the maximum gateway count, by which allowances are divided
+DEFAULT_GATEWAY_COUNT = 96  # assumed until a controller reports the number
+STARTUP_PERIOD_S = 2.0  # after the start, while first leases are pending
+# Clients of a restarted gateway come back at the same time, and its buckets start empty.
+MIN_STARTUP_RETRY_AFTER_S = 0.6
+NOT_EXECUTED_STATUSES = frozenset((429, 503, 408, 421))  # promise that the request has not run and never will
+REFUSED_BY_HEADER = b"x-refused-by"
+ATTEMPT_ID_HEADER = b"x-attempt-id"
+# Status and reason for a repeat of a keyed operation that is neither granted nor answered with a stored answer.
+REPEAT_RESPONSES = {
     ClaimOutcome.AT_WORK: (409, "key_at_work"),
     ClaimOutcome.UNKNOWN: (504, "outcome_unknown"),
     ClaimOutcome.OTHER_REQUEST: (422, "x-op-key_reused"),
@@ -48,15 +56,15 @@
     ClaimOutcome.NO_QUORUM: (503, "no_quorum"),
     ClaimOutcome.FULL: (503, "operations_full"),
 }
-FULL_RETRY_AFTER_S = 1.0  # where there is no space for another key
-OVERTIME = 0.2  # s past a request's time that a large answer which is on its way may take to end
+FULL_RETRY_AFTER_S = 1.0  # when there is no space for another key
+STREAM_GRACE_S = 0.2  # time after the deadline in which a streamed answer may still end
 
 
 class Gateway:
-    """What `fennelpoint.net.server` calls its host: takes requests, gives answers."""
+    """The host of `fennelpoint.net.server`: takes requests and answers them."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, rng: Random, connections: int) -> None:
-        """`connections`: the most that may be open to servers at a time."""
+    def __init__(self, loop: asyncio.AbstractEventLoop, settings: Settings, rng: Random, max_connections: int) -> None:
+        """`max_connections`: limit of open connections to servers."""
         self.loop, self.settings, self.rng = loop, settings, rng
         now = clock.monotonic()
         bounds = settings.bounds
@@ -66,36 +74,42 @@
             seconds(bounds.retry_window, "retry_window"),
             bounds.retry_slack,
             now,
-            UNKNOWN,
+            DEFAULT_GATEWAY_COUNT,
             had_predecessor=not settings.bootstrap,
         )
         self.balancer = LoadBalancer(settings.az, self.admission, self.budget, rng, settings.hostname)
-        self.backends = Backends(
-            loop, connections, CONNECT_TIMEOUT, 2 * IDLE_MOST, 4.0, Budget(settings.limits.mem_mb), ServerDialect()
+        self.backends = BackendPool(
+            loop,
+            max_connections,
+            CONNECT_TIMEOUT_S,
+            2 * MAX_IDLE_S,
+            4.0,
+            BufferBudget(settings.limits.mem_mb),
+            ServerDialect(),
         )
         self.table: Table | None = None
         self.counters = RequestCounters()
-        self.tickets: dict[int, InFlightRequest] = {}
-        self.begun = now
+        self.in_flight: dict[int, InFlightRequest] = {}
+        self.started_at = now
         self.open_ids: set[bytes] = set()
-        self.last_id = 0
-        self.reserve = lambda tenant, count, done: done(0, 0.1)  # how the grantor's reserve is asked
-        self.share = lambda tenant, now: None  # the part of a tenant's quota that is lent to us
-        self.left = lambda tenant, now: 0.0  # and for how many seconds more
-        # Tenants whose leases have changed since the last look; None where that isn't known.
-        self.relent: Callable[[float], Iterable[str] | None] = lambda now: None
-        self.cut_for = 0  # the number of gateways that buckets are cut for
-        self.members = 0
-        self.most = SlidingMaximum(LATELY)
-        self.metrics = Recorder()
+        self.last_request_id = 0
+        self.draw_reserve = lambda tenant, count, done: done(0, 0.1)  # draws from the grantor's reserve
+        self.lease_share = lambda tenant, now: None  # share of a tenant's quota that is leased here
+        self.lease_remaining_s = lambda tenant, now: 0.0  # remaining time of that lease
+        # Returns the tenants whose leases have changed since the last call; None if that is unknown.
+        self.take_lease_changes: Callable[[float], Iterable[str] | None] = lambda now: None
+        self.last_gateway_count = 0  # by which buckets were last divided
+        self.gateway_count = 0
+        self.peak_gateway_count = SlidingMaximum(GATEWAY_COUNT_WINDOW_S)
+        self.metrics = RequestRecorder()
         claims = OperationClaims(settings.hostname, 0)
         self.keyed_requests = KeyedRequests(loop, rng, claims, lambda message: None)
 
-    # What the controllers tell
+    # News from the controllers
 
-    def follow(self, records: list[ServerRecord], whole: bool) -> None:
-        """Servers, all or those changed: the sockets keep to it from now on."""
-        self.balancer.follow(records, whole, clock.monotonic())
+    def update_servers(self, records: list[ServerRecord], is_complete: bool) -> None:
+        """Apply records of servers: all there are (`is_complete`), or the changed ones."""
+        self.balancer.update_servers(records, is_complete, clock.monotonic())
         entries, addresses = [], {}
         for record in records:
             state = (
@@ -108,55 +122,57 @@
             entries.append(BackendEntry(record.id, state))
             host, _, port = record.addr.rpartition(":")
             addresses[record.id] = (host, int(port or 0))
-        self.backends.follow(Roster(RosterKind.FULL if whole else RosterKind.CHANGES, 0, entries), addresses)
+        self.backends.apply_roster(
+            Roster(RosterKind.FULL if is_complete else RosterKind.CHANGES, 0, entries), addresses
+        )
         if self.backends.connecting:
-            self._move()
+            self._reassign_connecting()
 
-    def _move(self) -> None:
-        """What waits for a connection to a server that leaves goes elsewhere."""
-        for ticket in list(self.tickets.values()):
-            tried = self.balancer.tries.get(ticket.id)
-            for number, exchange in list(ticket.out.items()):
+    def _reassign_connecting(self) -> None:
+        """Move requests that wait for a connection to a leaving server to other servers."""
+        for request in list(self.in_flight.values()):
+            state = self.balancer.requests.get(request.id)
+            for attempt, exchange in list(request.exchanges.items()):
                 if (
                     exchange.connecting is not None
-                    and tried is not None
-                    and number in tried.out
-                    and not tried.out[number][0].usable
+                    and state is not None
+                    and attempt in state.in_flight
+                    and not state.in_flight[attempt][0].usable
                 ):
                     exchange.give_up(Status.CONNECT_FAILED)
 
     def configure(self, table: Table) -> None:
-        """Take a new version of the configuration."""
+        """Apply a new version of the configuration."""
         now = clock.monotonic()
         changed = None
-        if self.table is not None:  # a table keeps the very objects of what is unchanged
+        if self.table is not None:  # unchanged tenants keep their objects
             before, after = self.table.tenants, table.tenants
             changed = [name for name, tenant in after.items() if before.get(name) is not tenant]
             changed += [name for name in before if name not in after]
         self.table = table
-        self.metrics.follow(table.routes)
+        self.metrics.set_routes(table.routes)
         self.admission.configure(table.tenants, now, changed)
-        self.slices(now, changed)
+        self.update_shares(now, changed)
 
-    def slices(self, now: float, changed: Iterable[str] | None = ()) -> None:
-        """What each tenant's bucket here is filled by, from the leases.
+    def update_shares(self, now: float, changed: Iterable[str] | None = ()) -> None:
+        """Set the refill rates of the tenants' buckets from the leases.
 
-        `changed`: tenants to be looked at beside those lent anew; None: all of them.  Buckets fill by
-        themselves: to go through 17,000 of them each 0.1 s took more than half a core.
+        `changed`: tenants to update besides those with new leases; None: all.  Other buckets are skipped, as there may
+        be many thousands of them.
         """
         bounds = self.settings.bounds
-        if self.members:  # until then both reckon with UNKNOWN, but don't remember it
-            self.budget.set_gateways(self.members, now)
-            # Gateways that are cut off still reckon with the number of before.
-            self.most.observe(self.members, now)
-        gateways = self.most.get(now, UNKNOWN)
+        if self.gateway_count:  # until then both use DEFAULT_GATEWAY_COUNT
+            self.budget.set_gateway_count(self.gateway_count, now)
+            # Gateways that are cut off still use the previous number.
+            self.peak_gateway_count.observe(self.gateway_count, now)
+        gateways = self.peak_gateway_count.get(now, DEFAULT_GATEWAY_COUNT)
         window = seconds(bounds.quota_window, "quota_window")
         tenants = self.table.tenants if self.table else {}
-        relent = self.relent(now)
+        lease_changes = self.take_lease_changes(now)
         names: Iterable[str] = tenants
-        if relent is not None and changed is not None and gateways == self.cut_for:
-            names = {name for name in (*relent, *changed) if name in tenants}
-        self.cut_for = gateways
+        if lease_changes is not None and changed is not None and gateways == self.last_gateway_count:
+            names = {name for name in (*lease_changes, *changed) if name in tenants}
+        self.last_gateway_count = gateways
         for name in names:
             tenant = tenants[name]
             if tenant.rate > 0.0:
@@ -164,320 +180,342 @@
                     tenant.rate, tenant.burst, window, bounds.quota_excess, bounds.quota_slack, gateways
                 )
                 self.admission.set_share(
-                    name, self.share(name, now), now, floor, extra=extra, expires_at=now + self.left(name, now)
+                    name,
+                    self.lease_share(name, now),
+                    now,
+                    floor,
+                    extra=extra,
+                    expires_at=now + self.lease_remaining_s(name, now),
                 )
 
-    def asks(self) -> dict[str, float]:
-        """Asks a second by tenant, for the slices; only of tenants that ask and have a quota."""
-        asked = self.admission.demand(clock.monotonic())
+    def demand(self) -> dict[str, float]:
+        """Requests per second by tenant, for the leases; only of active tenants with a quota."""
+        demand = self.admission.demand(clock.monotonic())
         tenants = self.table.tenants if self.table else {}
-        return {name: round(rate, 3) for name, rate in asked.items() if name in tenants and tenants[name].rate > 0.0}
+        return {name: round(rate, 3) for name, rate in demand.items() if name in tenants and tenants[name].rate > 0.0}
 
-    # What the server of clients calls
+    # Called by the HTTP server
 
-    def admit(self, client: object, asked: Asked) -> int:
-        """Take a request; its id, for `gone`."""
-        self.last_id += 1
+    def admit(self, client: object, parsed: ParsedRequest) -> int:
+        """Take a request, and return its id for `client_gone`."""
+        self.last_request_id += 1
         now = clock.monotonic()
-        ticket = InFlightRequest(self.last_id, asked, client, now + asked.time_left)
-        self.tickets[ticket.id] = ticket
-        self.open_ids.add(asked.txn)
-        self.counters.add(asked.route.name, asked.tenant)
-        if asked.tenant and asked.tenant not in self.admission.tenants:
-            # The configuration that knew the key is not the one in force any more.
-            self._finish(ticket, lambda c: c.answered(401, [], b"the key is not known\n"), 401, "key")
-            return ticket.id
-        ticket.timer = self.loop.call_later(asked.time_left, self._expire, ticket)
-        self._do(self.balancer.arrive(ticket.id, asked.route, asked.tenant, asked.time_left, now))
-        return ticket.id
+        request = InFlightRequest(self.last_request_id, parsed, client, now + parsed.time_left)
+        self.in_flight[request.id] = request
+        self.open_ids.add(parsed.txn)
+        self.counters.add(parsed.route.name, parsed.tenant)
+        if parsed.tenant and parsed.tenant not in self.admission.tenants:
+            # The current configuration does not have the tenant any more.
+            self._finish(request, lambda c: c.send_answer(401, [], b"the key is not known\n"), 401, "key")
+            return request.id
+        request.timer = self.loop.call_later(parsed.time_left, self._expire, request)
+        self._execute(self.balancer.on_request(request.id, parsed.route, parsed.tenant, parsed.time_left, now))
+        return request.id
 
     def is_open(self, txn: bytes) -> bool:
-        """Whether a request of this id has no answer yet, or may still be with a server."""
+        """Whether a request with this attempt id is unanswered, or may still be at a server."""
         return txn in self.open_ids
 
-    def doubled(self, asked: Asked) -> None:
-        """A second request came under an id that is open."""
-        logs.say("doubled", id=asked.txn.decode("latin-1"))
+    def report_duplicate(self, parsed: ParsedRequest) -> None:
+        """A second request with the id of an open one was rejected."""
+        logs.say("doubled", id=parsed.txn.decode("latin-1"))
 
-    def gone(self, request: int) -> None:
+    def client_gone(self, request_id: int) -> None:
         """The client has closed its connection."""
-        ticket = self.tickets.get(request)
-        if ticket is None or ticket.client is None:
+        request = self.in_flight.get(request_id)
+        if request is None or request.client is None:
             return
-        self.metrics.gone += 1
-        if ticket.claim is not None and ticket.asked.upload is None:
-            # Its operation may run already: its end is kept for when the client comes again.
-            ticket.client = DepartedClient()
+        self.metrics.disconnected_clients += 1
+        if request.claim is not None and request.parsed.upload is None:
+            # Its operation may run already: the answer is stored for the client's next try.
+            request.client = DisconnectedClient()
             return
-        self._end_without_answer(ticket)
-        self.balancer.gone(request, clock.monotonic())
-        self._finish(ticket, lambda client: None, 0)
-        for exchange in list(ticket.out.values()):
+        self._end_without_answer(request)
+        self.balancer.on_client_gone(request_id, clock.monotonic())
+        self._finish(request, lambda client: None, 0)
+        for exchange in list(request.exchanges.values()):
             exchange.give_up(Status.CANCELLED)
 
     # Decisions
 
-    def _do(self, actions: list) -> None:
+    def _execute(self, actions: list) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self._send(action)
-            elif isinstance(action, Give):
-                self._give(action)
-            elif isinstance(action, Draw):
-                self._draw(action)
-            elif isinstance(action, Wake):
-                self.loop.call_at(self.loop.time() + action.at - clock.monotonic(), self._wake, action.id)
-
-    def _draw(self, draw: Draw) -> None:
-        def done(given: int, wait: float) -> None:
-            ticket = self.tickets.get(draw.id)
+            elif isinstance(action, Respond):
+                self._settle_and_respond(action)
+            elif isinstance(action, DrawFromReserve):
+                self._draw_from_reserve(action)
+            elif isinstance(action, StartHedgeTimer):
+                self.loop.call_at(self.loop.time() + action.at - clock.monotonic(), self._on_hedge_timer, action.id)
+
+    def _draw_from_reserve(self, draw: DrawFromReserve) -> None:
+        def done(granted: int, wait_s: float) -> None:
+            request = self.in_flight.get(draw.id)
             now = clock.monotonic()
-            if given and draw.tenant in self.admission.tenants:
-                self.admission.add_reserve_grant(draw.tenant, given)
-            if ticket is None or ticket.client is None:
+            if granted and draw.tenant in self.admission.tenants:
+                self.admission.add_reserve_grant(draw.tenant, granted)
+            if request is None or request.client is None:
                 return
-            ticket.drawing = False
+            request.is_awaiting_reserve = False
             if draw.tenant not in self.admission.tenants:
-                return self._finish(ticket, lambda c: c.answered(401, [], b"the key is not known\n"), 401, "key")
-            self._do(
-                self.balancer.arrive(
-                    ticket.id, ticket.asked.route, draw.tenant, ticket.deadline - now, now, 0.0 if given else wait
+                return self._finish(request, lambda c: c.send_answer(401, [], b"the key is not known\n"), 401, "key")
+            self._execute(
+                self.balancer.on_request(
+                    request.id,
+                    request.parsed.route,
+                    draw.tenant,
+                    request.deadline - now,
+                    now,
+                    0.0 if granted else wait_s,
                 )
             )
 
-        self.tickets[draw.id].drawing = True
-        self.reserve(draw.tenant, 1, done)
+        self.in_flight[draw.id].is_awaiting_reserve = True
+        self.draw_reserve(draw.tenant, 1, done)
 
-    def lent(self) -> None:
-        """A first slice is here: buckets fill from now on, and what was dry need not be."""
-        self.slices(clock.monotonic())
-        self.balancer.dry.clear()
+    def on_lease_granted(self) -> None:
+        """A missing lease has been granted: buckets fill from now on, and the reserve may be asked again."""
+        self.update_shares(clock.monotonic())
+        self.balancer.reserve_empty_until.clear()
 
-    def _wake(self, request: int) -> None:
-        if request in self.tickets:
-            self._do(self.balancer.late(request, clock.monotonic()))
+    def _on_hedge_timer(self, request_id: int) -> None:
+        if request_id in self.in_flight:
+            self._execute(self.balancer.on_hedge_timer(request_id, clock.monotonic()))
 
     def _send(self, send: Send) -> None:
-        ticket = self.tickets[send.id]
-        asked, server, number = ticket.asked, send.server, send.number
-        ticket.svc = server.svc
-        if asked.route.keyed and not self._may_send(ticket, send):
+        request = self.in_flight[send.id]
+        parsed, server, attempt = request.parsed, send.server, send.attempt
+        request.svc = server.svc
+        if parsed.route.keyed and not self._may_send(request, send):
             return None
-        if asked.upload is not None and asked.upload.held is None:
-            # A part of its body is gone with the attempt before.
-            return self._outcome(ticket, number, Status.MOOT, None)
-        passing = StreamedAnswer(ticket, number)
+        if parsed.upload is not None and parsed.upload.buffered is None:
+            # The previous attempt has consumed a part of the streamed body.
+            return self._on_outcome(request, attempt, Status.NOT_SENT, None)
+        streamed_answer = StreamedAnswer(request, attempt)
 
         def done(status: Status, answer: Answer | None) -> None:
-            ticket.out.pop(number, None)
-            self._outcome(ticket, number, status, answer, passing)
+            request.exchanges.pop(attempt, None)
+            self._on_outcome(request, attempt, status, answer, streamed_answer)
 
         exchange = Exchange(
-            lambda: asked.render(ticket.deadline - clock.monotonic(), server.id),
+            lambda: parsed.render(request.deadline - clock.monotonic(), server.id),
             done,
-            upload=asked.upload,
-            receiver=passing,
-            echo=asked.txn,
-            idle=None if asked.route.safe else UNSAFE_IDLE,
-            silent=lambda: self._silent(ticket, number),
-            send_until=inf if ticket.claim is None else ticket.claim.send_until,
+            upload=parsed.upload,
+            receiver=streamed_answer,
+            expected_id=parsed.txn,
+            idle_range_s=None if parsed.route.safe else UNSAFE_IDLE_RANGE_S,
+            on_stall=lambda: self._on_stalled_answer(request, attempt),
+            send_until=inf if request.claim is None else request.claim.send_until,
         )
-        ticket.out[number] = exchange
+        request.exchanges[attempt] = exchange
         self.backends.begin(exchange, server.id)
 
-    def _may_send(self, ticket: InFlightRequest, send: Send) -> bool:
-        """Whether a try of a keyed operation has the right to be sent now; it is claimed if it has none yet."""
+    def _may_send(self, request: InFlightRequest, send: Send) -> bool:
+        """Whether an attempt of a keyed operation may be sent now; claims the operation first if it has no claim."""
         now = clock.monotonic()
-        if ticket.claim is None:
-            self._claim(ticket, send)
+        if request.claim is None:
+            self._claim(request, send)
             return False
-        if now >= ticket.claim.send_until:
-            self._outcome(ticket, send.number, Status.MOOT, None)
+        if now >= request.claim.send_until:
+            self._on_outcome(request, send.attempt, Status.NOT_SENT, None)
             return False
         return True
 
-    def _claim(self, ticket: InFlightRequest, send: Send) -> None:
+    def _claim(self, request: InFlightRequest, send: Send) -> None:
         def done(outcome: ClaimOutcome, decision: ClaimDecision | None, granted: GrantedClaim | None) -> None:
-            if ticket.client is None:
+            if request.client is None:
                 if granted is not None:
                     self.keyed_requests.withdraw(granted)
                 return
             if granted is None:
-                self._answer_repeat(ticket, outcome, decision)
+                self._answer_repeat(request, outcome, decision)
                 return
-            ticket.claim = granted
-            self.balancer.sent(ticket.id, send.number, clock.monotonic())
+            request.claim = granted
+            self.balancer.on_attempt_sent(request.id, send.attempt, clock.monotonic())
             self._send(send)
 
-        asked = ticket.asked
-        time_left = ticket.deadline - clock.monotonic()
-        self.keyed_requests.claim(asked.operation, time_left, asked.route.target, done)
+        parsed = request.parsed
+        time_left = request.deadline - clock.monotonic()
+        self.keyed_requests.claim(parsed.operation, time_left, parsed.route.target, done)
 
-    def _answer_repeat(self, ticket: InFlightRequest, outcome: ClaimOutcome, decision: ClaimDecision | None) -> None:
-        """Answer a try of a keyed operation that is not sent: it gives back its unit of the quota."""
-        asked = ticket.asked
-        self.balancer.unsent(ticket.id, clock.monotonic())
+    def _answer_repeat(self, request: InFlightRequest, outcome: ClaimOutcome, decision: ClaimDecision | None) -> None:
+        """Answer a keyed request whose operation was not granted, and refund its quota."""
+        parsed = request.parsed
+        self.balancer.cancel_unsent(request.id, clock.monotonic())
         if decision is not None and decision.answer is not None:
             answer = decision.answer
-            fields = [field for field in answer.headers if field[0] != ATTEMPT_ID]
-            fields.append((ATTEMPT_ID, asked.txn))
-            return self._finish(ticket, lambda c: c.answered(answer.status, fields, answer.body), answer.status)
-        status, reason = REPEATS[outcome]
-        wait = 0.0
+            fields = [field for field in answer.headers if field[0] != ATTEMPT_ID_HEADER]
+            fields.append((ATTEMPT_ID_HEADER, parsed.txn))
+            return self._finish(request, lambda c: c.send_answer(answer.status, fields, answer.body), answer.status)
+        status, reason = REPEAT_RESPONSES[outcome]
+        wait_s = 0.0
         if outcome is ClaimOutcome.FULL:
-            wait = FULL_RETRY_AFTER_S
+            wait_s = FULL_RETRY_AFTER_S
         elif outcome is not ClaimOutcome.UNKNOWN and outcome is not ClaimOutcome.OTHER_REQUEST:
-            wait = max(RETURN_LEAST, 0.5 * self.balancer.kind(ticket.svc, asked.route).work)
-        ticket.claim_outcome = outcome
-        if status not in NOT_RUN:
-            logs.say("operation_repeated", id=asked.txn.decode("latin-1"), status=status, reason=reason)
-        self._respond(Give(ticket.id, status, wait, reason=reason))
-
-    def _settlement(self, ticket: InFlightRequest, give: Give) -> OperationEnd | OperationWithdrawal:
-        """What the voters are told of an operation whose try is answered so."""
-        claim, now = ticket.claim.claim, clock.monotonic()
-        if give.answer is not None:
-            answer = give.answer
+            wait_s = max(MIN_RETRY_AFTER_S, 0.5 * self.balancer.estimate(request.svc, parsed.route).work_s)
+        request.claim_outcome = outcome
+        if status not in NOT_EXECUTED_STATUSES:
+            logs.say("operation_repeated", id=parsed.txn.decode("latin-1"), status=status, reason=reason)
+        self._respond(Respond(request.id, status, wait_s, reason=reason))
+
+    def _settlement(self, request: InFlightRequest, response: Respond) -> OperationEnd | OperationWithdrawal:
+        """Return the message to the voters about an operation whose request gets this response."""
+        claim, now = request.claim.claim, clock.monotonic()
+        if response.answer is not None:
+            answer = response.answer
             fields = [each for each in answer.headers if each[0] not in HOP_BY_HOP]
-            kept = KeptAnswer(answer.status, fields, bytes(answer.body))
+            kept = StoredAnswer(answer.status, fields, bytes(answer.body))
             return self.keyed_requests.claims.end(OperationEnd(claim, kept), now)
         return self.keyed_requests.claims.withdraw(claim, now)
 
-    def _end_without_answer(self, ticket: InFlightRequest) -> None:
-        """Have it kept that an operation may have run, and that its answer is not known or too large to keep."""
-        claim, ticket.claim = ticket.claim, None
+    def _end_without_answer(self, request: InFlightRequest) -> None:
+        """Record that an operation may have run, and that its answer is unknown or too large to store."""
+        claim, request.claim = request.claim, None
         if claim is not None:
             end = self.keyed_requests.claims.end(OperationEnd(claim.claim, None), clock.monotonic())
             self.keyed_requests.send(end)
 
-    def _silent(self, ticket: InFlightRequest, number: int) -> None:
-        """An answer has fallen silent midway: another server may be asked, but this one is still waited for."""
-        if ticket.client is not None:
-            self._do(self.balancer.silent_amid(ticket.id, number, clock.monotonic()))
+    def _on_stalled_answer(self, request: InFlightRequest, attempt: int) -> None:
+        """An answer has stalled: the request may be hedged, while this attempt goes on."""
+        if request.client is not None:
+            self._execute(self.balancer.on_stalled_answer(request.id, attempt, clock.monotonic()))
 
-    def _outcome(
+    def _on_outcome(
         self,
-        ticket: InFlightRequest,
-        number: int,
+        request: InFlightRequest,
+        attempt: int,
         status: Status,
         answer: Answer | None,
-        passing: StreamedAnswer | None = None,
+        streamed_answer: StreamedAnswer | None = None,
     ) -> None:
-        if ticket.client is not None and ticket.passing is not None and ticket.passing is passing:
-            self.balancer.passed(ticket.id, number, status, clock.monotonic())
-            self._end_without_answer(ticket)
+        if (
+            request.client is not None
+            and request.streamed_answer is not None
+            and request.streamed_answer is streamed_answer
+        ):
+            self.balancer.on_stream_end(request.id, attempt, status, clock.monotonic())
+            self._end_without_answer(request)
             if status is Status.OK:
-                self._finish(ticket, lambda c: c.finish(), 200)
+                self._finish(request, lambda c: c.finish(), 200)
             else:
-                self._finish(ticket, lambda c: c.broken(), 200, "broken")
-        elif ticket.client is not None and ticket.passing is None:
-            load = load_of(answer) if answer is not None else None
-            self._do(self.balancer.outcome(ticket.id, number, status, answer, clock.monotonic(), load))
-        self._forget(ticket)
-
-    def _give(self, give: Give) -> None:
-        ticket = self.tickets[give.id]
-        if ticket.claim is None:
-            return self._respond(give)
-        if give.answer is None and give.status not in NOT_RUN:
-            self._end_without_answer(ticket)
-            return self._respond(give)
-        # What was answered can be had again, and what has not run can be tried again: that is on disk first.
-        number = ticket.claim.claim.name.number
-        settlement = self._settlement(ticket, give)
-        ticket.claim, ticket.answering = None, give
-        self.keyed_requests.settle(settlement, number, lambda: self._respond(give))
-
-    def _respond(self, give: Give) -> None:
-        ticket = self.tickets.get(give.id)
-        if ticket is None or ticket.client is None:
+                self._finish(request, lambda c: c.abort(), 200, "broken")
+        elif request.client is not None and request.streamed_answer is None:
+            load = parse_server_load(answer) if answer is not None else None
+            self._execute(self.balancer.on_outcome(request.id, attempt, status, answer, clock.monotonic(), load))
+        self._forget(request)
+
+    def _settle_and_respond(self, response: Respond) -> None:
+        request = self.in_flight[response.id]
+        if request.claim is None:
+            return self._respond(response)
+        if response.answer is None and response.status not in NOT_EXECUTED_STATUSES:
+            self._end_without_answer(request)
+            return self._respond(response)
+        # The stored answer, or the permission to try again, must be on disk before the client is answered.
+        claim_number = request.claim.claim.name.number
+        settlement = self._settlement(request, response)
+        request.claim, request.pending_response = None, response
+        self.keyed_requests.settle(settlement, claim_number, lambda: self._respond(response))
+
+    def _respond(self, response: Respond) -> None:
+        request = self.in_flight.get(response.id)
+        if request is None or request.client is None:
             return
-        answer = give.answer
+        answer = response.answer
         if answer is not None:
             fields = [each for each in answer.headers if each[0] not in HOP_BY_HOP]
-            return self._finish(ticket, lambda c: c.answered(answer.status, fields, answer.body), answer.status)
+            return self._finish(request, lambda c: c.send_answer(answer.status, fields, answer.body), answer.status)
         fields = {}
-        if give.reason == "quota":
-            held = self.admission.states(clock.monotonic())[ticket.asked.tenant]
+        if response.reason == "quota":
+            bucket = self.admission.states(clock.monotonic())[request.parsed.tenant]
             fields = {
-                "tenant": ticket.asked.tenant,
-                "share": -1.0 if held.share is None else held.share,
-                "rate": self.table.tenants[ticket.asked.tenant].rate,
+                "tenant": request.parsed.tenant,
+                "share": -1.0 if bucket.share is None else bucket.share,
+                "rate": self.table.tenants[request.parsed.tenant].rate,
             }
-        if ticket.claim_outcome is None or give.status in NOT_RUN:
+        if request.claim_outcome is None or response.status in NOT_EXECUTED_STATUSES:
             logs.say(
-                "refused" if give.status in NOT_RUN else "failed",
-                id=ticket.asked.txn.decode("latin-1"),
-                status=give.status,
-                reason=give.reason,
-                route=ticket.asked.route.name,
+                "refused" if response.status in NOT_EXECUTED_STATUSES else "failed",
+                id=request.parsed.txn.decode("latin-1"),
+                status=response.status,
+                reason=response.reason,
+                route=request.parsed.route.name,
                 **fields,
             )
-        fields = [(REASON, give.reason.encode())]
-        wait = give.retry_after
-        if give.reason == "quota" and clock.monotonic() < self.begun + YOUNG:
-            wait = max(wait, SETTLED)
-        if wait > 0.0:
-            fields.append((b"retry-after", b"%.3f" % wait))
+        fields = [(REFUSED_BY_HEADER, response.reason.encode())]
+        retry_after_s = response.retry_after_s
+        if response.reason == "quota" and clock.monotonic() < self.started_at + STARTUP_PERIOD_S:
+            retry_after_s = max(retry_after_s, MIN_STARTUP_RETRY_AFTER_S)
+        if retry_after_s > 0.0:
+            fields.append((b"retry-after", b"%.3f" % retry_after_s))
         self._finish(
-            ticket, lambda c: c.answered(give.status, fields, b"%b\n" % give.reason.encode()), give.status, give.reason
+            request,
+            lambda c: c.send_answer(response.status, fields, b"%b\n" % response.reason.encode()),
+            response.status,
+            response.reason,
         )
 
-    def _finish(self, ticket: InFlightRequest, answer, status: int, reason: str = "") -> None:
-        """`status`: what the client gets, 0 if it has left; `reason`: why it is no server's whole answer."""
-        client, ticket.client = ticket.client, None
+    def _finish(self, request: InFlightRequest, respond, status: int, reason: str = "") -> None:
+        """`status`: of the answer, 0 if the client has disconnected; `reason`: empty for a server's complete answer."""
+        client, request.client = request.client, None
         if client is None:
             return
-        if ticket.asked.upload is not None:
-            ticket.asked.upload.drop()
-        self._forget(ticket)
-        span = clock.monotonic() - ticket.deadline + ticket.asked.time_left
-        answer(client)
-        if status:  # counted once the answer is out, which waits for nothing here
-            self.metrics.ended(ticket.asked.route, ticket.svc, status, reason, span)
-
-    def _forget(self, ticket: InFlightRequest) -> None:
-        if ticket.client is None and not ticket.out and self.tickets.pop(ticket.id, None) is not None:
-            self.open_ids.discard(ticket.asked.txn)
-            if ticket.timer is not None:
-                ticket.timer.cancel()
-
-    def _expire(self, ticket: InFlightRequest) -> None:
-        """The client's time is up: it is answered, unless it has been or a large answer is on its way."""
-        if ticket.answering is not None:
-            self._respond(ticket.answering)
-        elif ticket.client is not None and ticket.passing is None:
-            self._time_out(ticket)
-        elif ticket.client is not None:
-            self.loop.call_later(OVERTIME, self._break_off, ticket)
-        # Guards the connections: what was slower than the answer may never end by itself.
-        for number, exchange in list(ticket.out.items()):
-            if ticket.passing is None or number != ticket.passing.number:
+        if request.parsed.upload is not None:
+            request.parsed.upload.discard_buffer()
+        self._forget(request)
+        latency_s = clock.monotonic() - request.deadline + request.parsed.time_left
+        respond(client)
+        if status:  # recorded after the answer, so as not to delay it
+            self.metrics.record(request.parsed.route, request.svc, status, reason, latency_s)
+
+    def _forget(self, request: InFlightRequest) -> None:
+        if request.client is None and not request.exchanges and self.in_flight.pop(request.id, None) is not None:
+            self.open_ids.discard(request.parsed.txn)
+            if request.timer is not None:
+                request.timer.cancel()
+
+    def _expire(self, request: InFlightRequest) -> None:
+        """The client's deadline has passed: answer it, unless it is answered or an answer is being streamed."""
+        if request.pending_response is not None:
+            self._respond(request.pending_response)
+        elif request.client is not None and request.streamed_answer is None:
+            self._time_out(request)
+        elif request.client is not None:
+            self.loop.call_later(STREAM_GRACE_S, self._abort_streamed_answer, request)
+        # An attempt that was slower than the answered one may never end by itself.
+        for attempt, exchange in list(request.exchanges.items()):
+            if request.streamed_answer is None or attempt != request.streamed_answer.attempt:
                 exchange.give_up(Status.TIMEOUT)
 
     @staticmethod
-    def _break_off(ticket: InFlightRequest) -> None:
-        """End a large answer that is still on its way: its client sees that it isn't whole."""
-        if ticket.client is not None and (exchange := ticket.out.get(ticket.passing.number)) is not None:
+    def _abort_streamed_answer(request: InFlightRequest) -> None:
+        """Abort a streamed answer; the client sees that it is incomplete."""
+        if (
+            request.client is not None
+            and (exchange := request.exchanges.get(request.streamed_answer.attempt)) is not None
+        ):
             exchange.give_up(Status.TIMEOUT)
 
-    def _time_out(self, ticket: InFlightRequest) -> None:
-        """Answer a request that has waited as long as its client does: refused, if it came to no server."""
-        for exchange in list(ticket.out.values()):
+    def _time_out(self, request: InFlightRequest) -> None:
+        """Answer a request at its deadline; it is refused if it has reached no server."""
+        for exchange in list(request.exchanges.values()):
             if exchange.connection is None:
                 exchange.give_up(Status.TIMEOUT)
-        self._do(self.balancer.over(ticket.id, clock.monotonic()))
-        if ticket.client is not None and ticket.drawing:
-            # It waits for the reserve: no server has had it.
-            self._finish(ticket, lambda c: c.answered(429, [(REASON, b"quota")], b"quota\n"), 429, "quota")
-        if ticket.client is not None:
-            # Guards against a decision that has lost a request: its answer must not wait for it.
-            logs.say("lost_track", id=ticket.asked.txn.decode("latin-1"))
-            self._finish(ticket, lambda c: c.answered(504, [], b"out of time\n"), 504, "lost_track")
+        self._execute(self.balancer.on_deadline(request.id, clock.monotonic()))
+        if request.client is not None and request.is_awaiting_reserve:
+            # It waits for a draw from the reserve, so no server has had it.
+            self._finish(
+                request, lambda c: c.send_answer(429, [(REFUSED_BY_HEADER, b"quota")], b"quota\n"), 429, "quota"
+            )
+        if request.client is not None:
+            # The load balancer has no state of the request: answer it nevertheless.
+            logs.say("lost_track", id=request.parsed.txn.decode("latin-1"))
+            self._finish(request, lambda c: c.send_answer(504, [], b"out of time\n"), 504, "lost_track")
 
-    # Upkeep
+    # Counters
 
     @property
-    def under_way(self) -> int:
-        """Requests without an answer, attempts that are still out, and ends that no majority has on disk."""
-        return len(self.tickets) + self.keyed_requests.claims.unsettled
+    def in_flight_count(self) -> int:
+        """Requests in flight, and ends and withdrawals of operations that no majority has on disk."""
+        return len(self.in_flight) + self.keyed_requests.claims.unsettled
--- a/crowseam/gateway/in_flight.py
+++ b/crowseam/gateway/in_flight.py
@@ -1,12 +1,12 @@
-"""A client's request while it is in flight: what is under way for it, and who gets its answer."""
+"""The state of a client's request in flight, and the receivers of its answer."""
 
 from __future__ import annotations
 
 import asyncio
 from dataclasses import dataclass, field
 
-from crowseam.gateway.load_balancer import Give
-from crowseam.gateway.request_reader import Asked
+from crowseam.gateway.load_balancer import Respond
+from crowseam.gateway.request_reader import ParsedRequest
 from crowseam.operations.claims import GrantedClaim
 from crowseam.operations.messages import ClaimOutcome
 from fennelpoint.net.backends import Answer, Exchange, UpstreamConnection
@@ -14,57 +14,57 @@
 
 @dataclass(slots=True, eq=False)
 class InFlightRequest:
-    """A client's request until its answer is out and nothing of it is under way."""
+    """A client's request, until it is answered and none of its exchanges is in flight."""
 
     id: int
-    asked: Asked
+    parsed: ParsedRequest
     client: object | None
     deadline: float
     timer: asyncio.TimerHandle | None = None
-    out: dict[int, Exchange] = field(default_factory=dict)
-    passing: StreamedAnswer | None = None
-    drawing: bool = False  # the reserve has been asked for it
-    svc: str = ""  # the service of its servers, once one was chosen
-    claim_outcome: ClaimOutcome | None = None  # where its operation was not granted
-    claim: GrantedClaim | None = None  # of its operation, on routes of keyed ones
-    answering: Give | None = None  # its answer, which waits until the end of its operation is kept
+    exchanges: dict[int, Exchange] = field(default_factory=dict)
+    streamed_answer: StreamedAnswer | None = None
+    is_awaiting_reserve: bool = False  # a draw from the quota reserve is pending
+    svc: str = ""  # service of the chosen server, if any
+    claim_outcome: ClaimOutcome | None = None  # if its operation was not granted
+    claim: GrantedClaim | None = None  # of its operation, on routes with keyed operations
+    pending_response: Respond | None = None  # held back until the end of its operation is stored
 
 
 @dataclass(slots=True, eq=False)
 class StreamedAnswer:
-    """Takes a large answer as it comes; from its first bytes on this attempt is the one that counts."""
+    """Streams a large answer to the client; its first bytes make this attempt the one that is answered."""
 
-    ticket: InFlightRequest
-    number: int
+    request: InFlightRequest
+    attempt: int
 
     def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None:
-        """The answer's head has come, and as much of its body as is held."""
-        ticket = self.ticket
-        if ticket.client is None or ticket.passing is not None:
-            return  # another attempt was quicker; what comes is dropped
-        ticket.passing = self
-        ticket.client.begin(answer, length, source)
+        """The answer's head has come, with the buffered part of its body."""
+        request = self.request
+        if request.client is None or request.streamed_answer is not None:
+            return  # another attempt was faster; this answer is dropped
+        request.streamed_answer = self
+        request.client.begin(answer, length, source)
 
-    def piece(self, data: bytes) -> None:
-        """More of its body has come."""
-        if self.ticket.client is not None and self.ticket.passing is self:
-            self.ticket.client.piece(data)
+    def write_body(self, data: bytes) -> None:
+        """Another part of its body has come."""
+        if self.request.client is not None and self.request.streamed_answer is self:
+            self.request.client.write_body(data)
 
 
-class DepartedClient:
-    """In place of a client that has left, where its request goes on all the same."""
+class DisconnectedClient:
+    """Stands in for a client that has disconnected while its request goes on; ignores the answer."""
 
-    def answered(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """Nobody takes the answer."""
+    def send_answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        """Ignore the answer."""
 
     def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None:
-        """Nobody takes the answer."""
+        """Ignore the answer's beginning."""
 
-    def piece(self, data: bytes) -> None:
-        """Nobody takes the answer."""
+    def write_body(self, data: bytes) -> None:
+        """Ignore a part of the body."""
 
     def finish(self) -> None:
-        """Nobody takes the answer."""
+        """Ignore the answer's end."""
 
-    def broken(self) -> None:
-        """Nobody takes the answer."""
+    def abort(self) -> None:
+        """Ignore that the answer broke off."""
--- a/crowseam/gateway/reserved_servers.py
+++ b/crowseam/gateway/reserved_servers.py
@@ -1,13 +1,13 @@
-"""Which servers of a service are kept for short requests: the short-loan menu of a service.
+"""Servers of a service that are reserved for short requests.
 
-A short request that finds all slots of a server taken waits for a long one to end, which may take longer
-than its whole aim; a long request hardly minds a short one.  So where the requests of a service differ much
-in the work they bring, a part of its servers is kept for the short ones: long ones go there only when the
-wait elsewhere is worth it, and short ones go elsewhere when theirs are taken.  The part follows the share of
-the work that short requests bring, with room to spare, as they are to find a free slot and not a short line.
+A short request that finds all slots of a server taken waits for a long one to end, which may exceed its whole
+target time; a long request is hardly delayed by a short one.  So where the service times of a service's requests
+differ much, a share of its servers is reserved for the short ones. This is a preference: either kind uses the
+other's servers if the expected cost, including a penalty, is lower there.  The reserved share follows the share of
+the work that short requests bring, with headroom, so that they find a free slot.
 
-All ingresses come to the same servers without a word: the order is by a hash of their ids, zone by zone, so
-that each zone has its own, and a server that comes or goes moves the edge by no more than one.
+All gateways reserve the same servers without coordination: servers are ranked by a hash of their ids within each
+zone, so that each zone has its own, and a server that is added or removed moves the boundary by at most one.
 """
 
 from __future__ import annotations
@@ -16,17 +16,17 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-SHORT = 0.5  # of the mean work of a service: requests with less are short
-ROOM = 2.5  # servers kept, against the share of the work that short requests bring
-MOST = 0.5  # of a service's servers
-LEAST = 0.04  # part below which none are kept
-FOLLOW = 0.005  # weight of a request in the share, at the least: the first ones count alike
-FIRST = 12  # requests of a service before its servers are parted
-STEADY = 0.25  # of the part: the change from which on it is followed, so that no server goes to and fro
+SHORT_WORK_RATIO = 0.5  # of the mean service time of a service: requests below are short
+RESERVE_HEADROOM = 2.5  # reserved share of servers relative to the share of work that short requests bring
+MAX_RESERVED_SHARE = 0.5
+MIN_RESERVED_SHARE = 0.04  # below this no servers are reserved
+MIN_EWMA_WEIGHT = 0.005  # minimum weight of a request in the moving average of the share of work
+MIN_REQUESTS = 12  # of a service before servers are reserved
+HYSTERESIS = 0.25  # relative change of the target share that is acted on, so that servers do not flap
 
 
 class Reservable(Protocol):
-    """A server, as far as it matters here; `rank` is its place in its zone, 0 to 1."""
+    """What is needed of a server; `rank` is its position in its zone, 0 to 1."""
 
     id: str
     az: str
@@ -35,38 +35,45 @@
 
 
 class ReservedServers:
-    """The parts of all services, as one ingress sees them."""
+    """The reserved shares of all services, as one gateway sees them."""
 
     def __init__(self) -> None:
         """Start with no server reserved."""
-        self._share: dict[str, float] = {}  # of a service's work that short requests bring
-        self._asked: dict[str, int] = {}
-        self._part: dict[str, float] = {}
+        self._short_work_share: dict[str, float] = {}  # share of a service's work that short requests bring
+        self._request_counts: dict[str, int] = {}
+        self._reserved_share: dict[str, float] = {}
 
-    def order(self, servers: Iterable[Reservable]) -> None:
-        """Rank the servers of one service anew, as some have come, gone or moved."""
+    def rank_servers(self, servers: Iterable[Reservable]) -> None:
+        """Rank the servers of one service."""
         zones: dict[str, list[Reservable]] = {}
         for server in servers:
             if server.usable:
                 zones.setdefault(server.az, []).append(server)
-        for group in zones.values():
-            group.sort(key=lambda server: (zlib.crc32(server.id.encode()), server.id))
-            for place, server in enumerate(group):
-                server.rank = (place + 0.5) / len(group)
+        for zone_servers in zones.values():
+            zone_servers.sort(key=lambda server: (zlib.crc32(server.id.encode()), server.id))
+            for position, server in enumerate(zone_servers):
+                server.rank = (position + 0.5) / len(zone_servers)
 
-    def ask(self, svc: str, work: float, mean: float) -> bool:
-        """A request of `work` s goes to a service whose requests take `mean` s: whether it is short."""
-        short = work < SHORT * mean
-        asked = self._asked[svc] = self._asked.get(svc, 0) + 1
-        share = self._share.get(svc, 0.0)
-        share += max(FOLLOW, 1.0 / asked) * ((work / mean if short else 0.0) - share)
-        self._share[svc] = share
-        wanted, part = min(MOST, ROOM * share), self._part.get(svc, 0.0)
-        if asked >= FIRST and abs(wanted - part) > STEADY * max(part, LEAST):
-            self._part[svc] = wanted
-        return short
+    def classify(self, svc: str, work_s: float, mean_work_s: float) -> bool:
+        """Count a request, and return whether it is short for a service whose mean service time is `mean_work_s`."""
+        is_short = work_s < SHORT_WORK_RATIO * mean_work_s
+        request_count = self._request_counts[svc] = self._request_counts.get(svc, 0) + 1
+        short_work_share = self._short_work_share.get(svc, 0.0)
+        short_work_share += max(MIN_EWMA_WEIGHT, 1.0 / request_count) * (
+            (work_s / mean_work_s if is_short else 0.0) - short_work_share
+        )
+        self._short_work_share[svc] = short_work_share
+        target_share, reserved_share = (
+            min(MAX_RESERVED_SHARE, RESERVE_HEADROOM * short_work_share),
+            self._reserved_share.get(svc, 0.0),
+        )
+        if request_count >= MIN_REQUESTS and abs(target_share - reserved_share) > HYSTERESIS * max(
+            reserved_share, MIN_RESERVED_SHARE
+        ):
+            self._reserved_share[svc] = target_share
+        return is_short
 
-    def part(self, svc: str) -> float:
-        """The part of a service's servers that is kept for short requests: those with a rank below it."""
-        part = self._part.get(svc, 0.0)
-        return part if part >= LEAST else 0.0
+    def reserved_share(self, svc: str) -> float:
+        """The share of servers that is reserved for short requests: those with a rank below it."""
+        reserved_share = self._reserved_share.get(svc, 0.0)
+        return reserved_share if reserved_share >= MIN_RESERVED_SHARE else 0.0
--- a/crowseam/membership/__init__.py
+++ b/crowseam/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which of the system's own processes exist, which of them answer, and who holds which singleton role."""
+"""Membership: live processes, failure detection, and leases of singleton roles."""
--- a/crowseam/membership/outliers.py
+++ b/crowseam/membership/outliers.py
@@ -1,11 +1,12 @@
-"""Outlier detection: servers that fail, by outcomes over the whole fleet, as each gateway meets each server seldom.
-
-A gateway reports each failure it sees while others serve it well: an error of the server, an answer that broke off,
-a silence that is long overdue. A controller passes on what its gateways report, so that all come to the same. A
-server with several failures within a short window, seen by two gateways at the least, is ejected by all: the window
-is short, so that a server which loses some answers among many good ones is not ejected. Gateways try ejected
-servers now and then, and report each success; some in a row end it. Of a service no more than a third is ejected:
-where more fails, it is hardly the servers' fault alone. Times are seconds of a steady clock.
+"""Outlier detection: ejects failing servers based on outcomes reported by the whole fleet.
+
+A single gateway sends too few requests to a server to judge it alone. Gateways therefore report the failures that
+they see while other servers succeed: an error of the server, an aborted response, or a response that is long overdue.
+Controllers forward the reports of their gateways to each other, so that all reach the same result. A server with
+several failures within a short window, seen by at least two gateways, is ejected by all gateways. The window is short
+so that a server with occasional failures among many successes stays in use. Gateways probe ejected servers from time
+to time and report each success; several in a row end the ejection. At most a third of a service's servers is ejected:
+if more of them fail, the cause is probably not the individual servers. Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -16,15 +17,15 @@
 from msgspec import Struct
 
 MIN_FAILURES = 3
-MIN_GATEWAYS = 2  # that have to have seen the failures
-WINDOW_S = 1.5  # within which the failures have to come
-SUCCESSES_TO_RETURN = 3  # in a row
-MAX_SILENT_EJECTION_S = 8.0  # after which an ejection ends where nobody reports anything
+MIN_GATEWAYS = 2  # that must have seen failures
+WINDOW_S = 1.5  # for counting failures
+SUCCESSES_TO_RETURN = 3  # consecutive
+MAX_SILENT_EJECTION_S = 8.0  # an ejection without further reports ends after this time
 MAX_EJECTED_FRACTION = 1.0 / 3.0  # of a service's servers
 
 
 class _Failures(Struct, frozen=True):
-    """Failures that one gateway reported at one time (s)."""
+    """A number of failures reported by one gateway at one time (s)."""
 
     reported_at: float
     gateway: str
@@ -32,18 +33,18 @@
 
 
 class _ServerOutcomes:
-    """What was reported of one server."""
+    """Outcomes reported for one server."""
 
     __slots__ = ("failures", "is_ejected", "reported_at", "successes")
 
     def __init__(self) -> None:
         self.failures: deque[_Failures] = deque()
         self.is_ejected = False
-        self.successes = 0  # in a row since it was ejected
+        self.successes = 0  # consecutive, since it was ejected
         self.reported_at = 0.0
 
     def update(self, now: float) -> None:
-        """Eject the server, or end its ejection, by what was reported until now."""
+        """Start or end the ejection based on the reports so far."""
         while self.failures and now - self.failures[0].reported_at > WINDOW_S:
             self.failures.popleft()
         if not self.is_ejected:
@@ -56,19 +57,19 @@
 
 
 class OutlierDetector:
-    """What is reported of servers, and which are to be ejected."""
+    """Collects reported outcomes and decides which servers are ejected."""
 
     def __init__(self) -> None:
         self._records: dict[str, _ServerOutcomes] = {}
 
     def report(self, gateway: str, outcomes: Mapping[str, int], now: float) -> None:
-        """Take what a gateway has seen of servers: so many failures, or (below 0) successes of ejected ones."""
+        """Record a gateway's outcomes by server: failures, or if negative, successes of ejected servers."""
         for server, count in outcomes.items():
             record = self._records.get(server)
             if count > 0:
                 if record is None:
                     record = self._records[server] = _ServerOutcomes()
-                # One gateway alone never ejects a server.
+                # Capped so that one gateway alone never ejects a server.
                 record.failures.append(_Failures(now, gateway, min(count, MIN_FAILURES - 1)))
                 record.successes = 0
                 record.reported_at = now
@@ -77,9 +78,10 @@
                 record.reported_at = now
 
     def ejected(self, service_of: Callable[[str], str | None], size_of: Callable[[str], int], now: float) -> list[str]:
-        """Return the servers to eject, sorted; of each service the worst ones, as far as allowed.
+        """Return the ejected servers, sorted; if a service exceeds its limit, those with the fewest successes.
 
-        `service_of` returns a server's service (None: it is gone), `size_of` how many servers a service has.
+        `service_of` returns a server's service (None: the server is gone), `size_of` the number of servers of a
+        service.
         """
         by_service: dict[str, list[str]] = {}
         for server, record in list(self._records.items()):
--- a/crowseam/membership/role_context.py
+++ b/crowseam/membership/role_context.py
@@ -1,4 +1,4 @@
-"""What the parts of one controller's roles share."""
+"""State shared by the role lease components of one controller."""
 
 from __future__ import annotations
 
@@ -10,25 +10,25 @@
 
 
 class RoleLeaseTiming(msgspec.Struct, frozen=True):
-    """Waits in seconds; the same on all controllers.
+    """Timing in seconds; must be the same on all controllers.
 
     Parameters
     ----------
     term_s
-        How long a grant holds, from when it was requested.
+        How long a grant is valid, counted from when it was requested.
     margin_s
-        What voters wait on top, for clocks that differ in speed by up to 2%.
+        Added by voters, for clocks that differ in speed by up to 2%.
     renew_interval_s, retry_interval_s
-        Between two requests of a holder, and of a candidate.
+        Time between two requests of a holder, and of a candidate.
     round_timeout_s
-        After this a candidate without a majority gives up, as two half-won rounds block each other.
+        A candidate without a majority gives up after this: two candidates with a minority each block each other.
     max_backoff_s
         The longest random pause before a candidate tries again.
     hand_back_delay_s
-        How long a controller is not the preferred one before it gives a role up. Each change of holders begins
-        with an empty reserve, so a preferred one that came back waits.
+        How long another controller must be preferred before a holder gives up a role. Each change of holders starts
+        with an empty reserve, so a returning preferred holder does not get the role back at once.
     max_borrowing_s
-        Longer than a borrower can use what it was lent.
+        Upper bound of how long a borrower can use a lease.
     """
 
     term_s: float = 1.4
@@ -42,11 +42,11 @@
 
 
 class RoleContext:
-    """This controller, the voters as it knows them, and the figures.
+    """This controller's address, the voters as it knows them, and the timing.
 
-    `voters` is None until they are known. `log_slot` is the newest slot of the log known here, and `voters_slot`
-    one after which the voters have not changed (-1: not told). `is_changing_voters`: this voter has accepted
-    other voters, and does not know whether they were chosen.
+    `voters` is None until they are known. `log_slot` is the newest log slot known here, and `voters_slot` a slot
+    after which the voters have not changed (-1: unknown). `is_changing_voters`: this voter has accepted a change of
+    the voters and does not know yet whether it was chosen.
     """
 
     def __init__(self, me: str, timing: RoleLeaseTiming, rng: Random) -> None:
@@ -60,10 +60,10 @@
 
     @property
     def known_voters(self) -> frozenset[str]:
-        """The voters; empty while they are not known."""
+        """The voters; empty while they are unknown."""
         return self.voters or frozenset()
 
     @property
     def majority(self) -> int:
-        """How many voters are more than half."""
+        """The number of voters that form a majority."""
         return majority(len(self.known_voters))
--- a/crowseam/membership/role_leases.py
+++ b/crowseam/membership/role_leases.py
@@ -1,34 +1,36 @@
-"""Singleton roles, divided by key over the live controllers that vote, as leases with fencing tokens.
-
-The preferred holder of a role is found by rendezvous hashing over the live controllers, so one that comes or goes
-moves only the roles that it gets or had. Being preferred gives no right: a holder needs a lease from a majority
-of the voters, renewed each half second. A voter grants a role to one holder at a time, by its own steady clock; the
-holder counts from when it sent the request, so its lease has ended when a voter grants to the next.
-
-Each holder has a higher fencing token than the one before. A candidate first gets grants of a majority, which tell
-the highest one they have seen; it takes a higher one, and holds the role when a majority has granted and noted
-that. Receivers of what a holder sends reject a lower fencing token than they have seen, so that a late holder
-changes nothing.
-
-On disk, voters keep to whom they granted each role last and the highest fencing token they have seen. One that has
-just started grants it to that one alone for a term; one that has just become a voter, or has lost its disk, to
-nobody, and to nobody either before it has been told the fencing tokens that a majority has seen
-(`awaits_fencing_tokens`). Should one be forgotten all the same, its low bits are random, so that no two holders have
-the same one, and who meets a higher one than the holder's reports it with `observe_fencing_token`: the holder then
-takes a higher one still.
-
-While the voters change, two majorities may have nobody in common. So a voter that has accepted a change and does not
-know what became of it grants nothing, nor does one that does not vote as far as it knows, nor any to a sender that
-may not know the voters yet: whoever holds a role by the voters before has been without grants for a term when a new
-voter grants its first.
-
-A holder lends to borrowers under its role, and the next one has to know them all. So each request announces those
-that are new to the voter it goes to, and who borrows no more; the voter keeps them with the grant, in memory.
-`is_borrower_confirmed` tells the holder whom a majority has. A candidate is told by the voters whom they have of the
-holder before: those of a majority together are all (`earlier_borrowers`). A voter that has just started, has just
-become one, or has granted to a version that announces nobody, is of no use in that until what was lent has ended.
-
-All times are seconds of a steady clock.
+"""Singleton roles, distributed by key over the live voting controllers, as leases with fencing tokens.
+
+The preferred holder of a role is found by rendezvous hashing over the live controllers, so a controller that joins or
+leaves moves only the roles that it gains or held. Being preferred gives no right to the role: a holder needs a lease
+from a majority of the voters, which it renews continually. A voter grants a role to one holder at a time, by its own
+monotonic clock; the holder counts the term from when it sent the request, so its lease has ended before a voter
+grants the role to the next one.
+
+Each holder has a higher fencing token than its predecessor. A candidate first collects grants from a majority, which
+report the highest token they have seen; it chooses a higher one and holds the role when a majority has granted and
+recorded it. Receivers of a holder's messages reject a lower fencing token than they have seen, so a delayed holder
+has no effect.
+
+Voters store on disk to whom they last granted each role and the highest fencing token they have seen. A voter that
+has just started grants a role only to that holder for one term. One that has just become a voter, or has lost its
+disk, grants nothing for a term, nor before it has learned the fencing tokens that a majority has seen
+(`awaits_fencing_tokens`). In case a token is lost all the same, its low bits are random, so that no two holders share
+a token, and a receiver that has seen a higher one than the holder's reports it with `observe_fencing_token`; the
+holder then chooses a higher one still.
+
+While the voters change, two majorities need not intersect. Therefore a voter grants nothing while it has accepted a
+change of unknown outcome, while it is not a voter as far as it knows, or to a sender that may not know the current
+voters. As a result, a holder elected by the previous voters has been without grants for a term before a new voter
+makes its first grant.
+
+A holder grants quota leases to gateways, its borrowers, and the next holder must know all of them. Each request
+therefore lists the borrowers that are new to the addressed voter and those that have ended; the voter keeps the list
+with the grant, in memory. `is_borrower_confirmed` tells the holder whether a majority has a borrower. A candidate
+learns from the voters which borrowers the previous holders had; the lists of a majority together are complete
+(`earlier_borrowers`). A voter that has just started, has just become a voter, or has granted the role to a version
+without borrower lists, cannot contribute until every lease from before has expired.
+
+All times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -48,16 +50,16 @@
     RoleLeaseRejection,
     RoleLeaseRelease,
     RoleLeaseRequest,
-    draw_incarnation,
+    new_incarnation,
 )
 from crowseam.membership.role_voter import RoleLeaseVoter
 
 
 class RoleLeases:
-    """The roles of one controller: hands messages and ticks to its voter and to its claims.
+    """The roles of one controller: passes messages and ticks to its voter and to its claims.
 
-    `me` is the address others know this controller by. Messages that calls return are to be sent to the address
-    beside them. `remembered` is what was on disk of each role; see `RoleLeaseVoter`.
+    `me` is the address by which others know this controller. The caller sends the returned messages to the addresses
+    given with them. `saved_notes` are the stored notes by role; see `RoleLeaseVoter`.
     """
 
     voter_type = RoleLeaseVoter
@@ -70,13 +72,13 @@
         now: float,
         keys: Iterable[str],
         timing: RoleLeaseTiming | None = None,
-        remembered: Mapping[str, str] | None = None,
+        saved_notes: Mapping[str, str] | None = None,
     ) -> None:
         self.keys = tuple(keys)
         self._context = RoleContext(me, timing or RoleLeaseTiming(), rng)
-        incarnation = draw_incarnation(rng)
+        incarnation = new_incarnation(rng)
         self._holders = KnownHolders()
-        self.voter = self.voter_type(self._context, self._holders, self.keys, now, remembered)
+        self.voter = self.voter_type(self._context, self._holders, self.keys, now, saved_notes)
         self._claims = {key: self.claim_type(self._context, key, incarnation) for key in self.keys}
         self._is_closing = False
 
@@ -88,7 +90,7 @@
     # Messages and time
 
     def handle(self, sender: str, message: Message, now: float) -> list[Outgoing]:
-        """Take a message. One for a role that is not known here is dropped."""
+        """Handle a message. Messages for unknown roles are dropped."""
         claim = self._claims.get(message.key)
         if claim is None:
             return []
@@ -115,9 +117,9 @@
             self._holders.observe(message.key, message.holder, until, message.highest_fencing_token)
 
     def tick(self, now: float, live: set[str], voters: set[str]) -> list[Outgoing]:
-        """Seek, renew and give up roles; to be called about ten times a second.
+        """Acquire, renew and release roles; to be called about ten times a second.
 
-        `live` are the controllers heard from lately, `voters` those that vote.
+        `live` are the controllers heard from recently, `voters` those that vote.
         """
         context = self._context
         current = frozenset(voters)
@@ -133,13 +135,13 @@
         return self._route(messages, now)
 
     def release_all(self, now: float) -> list[Outgoing]:
-        """Give up every role for good, before the process ends."""
+        """Release every role permanently, before the process ends."""
         self._is_closing = True
         messages = [message for claim in self._claims.values() for message in claim.give_up(now)]
         return self._route(messages, now)
 
     def _route(self, messages: list[Outgoing], now: float) -> list[Outgoing]:
-        """Carry out what this controller sends to itself."""
+        """Deliver the messages that this controller sends to itself, and return the others."""
         away: list[Outgoing] = []
         for outgoing in messages:
             if outgoing.addr == self.me:
@@ -152,7 +154,7 @@
 
     @property
     def awaits_fencing_tokens(self) -> bool:
-        """Whether this new voter has not been told the fencing tokens yet, and so grants nothing."""
+        """Whether this new voter has not learned the fencing tokens yet, and therefore grants nothing."""
         return self.voter.awaits_fencing_tokens
 
     @awaits_fencing_tokens.setter
@@ -167,7 +169,7 @@
         voters_slot: int = -1,
         is_changing_voters: bool = False,
     ) -> None:
-        """Take the voters as they are known here; to be called before each message is handed in.
+        """Set the voters as known here; to be called before each message is handled.
 
         See `RoleContext` for the parameters.
         """
@@ -184,68 +186,68 @@
         return self.voter.fencing_tokens()
 
     def adopt_fencing_tokens(self, tokens: Mapping[str, int]) -> None:
-        """Take over what another voter has seen; it is then among the unsaved notes."""
+        """Merge the tokens that another voter has seen; changes are added to the unsaved notes."""
         self.voter.adopt_fencing_tokens(tokens)
 
     # Notes on disk
 
     @property
     def unsaved(self) -> dict[str, str]:
-        """The notes that are to be on disk before the grants that were returned are sent."""
+        """The notes that must be on disk before the returned grants are sent."""
         return self.voter.unsaved
 
     def take_unsaved(self) -> dict[str, str]:
-        """Return the unsaved notes, which the caller writes now."""
+        """Return the unsaved notes, which the caller now writes."""
         return self.voter.take_unsaved()
 
     def note(self, key: str) -> str:
-        """Return the newest note of a role, whether it is on disk or about to be written; "": none."""
+        """Return the newest note of a role, stored or about to be written; "" if there is none."""
         return self.voter.note(key)
 
     def write_failed(self, notes: Mapping[str, str]) -> None:
-        """Note that these could not be written."""
+        """Record that these notes could not be written."""
         self.voter.write_failed(notes)
 
     # Holders
 
     def held_fencing_token(self, key: str, now: float) -> int | None:
-        """Return the fencing token under which this controller holds the role at this moment, or None."""
+        """Return the fencing token under which this controller currently holds the role, or None."""
         return self._claims[key].held_fencing_token(now)
 
     def holder(self, key: str, now: float) -> str | None:
-        """Return who holds the role as far as is known here; None: not known."""
+        """Return the holder of the role as far as this controller knows, or None."""
         if self.held_fencing_token(key, now) is not None:
             return self.me
         name = self._holders.holder(key, now)
         return None if name == self.me else name
 
     def observe_fencing_token(self, key: str, fencing_token: int, now: float) -> list[Outgoing]:
-        """Note that somebody has obeyed this fencing token: a claim with a lower one takes a higher one."""
+        """Record that a receiver has accepted this fencing token: a claim with a lower one chooses a higher one."""
         return self._route(self._claims[key].observe_fencing_token(fencing_token, now), now)
 
     # Borrowers
 
     def earlier_borrowers(self, key: str) -> set[str] | None:
-        """Return who may hold what earlier holders have lent; None unless a majority of the voters knows it."""
+        """Return who may hold leases of earlier holders; None unless a majority of the voters knows them."""
         return self._claims[key].borrowers.earlier_borrowers()
 
     def start_borrower_list(self, key: str, names: Iterable[str], now: float, is_partial: bool = False) -> None:
-        """Begin to announce borrowers under the fencing token held, with those that a majority has already.
+        """Start a list of borrowers under the current fencing token, with those that a majority already has.
 
-        `is_partial`: others may hold what the holder before has lent.
+        `is_partial`: other gateways may hold leases of earlier holders.
         """
         self._claims[key].borrowers.start(names, now, is_partial)
 
     def announce_borrowers(self, key: str, names: Iterable[str], now: float) -> list[Outgoing]:
-        """Add borrowers; nothing is sent while a majority has yet to answer what was."""
+        """Add borrowers; nothing is sent until a majority has answered the previous announcement."""
         claim = self._claims[key]
         claim.borrowers.add(names)
         return self._route(claim.announce_borrowers(now), now)
 
     def keep_borrowers(self, key: str, names: Collection[str], now: float) -> None:
-        """Remove all other borrowers, as they use nothing any more; sent with the next request."""
+        """Remove all other borrowers, whose leases have ended; sent with the next request."""
         self._claims[key].borrowers.keep_only(names, now)
 
     def is_borrower_confirmed(self, key: str, name: str) -> bool:
-        """Whether a majority of the voters has this borrower: it may be lent to."""
+        """Return whether a majority of the voters has this borrower, so that a lease may be granted to it."""
         return self._claims[key].borrowers.is_confirmed(name)
--- a/crowseam/membership/role_messages.py
+++ b/crowseam/membership/role_messages.py
@@ -1,6 +1,6 @@
-"""The messages by which controllers agree on who holds a role.
+"""The messages by which controllers agree on the holder of a role.
 
-All are arrays on the wire, so fields keep their order; new ones come last, with a default.
+All are encoded as arrays, so the order of the fields is part of the protocol; new fields go last, with a default.
 """
 
 from __future__ import annotations
@@ -10,32 +10,32 @@
 
 import msgspec
 
-NO_LIST = -1  # an earlier version, which announces no borrowers
+NO_LIST = -1  # sent by an earlier version, which announces no borrowers
 LIST_NOT_STARTED = 0
-# A request's token: the incarnation of its sender's process, then the number of the request.
+# A request token consists of the incarnation of the sender's process and the number of the request.
 _INCARNATION_BITS = 30
 _REQUEST_NUMBER_BITS = 32
 
 
-def draw_incarnation(rng: Random) -> int:
-    """Return the high bits of the tokens of a process that starts."""
+def new_incarnation(rng: Random) -> int:
+    """Return random high bits for the request tokens of a new process."""
     return rng.getrandbits(_INCARNATION_BITS) << _REQUEST_NUMBER_BITS
 
 
 def is_of_same_incarnation(one: int, other: int) -> bool:
-    """Whether the requests with these tokens were sent by the same process."""
+    """Return whether the requests with these tokens were sent by the same process."""
     return one >> _REQUEST_NUMBER_BITS == other >> _REQUEST_NUMBER_BITS
 
 
 class RoleLeaseRequest(msgspec.Struct, array_like=True, tag="duties.seek"):
     """Asks a voter for the role `key` for `term_s` seconds.
 
-    With a fencing token of 0 it asks for the highest one seen. `log_slot` is the newest slot of the log that the
-    sender knows; -1: not told, by an earlier version.
+    With a fencing token of 0 it asks for the highest one seen. `log_slot` is the newest log slot that the sender
+    knows; -1: not sent, by an earlier version.
 
-    `list_changes` are borrowers added ("+name") or removed ("-name"), in order, from `list_offset` on, in list
-    `list_number` of this fencing token; offset 0: from an empty list. `is_list_partial`: others may hold what was
-    lent under the fencing token before.
+    `list_changes` are the borrowers added ("+name") or removed ("-name"), in order, starting at `list_offset` of the
+    list `list_number` under this fencing token; offset 0 starts from an empty list. `is_list_partial`: other gateways
+    may hold leases granted under earlier fencing tokens.
     """
 
     key: str
@@ -50,10 +50,10 @@
 
 
 class RoleLeaseGrant(msgspec.Struct, array_like=True, tag="duties.granted"):
-    """The voter has the sender of the request as the holder.
+    """The voter has granted the role to the sender of the request.
 
-    `list_length` is how many changes of its list the voter has; -1: an earlier version, which keeps none.
-    `earlier_borrowers`, before a list is started: those of the holder before, None if some may be missing.
+    `list_length` is how many changes of its list the voter has; -1: an earlier version, which keeps no list.
+    `earlier_borrowers`, sent before a list is started, are those of earlier holders; None if some may be missing.
     """
 
     key: str
@@ -64,7 +64,7 @@
 
 
 class RoleLeaseRejection(msgspec.Struct, array_like=True, tag="duties.refused"):
-    """Another controller has the role for `remaining_s` more; holder "": the voter may have forgotten which."""
+    """Another controller holds the role for `remaining_s` more; holder "": the voter may no longer know which one."""
 
     key: str
     token: int
@@ -74,14 +74,14 @@
 
 
 class RoleLeaseRelease(msgspec.Struct, array_like=True, tag="duties.release"):
-    """The sender gives up what it was granted up to `token`."""
+    """The sender releases everything it was granted for requests up to `token`."""
 
     key: str
     token: int
 
 
 class RoleLeaseAnnouncement(msgspec.Struct, array_like=True, tag="duties.holding"):
-    """The sender holds the role: for controllers that do not vote."""
+    """Tells controllers that do not vote that the sender holds the role."""
 
     key: str
     fencing_token: int
@@ -92,7 +92,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A message to be sent, and the address that it goes to."""
+    """A message to send, and its destination address."""
 
     addr: str
     message: Message
--- a/crowseam/membership/role_voter.py
+++ b/crowseam/membership/role_voter.py
@@ -1,4 +1,4 @@
-"""The voter's part in role leases: to whom it has granted which role, and what it has on disk of that."""
+"""The voter side of role leases: which role is granted to whom, and what is stored on disk."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class BorrowerListKey(msgspec.Struct, frozen=True, order=True):
-    """Which list of borrowers: that of a fencing token, and the number of the list under it."""
+    """Identifies a list of borrowers: the fencing token, and the number of the list under it."""
 
     fencing_token: int = 0
     number: int = 0
 
 
 class GrantedRole(msgspec.Struct):
-    """What a voter knows of one role. Times are steady seconds.
+    """What a voter knows about one role. Times are monotonic seconds.
 
-    `list_length` is how many changes of the list `list_key` are in `borrowers`, which is a set in order.
-    Borrowers may be missing until `incomplete_until`.
+    `list_length` is how many changes of the list `list_key` have been applied to `borrowers`, an ordered set.
+    Borrowers may be missing from it until `incomplete_until`.
     """
 
     incomplete_until: float
@@ -47,14 +47,14 @@
 
 
 class RoleNote(msgspec.Struct, frozen=True):
-    """What is on disk of one role: to whom it was granted last, and the highest fencing token seen."""
+    """What is stored on disk for one role: the last holder it was granted to, and the highest fencing token seen."""
 
     holder: str
     fencing_token: int
 
     @classmethod
     def parse(cls, text: str) -> RoleNote:
-        """Return the note that `text` holds; earlier versions wrote the holder alone."""
+        """Parse a note; earlier versions stored the holder only."""
         holder, _, token = text.partition(" ")
         return cls(holder, int(token) if token.isdecimal() else 0)
 
@@ -63,11 +63,11 @@
 
 
 class RoleLeaseVoter:
-    """Grants each role to one holder at a time, by its own steady clock.
+    """Grants each role to one holder at a time, by its own monotonic clock.
 
-    `remembered` is what was on disk of each role (see `RoleNote`); None: that is lost. `unsaved` is what has to
-    be there before the grants that were returned are sent. `awaits_fencing_tokens` is set by the owner while a
-    new voter has not been told the fencing tokens that a majority has seen: it grants nothing before.
+    `saved_notes` are the stored notes by role (see `RoleNote`); None: they are lost. `unsaved` must be on disk before
+    the returned grants are sent. The owner sets `awaits_fencing_tokens` while a new voter has not learned the fencing
+    tokens that a majority has seen; until then it grants nothing.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         holders: KnownHolders,
         keys: Iterable[str],
         now: float,
-        remembered: Mapping[str, str] | None,
+        saved_notes: Mapping[str, str] | None,
     ) -> None:
         self._context = context
         self._holders = holders
@@ -84,13 +84,13 @@
         self.awaits_fencing_tokens = False
         self.unsaved: dict[str, str] = {}
         self._restricted_until = now + timing.term_s + timing.margin_s
-        # Without anything on disk there was nothing to forget.
-        incomplete_until = _NEVER if remembered == {} else now + timing.max_borrowing_s
+        # Without stored notes nothing was ever granted, so the list is complete.
+        incomplete_until = _NEVER if saved_notes == {} else now + timing.max_borrowing_s
         self.roles = {key: GrantedRole(incomplete_until) for key in keys}
-        self._notes = dict(remembered or {})
-        self._granted_before: dict[str, str] | None = None  # by an earlier incarnation; None: not known
-        if remembered is not None:
-            notes = {key: RoleNote.parse(text) for key, text in remembered.items()}
+        self._notes = dict(saved_notes or {})
+        self._granted_before: dict[str, str] | None = None  # by an earlier incarnation; None: unknown
+        if saved_notes is not None:
+            notes = {key: RoleNote.parse(text) for key, text in saved_notes.items()}
             self._granted_before = {key: note.holder for key, note in notes.items()}
             for key in self.roles.keys() & notes.keys():
                 self.roles[key].highest_fencing_token = notes[key].fencing_token
@@ -98,12 +98,12 @@
     # Requests
 
     def on_request(self, sender: str, request: RoleLeaseRequest, now: float) -> list[Outgoing]:
-        """Grant the role or say why not."""
+        """Grant the role, or reject the request with the reason."""
         role, timing = self.roles[request.key], self._context.timing
         expires_at = now + request.term_s
         if request.fencing_token and request.fencing_token >= role.highest_fencing_token:
-            # A majority has granted its first request: gateways here are to reach it, even while this voter may
-            # not grant it yet.
+            # A majority has granted the sender's first request. Gateways connected here should reach it even while this
+            # voter may not grant yet.
             self._holders.observe(request.key, sender, expires_at, request.fencing_token)
         if self._may_not_grant(request):
             return [self._rejection(sender, request, "", timing.retry_interval_s)]
@@ -127,9 +127,9 @@
         return Outgoing(sender, RoleLeaseRejection(request.key, request.token, highest, holder, remaining_s))
 
     def _may_not_grant(self, request: RoleLeaseRequest) -> bool:
-        """Whether a grant might be counted by a sender that knows other voters than there are.
+        """Return whether a grant might be counted by a sender with outdated voters.
 
-        While the voters change, two majorities may have nobody in common.
+        While the voters change, two majorities need not intersect.
         """
         context = self._context
         if context.voters is not None and context.me not in context.voters:
@@ -138,18 +138,19 @@
         return self.awaits_fencing_tokens or context.is_changing_voters or is_sender_behind
 
     def _may_have_granted_to(self, key: str, sender: str) -> bool:
-        """Whether an earlier incarnation of this voter can have granted the role to nobody but the sender.
+        """Return whether an earlier incarnation of this voter can have granted the role to the sender only.
 
-        The sender's own earlier process has ended, or is the very one that asks.
+        The sender's own earlier process has ended, or is the one that sent this request.
         """
         return self._granted_before is not None and self._granted_before.get(key, sender) == sender
 
     def _update_borrowers(
         self, role: GrantedRole, request: RoleLeaseRequest, now: float
     ) -> tuple[int, list[str] | None]:
-        """Keep the borrowers that a holder announces.
+        """Apply the borrowers that a holder announces.
 
-        Returns how many changes of its list are here; and before it starts one, those of the holder before.
+        Returns how many changes of its list this voter has, and before it starts a list, the borrowers of earlier
+        holders.
         """
         if request.is_list_partial or (request.list_number <= NO_LIST and request.fencing_token):
             role.incomplete_until = max(role.incomplete_until, now + self._context.timing.max_borrowing_s)
@@ -173,20 +174,26 @@
         return role.list_length, None
 
     def on_release(self, sender: str, release: RoleLeaseRelease) -> bool:
-        """Free the role if the sender had it; whether it is free. A release of an earlier process frees nothing."""
+        """Release the role if the sender holds it, and return whether it is now free.
+
+        A release by an earlier process of the sender has no effect.
+        """
         role = self.roles[release.key]
         is_of_holder = role.holder == sender and is_of_same_incarnation(role.token, release.token)
         is_freed = is_of_holder and role.token <= release.token
         if is_freed:
             role.holder = ""
             role.until = _NEVER
-        self._holders.released(release.key, sender)
+        self._holders.record_release(release.key, sender)
         return is_freed
 
     # Voters
 
     def became_voter(self, now: float) -> None:
-        """Grant nothing for a term: the holder may still count on the voters before, and its grants are not known."""
+        """Grant nothing for a term.
+
+        A holder may still count on grants of the previous voters, which are unknown here.
+        """
         timing = self._context.timing
         self._restricted_until = max(self._restricted_until, now + timing.term_s + timing.margin_s)
         self._granted_before = None
@@ -194,7 +201,7 @@
             role.incomplete_until = now + timing.max_borrowing_s
 
     def is_reserved_for(self, key: str, name: str, now: float) -> bool:
-        """Whether the role was granted to `name` before a start, so that others wait for a term."""
+        """Return whether the role was granted to `name` before a restart, so that others must wait for a term."""
         return now < self._restricted_until and (self._granted_before or {}).get(key) == name
 
     def fencing_tokens(self) -> dict[str, int]:
@@ -202,7 +209,7 @@
         return {key: role.highest_fencing_token for key, role in self.roles.items()}
 
     def adopt_fencing_tokens(self, tokens: Mapping[str, int]) -> None:
-        """Take over what another voter has seen; it is then among what is unsaved."""
+        """Merge the tokens that another voter has seen; changes are added to the unsaved notes."""
         for key, token in tokens.items():
             role = self.roles.get(key)
             if role is not None and token > role.highest_fencing_token:
@@ -217,16 +224,16 @@
             self._notes[key] = self.unsaved[key] = text
 
     def take_unsaved(self) -> dict[str, str]:
-        """Return the notes that are to be written before the grants that they are of are sent."""
+        """Return the notes that must be written before their grants are sent."""
         unsaved, self.unsaved = self.unsaved, {}
         return unsaved
 
     def note(self, key: str) -> str:
-        """Return the newest note of a role, whether it is on disk or about to be written; "": none."""
+        """Return the newest note of a role, stored or about to be written; "" if there is none."""
         return self._notes.get(key, "")
 
     def write_failed(self, notes: Mapping[str, str]) -> None:
-        """Forget that these were noted: they are noted anew with the next grant."""
+        """Forget these notes, so that they are written again with the next grant."""
         for key, note in notes.items():
             if self._notes.get(key) == note:
                 del self._notes[key]
--- a/crowseam/membership/sessions.py
+++ b/crowseam/membership/sessions.py
@@ -1,8 +1,8 @@
-"""Membership: a gateway is a member while its session with a controller stands.
+"""Membership: a gateway is a member while it has a valid session with a controller.
 
-Each controller owns the sessions of the gateways connected to it and sends them to the others as a state with a
-counter. Nobody but the owner changes it; when the owner falls silent its sessions lapse after a while, unless the
-gateways have opened others elsewhere before. Times are `now` in seconds of the own steady clock.
+Each controller owns the sessions of the gateways connected to it and replicates them to the other controllers as a
+state with a counter. Only the owner changes its sessions. When the owner falls silent they expire after a while,
+unless the gateways have opened newer ones elsewhere before. Times are `now` in seconds of the local monotonic clock.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 import msgspec
 
 SESSION_TIMEOUT_S = 2.5  # without a renewal, after which the owner ends a session
-CONTROLLER_SILENCE_S = 2.0  # of a controller, after which its sessions begin to lapse
-LAPSING_S = 6.0  # for which lapsing sessions still stand
-RECENT_MEMBER_S = 3.0  # for which a gateway that lost its session is still counted, as most come back
-FREEZE_S = 1.0  # between two ticks, from which on this process is taken to have stood still
-MAX_ENDED_INCARNATIONS = 64  # of controllers that are remembered
-MAX_CLOSED_SESSIONS = 256  # that are listed in updates; an older copy is sent everything
+CONTROLLER_TIMEOUT_S = 2.0  # silence after which a controller's sessions start to expire
+EXPIRY_GRACE_S = 6.0  # how long the sessions of a silent controller stay valid after that
+RECENT_MEMBER_S = 3.0  # how long a gateway without a session is still counted, as most reconnect
+MIN_FREEZE_S = 1.0  # a longer time between two ticks means that this process was suspended
+MAX_ENDED_INCARNATIONS = 64  # of controllers, kept in memory
+MAX_CLOSED_SESSIONS = 256  # listed in updates; an older copy is sent the full state
 _MS_PER_S = 1000
 
 
 class Session(msgspec.Struct, frozen=True, array_like=True):
-    """One gateway's session.
+    """The session of one gateway.
 
-    `incarnation` is that of the gateway's process, `number` that of this session within it, `az` the zone.
-    `demand` are requests a second by tenant; `age_ms` counts from when the session was opened to the sending.
+    `incarnation` identifies the gateway's process, `number` is the session's number within it, `az` the zone.
+    `demand` is in requests per second by tenant; `age_ms` is the age of the session when it was sent.
     """
 
     gateway: str
@@ -35,7 +35,7 @@
 
 
 class SessionUpdate(msgspec.Struct, frozen=True, array_like=True, tag="sessions"):
-    """A controller's sessions: all of them (`base` 0), or what changed after counter `base`."""
+    """A controller's sessions: all of them (`base` 0), or the changes after counter `base`."""
 
     controller: str
     incarnation: str
@@ -46,7 +46,7 @@
 
 
 class _StoredSession:
-    """A session, when it was opened and renewed (s), and the counter at which it changed last."""
+    """A session, when it was opened and renewed (s), and the counter of its last change."""
 
     __slots__ = ("changed_at", "opened_at", "renewed_at", "session")
 
@@ -57,12 +57,12 @@
         self.changed_at = changed_at
 
     def as_of(self, now: float) -> Session:
-        """Return the session with its present age."""
+        """Return the session with its current age."""
         return msgspec.structs.replace(self.session, age_ms=int((now - self.opened_at) * _MS_PER_S))
 
 
 class _PeerSessions:
-    """The sessions of another controller, up to `counter`, and when it was last heard (s)."""
+    """The sessions of another controller up to `counter`, and when that controller was last heard (s)."""
 
     __slots__ = ("counter", "gateways", "heard_at", "incarnation")
 
@@ -72,36 +72,36 @@
         self.heard_at = now
         self.gateways: dict[str, _StoredSession] = {}
 
-    def stands(self, now: float) -> bool:
-        """Whether these sessions still count."""
-        return now - self.heard_at <= CONTROLLER_SILENCE_S + LAPSING_S
+    def is_valid(self, now: float) -> bool:
+        """Return whether these sessions still count."""
+        return now - self.heard_at <= CONTROLLER_TIMEOUT_S + EXPIRY_GRACE_S
 
 
 class SessionTable:
-    """What the controller at address `me`, in its process `incarnation`, knows of the members."""
+    """The sessions known to the controller at address `me`, in its process `incarnation`."""
 
     def __init__(self, me: str, incarnation: str) -> None:
         self.me = me
         self.incarnation = incarnation
         self._counter = 0
         self._own: dict[str, _StoredSession] = {}
-        self._closed: dict[str, int] = {}  # gateway -> counter at which its session here ended
-        self._unlisted_until = 0  # ends of sessions up to this counter are no longer listed
+        self._closed: dict[str, int] = {}  # gateway -> counter at which its session ended
+        self._pruned_counter = 0  # closed sessions up to this counter are no longer listed
         self._peers: dict[str, _PeerSessions] = {}
-        self._ended: dict[tuple[str, str], None] = {}  # controllers and their incarnations
-        self._last_seen: dict[str, float] = {}  # gateway -> when it was last a member
+        self._ended_incarnations: dict[tuple[str, str], None] = {}  # (controller, incarnation), as an ordered set
+        self._last_seen: dict[str, float] = {}  # gateway -> when it was last a member (s)
         self._last_tick_at: float | None = None
 
     # The sessions of this controller
 
     def open(self, gateway: str, incarnation: str, now: float, number: int = 0, az: str = "") -> None:
-        """Begin a session, in place of any that the gateway had here."""
+        """Open a session, replacing any that the gateway had here."""
         self._counter += 1
         self._closed.pop(gateway, None)
         self._own[gateway] = _StoredSession(Session(gateway, incarnation, number, az), now, now, self._counter)
 
     def renew(self, gateway: str, now: float, demand: dict[str, float] | None = None) -> bool:
-        """Note a sign of life, with the demand if it is to be sent on. False: there is no session."""
+        """Renew a session, and update the demand if it is given. Returns False if there is no session."""
         stored = self._own.get(gateway)
         if stored is None:
             return False
@@ -113,7 +113,7 @@
         return True
 
     def close(self, gateway: str, incarnation: str, now: float, is_leaving: bool = False) -> bool:
-        """End a session; `is_leaving` if the gateway said that it stops. False: it is of another incarnation."""
+        """Close a session; `is_leaving` if the gateway shuts down. Returns False if this incarnation has none open."""
         stored = self._own.get(gateway)
         if stored is None or stored.session.incarnation != incarnation:
             return False
@@ -125,14 +125,14 @@
         return True
 
     def tick(self, now: float) -> list[str]:
-        """End sessions that were not renewed; returns their gateways. To be called a few times a second."""
-        self._forgive_freeze(now)
+        """End sessions that were not renewed and return their gateways. To be called a few times a second."""
+        self._compensate_freeze(now)
         expired = [gateway for gateway, stored in self._own.items() if now - stored.renewed_at > SESSION_TIMEOUT_S]
         for gateway in expired:
             self._end(gateway)
         for address, peer in list(self._peers.items()):
-            if not peer.stands(now):
-                # The process may be alive behind a partition, so its incarnation has not ended; but its next
+            if not peer.is_valid(now):
+                # The process may be alive behind a partition, so its incarnation is not recorded as ended; but its next
                 # update has to be complete.
                 del self._peers[address]
         for gateway in self.members(now):
@@ -142,11 +142,11 @@
                 del self._last_seen[gateway]
         return expired
 
-    def _forgive_freeze(self, now: float) -> None:
-        """Extend all sessions by the time for which this process stood still: what came has yet to be read."""
+    def _compensate_freeze(self, now: float) -> None:
+        """Extend all sessions by the time this process was suspended, as received messages are still to be read."""
         frozen_s = 0.0 if self._last_tick_at is None else now - self._last_tick_at
         self._last_tick_at = now
-        if frozen_s <= FREEZE_S:
+        if frozen_s <= MIN_FREEZE_S:
             return
         for stored in self._own.values():
             stored.renewed_at = min(now, stored.renewed_at + frozen_s)
@@ -154,29 +154,29 @@
             peer.heard_at = min(now, peer.heard_at + frozen_s)
 
     def update_since(self, counter: int, now: float) -> SessionUpdate:
-        """Return the update for a controller that has these sessions up to `counter` (0: everything)."""
-        base = counter if self._unlisted_until <= counter <= self._counter else 0
+        """Return the update for a controller that has these sessions up to `counter` (0: none)."""
+        base = counter if self._pruned_counter <= counter <= self._counter else 0
         gateways = [stored.as_of(now) for stored in self._own.values() if stored.changed_at > base]
         closed = [gateway for gateway, closed_at in self._closed.items() if closed_at > base] if base else []
         return SessionUpdate(self.me, self.incarnation, base, self._counter, gateways, closed)
 
     @property
     def counter(self) -> int:
-        """Grows with every change of this controller's sessions."""
+        """Increases with every change of this controller's sessions."""
         return self._counter
 
     # The sessions of others
 
     def apply_update(self, update: SessionUpdate, now: float) -> bool:
-        """Take another controller's update. False if something before it is missing: ask it for everything."""
-        if update.controller == self.me or (update.controller, update.incarnation) in self._ended:
+        """Apply another controller's update. Returns False if earlier changes are missing: request the full state."""
+        if update.controller == self.me or (update.controller, update.incarnation) in self._ended_incarnations:
             return True
         peer = self._peer_of(update, now)
         if peer is None:
             return False
         peer.heard_at = now
         if update.counter < peer.counter:
-            return True  # overtaken on its way by a newer one
+            return True  # a newer one has arrived before
         if update.base > peer.counter:
             return False
         if update.base == 0:
@@ -192,20 +192,20 @@
         return True
 
     def _peer_of(self, update: SessionUpdate, now: float) -> _PeerSessions | None:
-        """Return the sender's sessions, begun anew for a new incarnation; None if that begins amid its updates."""
+        """Return the sender's sessions, reset for a new incarnation; None if that starts with a partial update."""
         peer = self._peers.get(update.controller)
         if peer is not None and peer.incarnation == update.incarnation:
             return peer
         if update.base != 0:
             return None
         if peer is not None:
-            self._remember_ended(update.controller, peer.incarnation)
+            self._record_ended_incarnation(update.controller, peer.incarnation)
             self._note_last_seen(peer, now)
         self._peers[update.controller] = _PeerSessions(update.incarnation, now)
         return self._peers[update.controller]
 
     def record_contact(self, controller: str, incarnation: str, now: float) -> None:
-        """Keep a controller's sessions standing, as another message of that incarnation came."""
+        """Keep a controller's sessions valid after another message of the same incarnation."""
         peer = self._peers.get(controller)
         if peer is not None and peer.incarnation == incarnation:
             peer.heard_at = now
@@ -213,19 +213,19 @@
     # Members
 
     def members(self, now: float) -> dict[str, str]:
-        """Return each member and the controller its session is with; of several sessions the newest counts."""
+        """Return the members and the controller of each one's session; the newest of several sessions counts."""
         return {gateway: controller for gateway, (controller, _) in self._newest(now).items()}
 
     def count(self, now: float) -> int:
-        """Count members, and recent ones: a gateway that changes controllers counts on."""
+        """Count current and recent members: a gateway that reconnects to another controller keeps counting."""
         recent = {gateway for gateway, seen_at in self._last_seen.items() if now - seen_at <= RECENT_MEMBER_S}
-        standing = (peer.gateways for peer in self._peers.values() if peer.stands(now))
-        return len(recent.union(self._own, *standing))
+        valid_sessions = (peer.gateways for peer in self._peers.values() if peer.is_valid(now))
+        return len(recent.union(self._own, *valid_sessions))
 
     def _newest(self, now: float) -> dict[str, tuple[str, _StoredSession]]:
         newest: dict[str, tuple[str, _StoredSession]] = {}
         tables = [(self.me, self._own)]
-        tables += [(address, peer.gateways) for address, peer in self._peers.items() if peer.stands(now)]
+        tables += [(address, peer.gateways) for address, peer in self._peers.items() if peer.is_valid(now)]
         for controller, table in tables:
             for gateway, stored in table.items():
                 other = newest.get(gateway)
@@ -239,21 +239,24 @@
         self._closed[gateway] = self._counter
         while len(self._closed) > MAX_CLOSED_SESSIONS:
             oldest = next(iter(self._closed))
-            self._unlisted_until = max(self._unlisted_until, self._closed.pop(oldest))
+            self._pruned_counter = max(self._pruned_counter, self._closed.pop(oldest))
 
     def _note_last_seen(self, peer: _PeerSessions, now: float) -> None:
-        if peer.stands(now):
+        if peer.is_valid(now):
             for gateway in peer.gateways:
                 self._last_seen[gateway] = now
 
-    def _remember_ended(self, controller: str, incarnation: str) -> None:
-        self._ended[controller, incarnation] = None
-        while len(self._ended) > MAX_ENDED_INCARNATIONS:
-            del self._ended[next(iter(self._ended))]
+    def _record_ended_incarnation(self, controller: str, incarnation: str) -> None:
+        self._ended_incarnations[controller, incarnation] = None
+        while len(self._ended_incarnations) > MAX_ENDED_INCARNATIONS:
+            del self._ended_incarnations[next(iter(self._ended_incarnations))]
 
 
 def _is_newer(one: tuple[str, _StoredSession], other: tuple[str, _StoredSession]) -> bool:
-    (one_controller, a), (other_controller, b) = one, other
-    if a.session.incarnation == b.session.incarnation and a.session.number != b.session.number:
-        return a.session.number > b.session.number
-    return (a.opened_at, one_controller) > (b.opened_at, other_controller)
+    (one_controller, one_session), (other_controller, other_session) = one, other
+    if (
+        one_session.session.incarnation == other_session.session.incarnation
+        and one_session.session.number != other_session.session.number
+    ):
+        return one_session.session.number > other_session.session.number
+    return (one_session.opened_at, one_controller) > (other_session.opened_at, other_controller)
--- a/crowseam/metrics/__init__.py
+++ b/crowseam/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""What a daemon counts, and how Prometheus scrapes it. Libraries are loaded when they are needed."""
+"""Metrics of the daemons, in the text format of Prometheus. Libraries are loaded when they are needed."""
--- a/crowseam/metrics/exposition.py
+++ b/crowseam/metrics/exposition.py
@@ -1,7 +1,7 @@
-"""Metrics as the text that Prometheus scrapes, rendered by `prometheus_client` off the loop.
+"""Metrics in the text format of Prometheus, rendered by `prometheus_client` outside of the event loop.
 
-The library takes 60 to 100 ms and some megabytes to import, so only a daemon that is scraped pays for it,
-and in a thread. The loop goes on meanwhile, as the thread lets go of the interpreter within TURN.
+The library is slow to import and takes some megabytes, so it is imported by the first scrape, in a thread. The
+event loop goes on meanwhile, as the thread yields the interpreter lock within SWITCH_INTERVAL_S.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from crowseam import logs
-from crowseam.metrics.latency import BOUNDS
+from crowseam.metrics.latency import BUCKET_BOUNDS_S
 
 if TYPE_CHECKING:
     from concurrent.futures import ThreadPoolExecutor
@@ -21,28 +21,28 @@
     from crowseam.transport.http import Call
 
 CONTENT_TYPE = "text/plain; version=0.0.4"
-TURN = 0.0005  # s; with the usual 5 ms the loop was late by so much at each turn
-MOST_WAITING = 8  # scrapes that are rendered or wait for it; more get 503
-_pool: ThreadPoolExecutor | None = None  # one thread: two renderings would only take each other's time
-_waiting = 0
+SWITCH_INTERVAL_S = 0.0005  # instead of Python's default of 5 ms, by which the event loop would be delayed
+MAX_PENDING_SCRAPES = 8  # further scrapes get 503
+_pool: ThreadPoolExecutor | None = None  # one thread, as rendering is bound by the interpreter lock
+_pending_scrapes = 0
 
 
 def render(families: list[Family]) -> bytes:
-    """The text of the families, in their order."""
+    """Return the text of the families, in their order."""
     from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, HistogramMetricFamily
     from prometheus_client.exposition import generate_latest
 
-    kinds = {"counter": CounterMetricFamily, "gauge": GaugeMetricFamily, "histogram": HistogramMetricFamily}
-    names = [*map(str, BOUNDS), "+Inf"]
+    family_types = {"counter": CounterMetricFamily, "gauge": GaugeMetricFamily, "histogram": HistogramMetricFamily}
+    bound_labels = [*map(str, BUCKET_BOUNDS_S), "+Inf"]
 
     class Collector:
         def collect(self) -> Iterator[object]:
-            for kind, name, text, labels, rows in families:
-                family = kinds[kind](name, text, labels=labels)
+            for kind, name, help_text, labels, rows in families:
+                family = family_types[kind](name, help_text, labels=labels)
                 for values, value in rows:
                     if kind == "histogram":
-                        counts = [*value.below(BOUNDS), value.count]
-                        family.add_metric(values, list(zip(names, counts, strict=True)), value.sum)
+                        counts = [*value.cumulative_counts(BUCKET_BOUNDS_S), value.count]
+                        family.add_metric(values, list(zip(bound_labels, counts, strict=True)), value.sum)
                     else:
                         family.add_metric(values, value)
                 yield family
@@ -50,33 +50,33 @@
     return generate_latest(Collector())
 
 
-def _gently(families: list[Family]) -> bytes:
+def _render_yielding(families: list[Family]) -> bytes:
     before = sys.getswitchinterval()
-    sys.setswitchinterval(TURN)
+    sys.setswitchinterval(SWITCH_INTERVAL_S)
     try:
         return render(families)
     finally:
         sys.setswitchinterval(before)
 
 
-def answer(call: Call, loop: asyncio.AbstractEventLoop, families: list[Family]) -> None:
-    """Answer a scrape with these metrics, once a thread has rendered them; 503 if too many wait already."""
-    global _pool, _waiting
-    if _waiting >= MOST_WAITING:
+def answer_scrape(call: Call, loop: asyncio.AbstractEventLoop, families: list[Family]) -> None:
+    """Answer a scrape with these metrics once a thread has rendered them; 503 if too many scrapes are pending."""
+    global _pool, _pending_scrapes
+    if _pending_scrapes >= MAX_PENDING_SCRAPES:
         return call.reply(503)
     if _pool is None:
         from concurrent.futures import ThreadPoolExecutor
 
         _pool = ThreadPoolExecutor(1, "metrics")
-    _waiting += 1
+    _pending_scrapes += 1
 
     def done(future: asyncio.Future) -> None:
-        global _waiting
-        _waiting -= 1
+        global _pending_scrapes
+        _pending_scrapes -= 1
         try:
             call.reply(200, future.result(), CONTENT_TYPE)
         except Exception:
             logs.failure("metrics_failed")
             call.reply(500)
 
-    loop.run_in_executor(_pool, _gently, families).add_done_callback(done)
+    loop.run_in_executor(_pool, _render_yielding, families).add_done_callback(done)
--- a/crowseam/metrics/latency.py
+++ b/crowseam/metrics/latency.py
@@ -1,8 +1,8 @@
-"""Latencies and ends of a gateway's requests, in sketches of `ddsketch`.
+"""Latencies and outcomes of a gateway's requests, in sketches of `ddsketch`.
 
-All spans are in seconds. Clock-free: who records measures. The number of series has a bound, whatever the
-configuration: a route begins to count by itself with its first request, and what ends beyond SERIES_MOST series, or
-on a route that the configuration has no more, counts under OTHER.
+Latencies are in seconds. Clock-free: callers measure. The number of series is bounded: a route gets its own series
+with its first request, and requests beyond MAX_SERIES series, or on a route that the configuration does not have any
+more, count under OTHER.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 SERVED, LATE, REFUSED, FAILED = "served", "late", "refused", "failed"
 OUTCOMES = (SERVED, LATE, REFUSED, FAILED)
 OTHER = "(other)"
-SERIES_MOST = 300  # series of their own; each holds 5 to 11 KB, and 23 KB if its latencies fill every bin
-EARLY_MOST = 2000  # ends that are kept until the library is here
-SHORTEST, LONGEST = 1e-4, 120.0  # s; spans beyond count as these, which bounds the bins of a sketch to 703
-ACCURACY = 0.01  # of any quantile, as a part of it
-# s; steps so small that a sum over gateways still tells a p99 between 2 ms and 10 s within 30%.
-BOUNDS = tuple(
+MAX_SERIES = 300  # besides OTHER; a series takes up to 23 KB
+MAX_BUFFERED = 2000  # requests that are kept until the library is loaded
+MIN_LATENCY_S, MAX_LATENCY_S = 1e-4, 120.0  # latencies are clamped to these, which bounds the bins of a sketch
+RELATIVE_ACCURACY = 0.01  # of any quantile
+# Fine enough that the p99 of a sum over gateways, between 2 ms and 10 s, is accurate within 30%.
+BUCKET_BOUNDS_S = tuple(
     each / 1000.0
     for each in (
         2,
@@ -51,19 +51,19 @@
     )
 )
 
-Key = tuple[str, str, str]  # route, service ("" where none was chosen), outcome
+SeriesKey = tuple[str, str, str]  # route, service ("" where none was chosen), outcome
 
 
-def library() -> Callable[[], object]:
-    """Import `ddsketch`, which takes 10 ms, and return what makes an empty sketch."""
+def load_sketch_type() -> Callable[[], object]:
+    """Import `ddsketch`, which is slow, and return the type of a sketch."""
     from ddsketch.ddsketch import BaseDDSketch
     from ddsketch.mapping import LogarithmicMapping
     from ddsketch.store import DenseStore
 
-    mapping = LogarithmicMapping(ACCURACY)  # holds no state of a sketch, so all share it
+    mapping = LogarithmicMapping(RELATIVE_ACCURACY)  # stateless, so shared by all sketches
 
     class Sketch(BaseDDSketch):
-        """A sketch that keeps hold of its store, since the library counts no values below a bound."""
+        """A sketch that exposes its store, since the library cannot count the values below a bound."""
 
         def __init__(self) -> None:
             self.store = DenseStore()
@@ -74,87 +74,89 @@
             other.merge(self)
             return other
 
-        def below(self, bounds: tuple[float, ...]) -> list[float]:
-            """How many values are at most each of the rising bounds, which may be 2% off."""
-            store, counts, place, count = self.store, [], 0, 0.0
+        def cumulative_counts(self, bounds: tuple[float, ...]) -> list[float]:
+            """Count the values up to each of the rising bounds, which are accurate within 2%."""
+            store, counts, start, count = self.store, [], 0, 0.0
             for bound in bounds:
                 end = max(0, min(len(store.bins), mapping.key(bound) - store.offset + 1))
-                count += sum(store.bins[place:end])
-                place = max(place, end)
+                count += sum(store.bins[start:end])
+                start = max(start, end)
                 counts.append(count)
             return counts
 
     return Sketch
 
 
-class Recorder:
-    """What a gateway has counted since it began. Give it each request's end and each configuration's routes."""
+class RequestRecorder:
+    """Counts and latencies of a gateway's requests since its start. It is given each request and each configuration."""
 
     def __init__(self) -> None:
-        self.make: Callable[[], object] | None = None  # none until the library is here
-        self.early: list[tuple[Key, float]] = []
-        self.skipped = 0  # ends without a latency, as too many came before the library
-        self.series: dict[Key, object] = {}
+        self.sketch_type: Callable[[], object] | None = None  # None until the library is loaded
+        self.buffered: list[tuple[SeriesKey, float]] = []
+        self.skipped = 0  # requests without a latency, as too many came before the library was loaded
+        self.series: dict[SeriesKey, object] = {}
         self.routes: Mapping[str, Route] = {}
         self.answers: dict[int, int] = {}  # by the first digit of the status
         self.reasons: dict[tuple[str, str], int] = {}  # by outcome and reason
-        self.gone = 0  # clients that left before their answer
+        self.disconnected_clients = 0
 
-    def use(self, make: Callable[[], object]) -> None:
-        """The library is here: take in what has ended until now."""
-        self.make = make
-        early, self.early = self.early, []
-        for key, span in early:
-            self._begin(key, span).add(span)
+    def use_sketch_type(self, sketch_type: Callable[[], object]) -> None:
+        """The library is loaded: record the buffered requests."""
+        self.sketch_type = sketch_type
+        buffered, self.buffered = self.buffered, []
+        for key, latency_s in buffered:
+            self._series_for(key, latency_s).add(latency_s)
 
-    def follow(self, routes: Mapping[str, Route]) -> None:
-        """The routes of the configuration in force; series of those that are gone are dropped."""
+    def set_routes(self, routes: Mapping[str, Route]) -> None:
+        """Set the routes of the current configuration; series of removed routes are dropped."""
         self.routes = routes
-        for key in [key for key in self.series if key[0] != OTHER and not self._has(key)]:
+        for key in [key for key in self.series if key[0] != OTHER and not self._is_configured(key)]:
             del self.series[key]
 
-    def _has(self, key: Key) -> bool:
+    def _is_configured(self, key: SeriesKey) -> bool:
         route = self.routes.get(key[0])
         return route is not None and (not key[1] or any(name == key[1] for name, _ in route.split))
 
-    def ended(self, route: Route, service: str, status: int, reason: str, span: float) -> None:
-        """A request was answered with `status`, `span` seconds after it had come whole.
+    def record(self, route: Route, service: str, status: int, reason: str, latency_s: float) -> None:
+        """Record a request that was answered with `status`, `latency_s` seconds after it was complete.
 
-        reason: why we answered it ourselves or broke its answer off; empty for a server's answer.
+        reason: why the gateway answered itself or aborted the answer; empty for a server's answer.
         """
-        kind = status // 100
-        self.answers[kind] = self.answers.get(kind, 0) + 1
+        status_class = status // 100
+        self.answers[status_class] = self.answers.get(status_class, 0) + 1
         if not reason and status < 500:
-            outcome = SERVED if span <= route.target else LATE
+            outcome = SERVED if latency_s <= route.target else LATE
         else:
-            # Broken off, 502 and 504 are failures; all else we say ourselves is a refusal.
-            outcome = REFUSED if reason and (kind == 4 or status == 503) else FAILED
-            why = (outcome, reason or "server")
-            self.reasons[why] = self.reasons.get(why, 0) + 1
+            # Of the gateway's own answers, 502, 504 and aborted ones are failures, others are refusals.
+            outcome = REFUSED if reason and (status_class == 4 or status == 503) else FAILED
+            failure = (outcome, reason or "server")
+            self.reasons[failure] = self.reasons.get(failure, 0) + 1
             if not service and len(route.split) == 1:
-                service = route.split[0][0]  # it would have gone there
-        span = SHORTEST if span < SHORTEST else LONGEST if span > LONGEST else span
+                service = route.split[0][0]  # the only service of the route
+        latency_s = (
+            MIN_LATENCY_S if latency_s < MIN_LATENCY_S else MAX_LATENCY_S if latency_s > MAX_LATENCY_S else latency_s
+        )
         key = (route.name, service, outcome)
         series = self.series.get(key)
-        if series is None and (series := self._begin(key, span)) is None:
+        if series is None and (series := self._series_for(key, latency_s)) is None:
             return
-        series.add(span)
+        series.add(latency_s)
 
-    def _begin(self, key: Key, span: float) -> object | None:
-        """The series that a key without one counts in; none before the library is here."""
-        if self.make is None:
-            if len(self.early) < EARLY_MOST:
-                self.early.append((key, span))
+    def _series_for(self, key: SeriesKey, latency_s: float) -> object | None:
+        """Return the series for a key without one; None before the library is loaded, when the latency is buffered."""
+        if self.sketch_type is None:
+            if len(self.buffered) < MAX_BUFFERED:
+                self.buffered.append((key, latency_s))
             else:
                 self.skipped += 1
             return None
-        if len(self.series) >= SERIES_MOST or not self._has(key):
+        if len(self.series) >= MAX_SERIES or not self._is_configured(key):
             key = (OTHER, "", key[2])
         series = self.series.get(key)
         if series is None:
-            series = self.series[key] = self.make()
+            series = self.series[key] = self.sketch_type()
         return series
 
-    def copies(self) -> list[tuple[Key, object]]:
-        """The series as they stand, for whoever renders them in another thread."""
+    def copy_series(self) -> list[tuple[SeriesKey, object]]:
+        """Return copies of the series, for rendering in another thread."""
         return [(key, series.copy()) for key, series in sorted(self.series.items())]
--- a/crowseam/model_checks/agreement/mutants.py
+++ b/crowseam/model_checks/agreement/mutants.py
@@ -249,7 +249,7 @@
 class ReadsPastVotes(Acceptor):
     def on_quorum_read(self, sender, message):
         return [
-            Send(send.addr, _with(send.message, busy=False)) if isinstance(send.message, QuorumReadReply) else send
+            Send(send.addr, _with(send.message, has_voted=False)) if isinstance(send.message, QuorumReadReply) else send
             for send in super().on_quorum_read(sender, message)
         ]
 
--- a/crowseam/model_checks/agreement/world.py
+++ b/crowseam/model_checks/agreement/world.py
@@ -245,8 +245,8 @@
             host.ledger,
             self.rng,
             self.timing,
-            survive=self.survive,
-            contacts=contacts,
+            tolerated_failures=self.survive,
+            bootstrap_addrs=contacts,
         )
         host.newest, host.jumped = host.node.last_slot if host.node.voters else -1, 0
         if host.node.last_slot and host.ledger.ver != self.vers.get(host.node.last_slot):
--- a/crowseam/model_checks/callers/check.py
+++ b/crowseam/model_checks/callers/check.py
@@ -55,7 +55,7 @@
 from crowseam.simulator.world.disk import DiskImage
 from crowseam.simulator.world.link_faults import Trouble
 from crowseam.simulator.world.patches import simulated_environment as worn
-from fennelpoint.net.flow import STALLED
+from fennelpoint.net.flow import STREAM_STALL_TIMEOUT_S
 
 STEPS = 40  # requests, or calls, of a random schedule
 SWEEP_EACH = 4  # one schedule of so many is a sweep, one is of the control side
@@ -114,15 +114,15 @@
             if end.usable:
                 end.leave()
         one = self.daemon.gateway
-        for span in (2.0, STALLED + 1.0):
+        for span in (2.0, STREAM_STALL_TIMEOUT_S + 1.0):
             # A large body whose peer says nothing more is waited for longer than a client waits.
             self.world.run(self.world.now + span)
-            held = one.tickets or one.open_ids or one.backends.budget.used
+            held = one.in_flight or one.open_ids or one.backends.budget.used
             if not held:
                 break
         if held:
             raise Violation(
-                f"the gateway still holds {len(one.tickets)} requests, {len(one.open_ids)} ids and "
+                f"the gateway still holds {len(one.in_flight)} requests, {len(one.open_ids)} ids and "
                 f"{one.backends.budget.used} bytes"
             )
 
@@ -154,7 +154,7 @@
 
     def _start(self, process: Any, settings: settings_file.Settings) -> None:
         self.daemon = one = daemon.Process(process.loop, settings, self.world.random(f"gateway/{self.lives}"))
-        life, lend = one.controller_session.life, one.gateway.admission.add_reserve_grant
+        life, lend = one.controller_session.incarnation, one.gateway.admission.add_reserve_grant
 
         def lent(tenant: str, count: int) -> None:
             self.lent[life, tenant] += count
--- a/crowseam/model_checks/callers/mutants.py
+++ b/crowseam/model_checks/callers/mutants.py
@@ -36,8 +36,8 @@
 
 
 def _outcome_of_none(kinds: tuple[Status, ...]) -> Callable:
-    """`LoadBalancer.outcome` that takes such an end for one before the server had the request."""
-    told = balancers.LoadBalancer.outcome
+    """`LoadBalancer.on_outcome` that takes such an end for one before the server had the request."""
+    told = balancers.LoadBalancer.on_outcome
 
     def outcome(self: balancers.LoadBalancer, number: int, attempt: int, status: Status, *more: Any) -> list:
         return told(self, number, attempt, Status.CONNECT_FAILED if status in kinds else status, *more)
@@ -46,37 +46,37 @@
 
 
 def _hedge_all(
-    self: balancers.LoadBalancer, t: balancers.Try, now: float, told: Callable = balancers.LoadBalancer._send
+    self: balancers.LoadBalancer, t: balancers.RequestState, now: float, told: Callable = balancers.LoadBalancer._send
 ) -> list | None:
     out = told(self, t, now)
-    if out is not None and not t.route.safe and t.attempts < t.route.tries:
+    if out is not None and not t.route.safe and t.attempt_count < t.route.tries:
         t.hedge_at = now + 0.2
-        out.append(balancers.Wake(t.id, t.hedge_at))
+        out.append(balancers.StartHedgeTimer(t.id, t.hedge_at))
     return out
 
 
 def _refuse_all(
     self: balancers.LoadBalancer,
-    t: balancers.Try,
+    t: balancers.RequestState,
     status: Status,
     now: float,
-    told: Callable = balancers.LoadBalancer._again,
+    told: Callable = balancers.LoadBalancer._retry_or_respond,
 ) -> list:
     # What ran and may not be sent again is told that it has not run.
-    if t.ran and not t.route.safe:
+    if t.may_have_run and not t.route.safe:
         return self._refuse(t, now, status.value)
     return told(self, t, status, now)
 
 
 def _endless(
-    self: ServerDialect, status: int, headers: list, until_close: bool, told: Callable = ServerDialect.doubt
+    self: ServerDialect, status: int, headers: list, until_close: bool, told: Callable = ServerDialect.find_defect
 ) -> str:
     return told(self, status, headers, False)
 
 
 def _take_cut(self: backends.UpstreamConnection) -> None:
-    if self.exchange is not None and self.status >= 200 and not (self.in_head or self.doubt or self.alien):
-        self._answered()
+    if self.exchange is not None and self.status >= 200 and not (self.in_head or self.defect or self.is_skipping):
+        self._finish_answer()
 
 
 def _spoilt_unrun(self: backends.UpstreamConnection, what: str) -> None:
@@ -85,8 +85,8 @@
     exchange.end(Status.CONNECT_FAILED)
 
 
-def _keep_all(self: backends.UpstreamConnection, told: Callable = backends.UpstreamConnection._answered) -> None:
-    self.excess = self.tainted = False
+def _keep_all(self: backends.UpstreamConnection, told: Callable = backends.UpstreamConnection._finish_answer) -> None:
+    self.has_excess = self.has_skipped = False
     told(self)
 
 
@@ -98,30 +98,30 @@
 
 
 def _passing_begin(self: StreamedAnswer, answer: Any, length: int | None, source: Any) -> None:
-    ticket = self.ticket
+    ticket = self.request
     if ticket.client is None:
         return
-    if ticket.passing is not None:
-        return ticket.client.piece(answer.body)
-    ticket.passing = self
+    if ticket.streamed_answer is not None:
+        return ticket.client.write_body(answer.body)
+    ticket.streamed_answer = self
     if ticket.timer is not None:
         ticket.timer.cancel()
     ticket.client.begin(answer, length, source)
 
 
 def _passing_piece(self: StreamedAnswer, data: bytes) -> None:
-    if self.ticket.client is not None:
-        self.ticket.client.piece(data)
+    if self.request.client is not None:
+        self.request.client.write_body(data)
 
 
 def _draw_any(
     self: controller_session.ControllerSession,
     link: Link,
     message: Message,
-    told: Callable = controller_session.ControllerSession._heard,
+    told: Callable = controller_session.ControllerSession._on_message,
 ) -> None:
-    if isinstance(message, ReserveDrawReply) and self.draws and link is self.link:
-        message = msgspec.structs.replace(message, number=next(iter(self.draws)))
+    if isinstance(message, ReserveDrawReply) and self.pending_draws and link is self.link:
+        message = msgspec.structs.replace(message, number=next(iter(self.pending_draws)))
     told(self, link, message)
 
 
@@ -129,12 +129,12 @@
     self: controller_session.ControllerSession,
     link: Link,
     message: Message,
-    told: Callable = controller_session.ControllerSession._heard,
+    told: Callable = controller_session.ControllerSession._on_message,
 ) -> None:
-    done = self.draws.get(message.number) if isinstance(message, ReserveDrawReply) else None
+    done = self.pending_draws.get(message.number) if isinstance(message, ReserveDrawReply) else None
     told(self, link, message)
     if done is not None:
-        self.draws[message.number] = done
+        self.pending_draws[message.number] = done
 
 
 def _from_one(
@@ -143,12 +143,12 @@
     told: Callable = controller_session.ControllerSession.__init__,
 ) -> None:
     told(self, *args)
-    self.last_draw = 0
+    self.last_draw_number = 0
 
 
 def _out_of_turn(self: HttpConnection) -> None:
-    while self.waiting:
-        call = self.waiting.pop(0)
+    while self.queued:
+        call = self.queued.pop(0)
         self.is_serving = True
         if call.method:
             self.serve(call)
@@ -183,8 +183,8 @@
     self.finish()
 
 
-def _front_out_of_turn(self: fronts.ClientConnection, told: Callable = fronts.ClientConnection._next) -> None:
-    self.open = None
+def _front_out_of_turn(self: fronts.ClientConnection, told: Callable = fronts.ClientConnection._serve_next) -> None:
+    self.open_request = None
     told(self)
 
 
@@ -195,7 +195,7 @@
 
 def _refuse_sent(self: gateway.Gateway, ticket: InFlightRequest, told: Callable = gateway.Gateway._time_out) -> None:
     # What a server has had is refused at its timeout as if none had.
-    for exchange in list(ticket.out.values()):
+    for exchange in list(ticket.exchanges.values()):
         if exchange.connection is not None:
             exchange.connection.give_up()
             exchange.end(Status.CONNECT_FAILED)
@@ -216,15 +216,17 @@
         return Mutant(guard, play_it, seed, why)
 
     return (
-        mutant("the id of an answer compared", 2, (ServerDialect, "alien", lambda *_: False)),
+        mutant("the id of an answer compared", 2, (ServerDialect, "is_for_other_request", lambda *_: False)),
         mutant(
-            "an answer without an id refused on a used connection", 2, (ServerDialect, "nameless", lambda *_: False)
+            "an answer without an id refused on a used connection",
+            2,
+            (ServerDialect, "lacks_request_id", lambda *_: False),
         ),
-        mutant("an answer that names two refused", 6, (http_dialect, "TOLD_ONCE", ())),
-        mutant("an answer refused that does not say where it ends", 2, (ServerDialect, "doubt", _endless)),
+        mutant("an answer that names two refused", 6, (http_dialect, "SINGLE_VALUED_HEADERS", ())),
+        mutant("an answer refused that does not say where it ends", 2, (ServerDialect, "find_defect", _endless)),
         mutant("an answer cut short taken for none", 4, (CONNECTION, "eof_received", _take_cut)),
-        mutant("a large answer cut short shown to be", 27, (fronts.ClientConnection, "broken", _finish_broken)),
-        mutant("a connection closed after extra bytes", 3, (CONNECTION, "_answered", _keep_all)),
+        mutant("a large answer cut short shown to be", 27, (fronts.ClientConnection, "abort", _finish_broken)),
+        mutant("a connection closed after extra bytes", 3, (CONNECTION, "_finish_answer", _keep_all)),
         mutant(
             "a connection closed where bytes come unasked",
             None,
@@ -235,33 +237,39 @@
         mutant(
             "a connection looked at before it is used again",
             None,
-            (CONNECTION, "stale", lambda self: self.closed),
+            (CONNECTION, "is_stale", lambda self: self.closed),
             why="by hand: test_dialect.OtherBytes; "
             "nobody is answered wrongly: what meets a close may have run, and fails",
         ),
         mutant(
             "no unsafe request sent again after a reset",
             0,
-            (balancers.LoadBalancer, "outcome", _outcome_of_none((Status.RESET,))),
+            (balancers.LoadBalancer, "on_outcome", _outcome_of_none((Status.RESET,))),
+        ),
+        mutant(
+            "no unsafe request sent again after an answer that is none",
+            2,
+            (CONNECTION, "_reject_answer", _spoilt_unrun),
         ),
-        mutant("no unsafe request sent again after an answer that is none", 2, (CONNECTION, "_spoilt", _spoilt_unrun)),
         mutant(
             "no unsafe request sent again after a failure",
             2,
-            (balancers.LoadBalancer, "outcome", _outcome_of_none((Status.ERROR,))),
+            (balancers.LoadBalancer, "on_outcome", _outcome_of_none((Status.ERROR,))),
         ),
         mutant("no unsafe request sent again after silence", 16, (balancers.LoadBalancer, "_send", _hedge_all)),
-        mutant("no 503 for what may have run", 0, (balancers.LoadBalancer, "_again", _refuse_all)),
-        mutant("a server's promise passed on only with X-Not-Run", 7, (balancers, "NOT_RUN", frozenset())),
+        mutant("no 503 for what may have run", 0, (balancers.LoadBalancer, "_retry_or_respond", _refuse_all)),
+        mutant(
+            "a server's promise passed on only with X-Not-Run", 7, (balancers, "NOT_EXECUTED_STATUSES", frozenset())
+        ),
         mutant("one attempt's large answer begun", 27, (StreamedAnswer, "begin", _passing_begin)),
-        mutant("one attempt's pieces passed on", 27, (StreamedAnswer, "piece", _passing_piece)),
-        mutant("requests of a client served in turn", 3, (fronts.ClientConnection, "_next", _front_out_of_turn)),
-        mutant("the number of a draw compared", 6, (controller_session.ControllerSession, "_heard", _draw_any)),
-        mutant("a draw's answer counted once", 3, (controller_session.ControllerSession, "_heard", _draw_kept)),
+        mutant("one attempt's pieces passed on", 27, (StreamedAnswer, "write_body", _passing_piece)),
+        mutant("requests of a client served in turn", 3, (fronts.ClientConnection, "_serve_next", _front_out_of_turn)),
+        mutant("the number of a draw compared", 6, (controller_session.ControllerSession, "_on_message", _draw_any)),
+        mutant("a draw's answer counted once", 3, (controller_session.ControllerSession, "_on_message", _draw_kept)),
         mutant(
             "numbers of draws begun with the life", 30, (controller_session.ControllerSession, "__init__", _from_one)
         ),
-        mutant("calls of a connection served in turn", 1, (HttpConnection, "_next", _out_of_turn)),
+        mutant("calls of a connection served in turn", 1, (HttpConnection, "_serve_next", _out_of_turn)),
         mutant("each ticket given out once", 21, (PendingCalls, "next_number", _same_ticket)),
         mutant(
             "a call taken off with its answer",
@@ -290,12 +298,12 @@
         mutant(
             "a body that waits behind let go of",
             6,
-            (fronts.ClientConnection, "_drop", staticmethod(lambda turn: None)),
+            (fronts.ClientConnection, "_discard_body", staticmethod(lambda turn: None)),
         ),
         mutant(
             "an answer kept from who has left",
             None,
-            (gateway.Gateway, "gone", lambda *_: None),
+            (gateway.Gateway, "client_gone", lambda *_: None),
             why="by hand: test_check_callers.Leaving; "
             "nobody is answered wrongly: a lost connection writes nothing more",
         ),
--- a/crowseam/model_checks/catchup/check.py
+++ b/crowseam/model_checks/catchup/check.py
@@ -509,7 +509,7 @@
 
 
 class _AnyParts(SnapshotDownload):
-    def is_of_this_snapshot(self, chunk: SnapshotChunk) -> bool:
+    def belongs_to_snapshot(self, chunk: SnapshotChunk) -> bool:
         return True
 
 
@@ -578,7 +578,7 @@
 
 class _BeginsAnew(SnapshotExchange):
     def on_offer(self, sender: str, offer: SnapshotOffer) -> list[Effect]:
-        if self.download is not None and offer.last > max(self._log.last_slot, self.download.slot):
+        if self.download is not None and offer.last_slot > max(self._log.last_slot, self.download.slot):
             return self._begin(sender)
         return super().on_offer(sender, offer)
 
--- a/crowseam/model_checks/cutoff/check.py
+++ b/crowseam/model_checks/cutoff/check.py
@@ -171,7 +171,7 @@
             with (
                 worn(simulation.world, simulation.say),
                 mock.patch.object(http_client, "fetch", self._fetching(http_client.fetch)),
-                mock.patch.object(ControllerSession, "_heard", self._hearing(ControllerSession._heard)),
+                mock.patch.object(ControllerSession, "_on_message", self._hearing(ControllerSession._on_message)),
             ):
                 self._plan()
                 self._run(simulation.load_ends + 2.5)
@@ -557,7 +557,7 @@
             self._quiet(machine, daemon, reached)
             self._move(machine, daemon, reached, steady)
             local = process.clock(simulation.now)
-            share = daemon.controller_session.share("north", local)
+            share = daemon.controller_session.lease_share("north", local)
             shares["north"] = shares.get("north", 0.0) + (share or 0.0)
         if any(share > SHARES for share in shares.values()):
             self._broken(f"shares in use sum to {shares}")
@@ -567,9 +567,9 @@
         """All that gateways are told passes here: the moment in which one becomes ready is too short to look."""
 
         def watched(controller_session: ControllerSession, link: Any, message: Any) -> None:
-            before = controller_session.fresh
+            before = controller_session.is_caught_up
             heard(controller_session, link, message)
-            if controller_session.fresh and not before:
+            if controller_session.is_caught_up and not before:
                 acked = [
                     v.ver
                     for v in self.simulation.judge.versions
@@ -592,7 +592,7 @@
             "slot": controller_session.slot,
             "ver": controller_session.config.ver,
             "left": set(before["left"] if before else ()),
-            "fences": {key: holdings.fencing_token for key, holdings in controller_session.holdings.items()},
+            "fences": {key: holdings.fencing_token for key, holdings in controller_session.leases.items()},
         }
         for ident, server in balancer.servers.items():
             if not server.usable:
@@ -610,11 +610,13 @@
     def _quiet(self, machine: Any, daemon: Any, good: list) -> None:
         """A server that is well is not called silent for long by a controller in touch."""
         controller_session, now = daemon.controller_session, self.simulation.now
-        there = controller_session.link is not None and any(one.ctl == controller_session.at for one in good)
+        there = controller_session.link is not None and any(
+            one.ctl == controller_session.controller_addr for one in good
+        )
         named = {
             ident
             for ident, server in daemon.gateway.balancer.servers.items()
-            if there and server.quiet and now - self.beaten.get(ident, -HEARD) < HEARD
+            if there and server.is_silent and now - self.beaten.get(ident, -HEARD) < HEARD
         }
         for ident in named:
             since = self.quiet.setdefault((machine.name, ident), now)
@@ -625,7 +627,7 @@
 
     def _move(self, machine: Any, daemon: Any, good: list, steady: float) -> None:
         controller_session, now = daemon.controller_session, self.simulation.now
-        there = controller_session.link is not None and any(m.ctl == controller_session.at for m in good)
+        there = controller_session.link is not None and any(m.ctl == controller_session.controller_addr for m in good)
         if there or not good:
             began = self.moving.pop(machine.name, None)
             if began is not None and there and began > 0.0:
@@ -762,7 +764,7 @@
 
 
 def _takes_any_state(self: Any, message: Any) -> None:
-    self._take(message.slot, Configuration.from_put(unpack(message.body)) if message.slot else EMPTY)
+    self._apply(message.slot, Configuration.from_put(unpack(message.body)) if message.slot else EMPTY)
 
 
 def _tells_any_state(self: Any, session: Any) -> None:
@@ -787,7 +789,7 @@
 
 
 def _tried_alike(self: Any, addr: str, again: float) -> None:
-    self.known[addr] = clock.monotonic() + again
+    self.retry_at[addr] = clock.monotonic() + again
 
 
 def _all_silent(self: Any, now: float, after: float) -> None:
@@ -861,17 +863,25 @@
         _patched((ServerFeed, "check_silence", _all_silent)),
         8,
     ),
-    Mutant("a gateway's leaving of a controller without a majority", _patched((following, "ALONE", 1e9)), 22),
-    Mutant("a gateway's leaving of a controller that says nothing", _patched((following, "SILENT", 1e9)), 1),
-    Mutant("the count of what was tried in vain", _patched((ControllerSession, "_in_vain", _tried_alike)), 2),
+    Mutant(
+        "a gateway's leaving of a controller without a majority",
+        _patched((following, "NO_MAJORITY_TIMEOUT_S", 1e9)),
+        22,
+    ),
+    Mutant(
+        "a gateway's leaving of a controller that says nothing",
+        _patched((following, "CONTROLLER_SILENCE_TIMEOUT_S", 1e9)),
+        1,
+    ),
+    Mutant("the count of what was tried in vain", _patched((ControllerSession, "_record_failure", _tried_alike)), 2),
     Mutant(
         "a gateway's refusal of an older configuration",
-        _patched((ControllerSession, "_state", _takes_any_state)),
+        _patched((ControllerSession, "_on_state", _takes_any_state)),
         why="by hand: test_controller_session.ActTest; a controller sends nothing older (see the next)",
     ),
     Mutant(
         "both ends' refusal of an older configuration",
-        _patched((ControllerSession, "_state", _takes_any_state), (ConfigurationFeed, "catch_up", _tells_any_state)),
+        _patched((ControllerSession, "_on_state", _takes_any_state), (ConfigurationFeed, "catch_up", _tells_any_state)),
         1,
     ),
     Mutant(
--- a/crowseam/model_checks/handover/check.py
+++ b/crowseam/model_checks/handover/check.py
@@ -287,8 +287,8 @@
             world.rng,
             Timing(poll_all_voters=False),
             voting=machine.voting,
-            survive=world.survive,
-            contacts=[addr for addr in world.fleet if addr != self.addr],
+            tolerated_failures=world.survive,
+            bootstrap_addrs=[addr for addr in world.fleet if addr != self.addr],
         )
         counted = machine.notes.get(COUNTED_VOTER_KEY, b"").decode()
         self.handover = parts.handover(durable.id, durable.id in (counted, f"genesis/{self.addr}"))
@@ -305,7 +305,7 @@
             if key.startswith(ROLE_KEY_PREFIX)
         }
         self.role_leases = parts.role_leases(
-            self.addr, world.rng, now, [KEY], remembered=remembered if (remembered or bootstrap) else None
+            self.addr, world.rng, now, [KEY], saved_notes=remembered if (remembered or bootstrap) else None
         )
         self.lease_service = parts.lease_service(
             self.role_leases, configured, SessionTable(self.addr, self.life), self.gateways, self.peers, self.store
@@ -1085,9 +1085,9 @@
 
 class _GrantsAtStart(RoleLeaseVoter):
     def __init__(
-        self, context: RoleContext, holders: KnownHolders, keys: Any, now: float, remembered: dict[str, str] | None
+        self, context: RoleContext, holders: KnownHolders, keys: Any, now: float, saved_notes: dict[str, str] | None
     ) -> None:
-        super().__init__(context, holders, keys, now, remembered or {})
+        super().__init__(context, holders, keys, now, saved_notes or {})
 
 
 class _GrantsToAll(RoleLeaseVoter):
--- a/crowseam/model_checks/membership/check.py
+++ b/crowseam/model_checks/membership/check.py
@@ -571,7 +571,7 @@
             return None
         joining = [received.request.voter for received in self._joining.values()]
         max_silence = self._context.timing.replace_after_s
-        gone = [v for v in self._log.voters if self._contacts.silence(v.addr) > max_silence]
+        gone = [v for v in self._log.voters if self._contacts.silence_s(v.addr) > max_silence]
         stay = [v for v in wanted if v not in gone and v.addr not in self._joining]
         return sorted({*stay, *joining}) or wanted
 
--- a/crowseam/model_checks/operations/check.py
+++ b/crowseam/model_checks/operations/check.py
@@ -25,11 +25,11 @@
 from crowseam.model_checks.operations.machines import KEY_WINDOW_S, Controller, GatewayMachine
 from crowseam.model_checks.operations.world import World
 from crowseam.model_checks.schedules import Report, Violation, play
-from crowseam.operations.records import CLOCK_DRIFT, MARGIN_S
+from crowseam.operations.records import CLOCK_DRIFT, RETENTION_MARGIN_S
 
 STEPS = 14  # acts of fate in a schedule
 CALM_S = 4.0  # at the end, for sessions, disks and voters to be well again
-WINDOW_S = (KEY_WINDOW_S + MARGIN_S) * (1.0 + CLOCK_DRIFT) + 4.0  # after which nothing is left of a key
+WINDOW_S = (KEY_WINDOW_S + RETENTION_MARGIN_S) * (1.0 + CLOCK_DRIFT) + 4.0  # after which nothing is left of a key
 
 
 class Types(NamedTuple):
--- a/crowseam/model_checks/operations/machines.py
+++ b/crowseam/model_checks/operations/machines.py
@@ -310,9 +310,9 @@
         process = self.process = Process(self.world, self.name)
         settings = Settings(self.name, "10.0.0.2", "z", (1, 2), [], bind=Bind(), bootstrap=True)
         self.gateway = self.gateway_type(process, settings, self.world.rng, 64)
-        self.gateway.budget.set_gateways(1, self.world.now)
+        self.gateway.budget.set_gateway_count(1, self.world.now)
         self.gateway.configure(Table(Configuration.from_put(CONFIGURATION)))
-        self.gateway.follow(SERVERS, True)
+        self.gateway.update_servers(SERVERS, True)
         self.gateway.backends.begin = self._begin_exchange
         claims = self.claims_type(self.name, self.life)
         self.keyed_requests = self.keyed_requests_type(process, self.world.rng, claims, self._send)
