--- a/crowseam/model_checks/operations/mutants.py
+++ b/crowseam/model_checks/operations/mutants.py
@@ -45,8 +45,8 @@
 
 
 class _AcceptsSecond(replica.OperationReplica):
-    def _obstacle(self, claim: OperationClaim, records: list[OperationRecord], now: float) -> Any:
-        found = super()._obstacle(claim, records, now)
+    def _conflict(self, claim: OperationClaim, records: list[OperationRecord], now: float) -> Any:
+        found = super()._conflict(claim, records, now)
         return found if found is not None and found[1].answer is not None else None
 
 
@@ -99,7 +99,7 @@
 
 
 class _DropsAnswers(replica.OperationReplica):
-    def _fitting(self, answer: Any) -> Any:
+    def _answer_if_it_fits(self, answer: Any) -> Any:
         return None
 
 
@@ -235,20 +235,20 @@
 
 
 class _DropsDepartedRuns(Gateway):
-    def gone(self, request: int) -> None:
-        ticket = self.tickets.get(request)
+    def client_gone(self, request: int) -> None:
+        ticket = self.in_flight.get(request)
         if ticket is not None and ticket.claim is not None:
             self.keyed_requests.withdraw(ticket.claim)
             ticket.claim = None
-        super().gone(request)
+        super().client_gone(request)
 
 
 class _ClaimsTwiceUnderOneName(KeyedRequests):
     """Puts a claim without a decision to the next controller as it is."""
 
     def on_connected(self) -> None:
-        for number in self._claiming:
-            self.send(self.claims._waiting[number].claim)
+        for number in self._pending_claims:
+            self.send(self.claims._undecided[number].claim)
         for message in self.claims.unsettled_messages(0.0):
             self.send(message)
 
@@ -262,7 +262,7 @@
         self._late: dict[bytes, Any] = {}
 
     def _abandon(self, number: int) -> None:
-        self._abandoned[number] = self.claims._waiting.get(number)
+        self._abandoned[number] = self.claims._undecided.get(number)
         super()._abandon(number)
 
     def on_decision(self, decision: Any) -> None:
--- a/crowseam/model_checks/operations/world.py
+++ b/crowseam/model_checks/operations/world.py
@@ -7,11 +7,11 @@
 from typing import Any
 
 from crowseam.gateway.keyed_requests import Operation
-from crowseam.gateway.request_reader import Asked
+from crowseam.gateway.request_reader import ParsedRequest
 from crowseam.model_checks.operations.machines import KEY_WINDOW_S, Controller, GatewayMachine
 from crowseam.model_checks.schedules import Course, Violation
 from crowseam.operations import messages
-from crowseam.operations.identity import digest_of
+from crowseam.operations.identity import operation_digest
 from fennelpoint.interface import Status
 from fennelpoint.net.backends import Answer
 
@@ -56,7 +56,7 @@
         self.number = 0
         self.is_open = True
 
-    def answered(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+    def send_answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
         """An answer has come, as a server or the gateway gave it."""
         if self.is_open:  # else it has left, and the gateway does not know yet
             self.is_open = False
@@ -66,15 +66,15 @@
         """A large answer begins."""
         self.large = answer.body
 
-    def piece(self, data: bytes) -> None:
+    def write_body(self, data: bytes) -> None:
         """More of it has come."""
         self.large += data
 
     def finish(self) -> None:
         """A large answer is whole."""
-        self.answered(200, [(b"x-attempt-id", self.txn)], self.large)
+        self.send_answer(200, [(b"x-attempt-id", self.txn)], self.large)
 
-    def broken(self) -> None:
+    def abort(self) -> None:
         """A large answer has ended too soon."""
         self.is_open = False
         self.world.come_again(self)
@@ -200,7 +200,7 @@
             return
         exchange.connection = SimpleNamespace(written=True, give_up=lambda: None)
         exchange.render()
-        self.after(0.001, self._arrived, machine, machine.process, exchange, exchange.echo, self.now)
+        self.after(0.001, self._arrived, machine, machine.process, exchange, exchange.expected_id, self.now)
 
     def _arrived(self, machine: GatewayMachine, process: Any, exchange: Any, txn: bytes, sent_at: float) -> None:
         if self.rng.random() < 0.08:
@@ -230,7 +230,7 @@
     def _tell_large(self, process: Any, exchange: Any, body: bytes) -> None:
         def tell() -> None:
             if not exchange.ended:
-                exchange.receiver.begin(Answer(200, [], body), None, SimpleNamespace(read_on=lambda on: None))
+                exchange.receiver.begin(Answer(200, [], body), None, SimpleNamespace(set_reading=lambda on: None))
                 exchange.end(Status.OK)
 
         if process is not None:
@@ -257,8 +257,8 @@
 
     def _admit(self, client: Client, machine: GatewayMachine) -> None:
         route = machine.gateway.table.routes["orders"]
-        operation = Operation(digest_of("", client.key), b"other" if client.is_other else client.key)
-        asked = Asked(client.txn, route, "", TIME_LEFT_S, b"POST / HTTP/1.1\r\n", b"", None, operation)
+        operation = Operation(operation_digest("", client.key), b"other" if client.is_other else client.key)
+        asked = ParsedRequest(client.txn, route, "", TIME_LEFT_S, b"POST / HTTP/1.1\r\n", b"", None, operation)
         client.number = machine.gateway.admit(client, asked)
         patience_s = self.rng.uniform(0.0, 0.3) if self.rng.random() < 0.06 else GIVE_UP_S
         self.after(patience_s, self._leave, client, machine, machine.process)
@@ -266,7 +266,7 @@
     def _leave(self, client: Client, machine: GatewayMachine, process: Any) -> None:
         if client.is_open:
             client.is_open = False
-            process.call_soon(machine.gateway.gone, client.number)
+            process.call_soon(machine.gateway.client_gone, client.number)
             self.come_again(client)
 
     def come_again(self, client: Client) -> None:
--- a/crowseam/model_checks/orders/check.py
+++ b/crowseam/model_checks/orders/check.py
@@ -732,7 +732,7 @@
 _dispatch, _on_promise = Node._dispatch, Proposer.on_promise
 _on_read_reply = Proposer.on_quorum_read_reply
 _apply, _propose, _request, _round = State.apply, State.propose, ClientRequest.__init__, QuorumRound.__init__
-_state, _step, _take = ControllerSession._state, ControllerSession._step, ControllerSession._take
+_state, _step, _take = ControllerSession._on_state, ControllerSession._on_step, ControllerSession._apply
 
 
 def _forgetting(self: State, slot: int, entry: object) -> None:
@@ -799,7 +799,7 @@
 
 
 def _never_busy(self: Proposer, reply: Any) -> None:
-    _on_read_reply(self, msgspec.structs.replace(reply, busy=False))
+    _on_read_reply(self, msgspec.structs.replace(reply, has_voted=False))
 
 
 def _judged_once(self: RequestQueue, request: ClientRequest) -> Any:
@@ -940,7 +940,7 @@
     _mutant(
         "a gateway takes no older state",
         ControllerSession,
-        "_state",
+        "_on_state",
         _any_state,
         why="by hand: test_controller_session.ActTest; "
         "a controller sends no state to a gateway that is ahead; both ends in part cutoff",
@@ -948,7 +948,7 @@
     _mutant(
         "a gateway takes steps in turn",
         ControllerSession,
-        "_step",
+        "_on_step",
         _any_step,
         why="by hand: test_check_orders.StepTest; "
         "a controller sends a gateway only the step next to its place, else the whole state",
@@ -956,7 +956,7 @@
     _mutant(
         "a gateway acts once on a version",
         ControllerSession,
-        "_take",
+        "_apply",
         _act_always,
         why="by hand: test_controller_session.ActTest; "
         "a gateway is sent the steps it lacks, and the whole only where the log is gone",
--- a/crowseam/model_checks/quotas/check.py
+++ b/crowseam/model_checks/quotas/check.py
@@ -163,7 +163,7 @@
             now,
             [KEY],
             world.parts.duty_terms,
-            remembered=dict(disk["holders"]) if disk and (disk["holders"] or disk["whole"]) else None,
+            saved_notes=dict(disk["holders"]) if disk and (disk["holders"] or disk["whole"]) else None,
         )
         self.session_table = SessionTable(name, f"{name}.{life}")
         self.known = world.parts.known(disk["gateways"] if disk else (), bool(disk and disk["whole"]), now, LEASED)
@@ -484,7 +484,7 @@
         t = made.tenants[tenant]
         t.fill(now)
         granted, depth, plain = t.reserve_grants, t.depth(), self._plain(tenant, t, now)
-        if made.admit(tenant, 1.0, now, is_again=drawn is not None).is_admitted:
+        if made.admit(tenant, 1.0, now, is_recheck=drawn is not None).is_admitted:
             part = 1.0
             if t.reserve_grants < granted:
                 source = "reserve"
@@ -521,7 +521,7 @@
         if t.share is None:
             return 0.0
         level, at = self.plain.get(tenant, (0.0, self.began))
-        return min(t.terms.burst * t.share, level + t.pace() * max(0.0, now - at))
+        return min(t.terms.burst * t.share, level + t.fill_rate() * max(0.0, now - at))
 
     def _back(self, tenant: str, life: int) -> None:
         if self.world.sites.get(self.name) is self and not self.still:
@@ -1024,7 +1024,7 @@
 
 class _BelievesAny(RoleLeases):
     def earlier_borrowers(self, key: str) -> set[str] | None:
-        known = [names for names in self._claims[key].borrowers.earlier.values() if names is not None]
+        known = [names for names in self._claims[key].borrowers.earlier_by_voter.values() if names is not None]
         return {name for names in known for name in names} if known else None
 
 
--- a/crowseam/operations/__init__.py
+++ b/crowseam/operations/__init__.py
@@ -1,4 +1,4 @@
-"""Keyed operations: requests with one key run once over the whole fleet, and a repeat gets the first one's answer.
+"""Keyed (idempotent) operations: a request with a given key runs once in the fleet; retries get the stored answer.
 
-Decisions only: messages and the time come in, what is to be sent or written goes out.
+The package does no I/O and reads no clock: callers pass messages and the time, and get back what to send and write.
 """
--- a/crowseam/operations/catch_up.py
+++ b/crowseam/operations/catch_up.py
@@ -1,9 +1,10 @@
-"""What a new voter learns before it votes on claims: all records of a majority of the voters before it.
+"""Catch-up of a new voter: it copies all records of a majority of the previous voters before it votes on claims.
 
-A voter answers only once it knows of the change that let the newcomer in, and from then on refuses the claims of
-coordinators that don't. So what was granted by the voters before is in its answer, and the rest counts by the new ones.
+A voter replies only once it knows of the change of voters that added the newcomer, and from then on refuses claims of
+coordinators that do not know of it. Claims granted by the previous voters are therefore in its reply, and later claims
+need a majority of the new voters.
 
-One that no majority can teach votes when nothing is left of what it may have missed.
+If no majority of the previous voters is available, the newcomer votes once every record it may have missed has expired.
 """
 
 from __future__ import annotations
@@ -16,49 +17,49 @@
 from crowseam.operations.replica import OperationReplica
 
 RETRANSMIT_INTERVAL_S = 0.25
-PART_BYTES = 64 * 1024
+MAX_PART_BYTES = 64 * 1024
 
 
 class OutgoingLearnRequest(NamedTuple):
-    """A request, and the address that it goes to."""
+    """A request and its destination address."""
 
     addr: str
     request: LearnOperations
 
 
-class _Offer(NamedTuple):
-    """The records that a newcomer is being sent, as they were when it first asked."""
+class _RecordTransfer(NamedTuple):
+    """Records being sent to a newcomer, as of its first request."""
 
     number: int
     records: list[AgedRecord]
 
 
 class OperationCatchUp(MajorityCatchUp):
-    """Both sides of the transfer at one controller. Times are seconds of the steady clock."""
+    """Both sides of the record transfer at one controller. Times are seconds of the monotonic clock."""
 
     def __init__(self, me: str, has_counted: bool, max_wait_s: float) -> None:
         super().__init__(me, has_counted, RETRANSMIT_INTERVAL_S, max_wait_s, learns_before_joining=False)
-        self._positions: dict[str, int] = {}  # from where on each voter is to be asked, by id
-        self._offers: dict[str, _Offer] = {}  # by address
+        self._positions: dict[str, int] = {}  # next position to request, by voter id
+        self._transfers: dict[str, _RecordTransfer] = {}  # by address
 
     def set_voters(self, voters: Mapping[str, str], now: float) -> None:
-        """Take the voters as they are known here; a majority of those in force may teach as well as of those before.
+        """Update the voters. While catching up, a majority of the current voters suffices, as well as of the previous.
 
-        Of the voters before so many may have lost their disks while this one learns that they are no majority.
+        So many of the previous voters may lose their disks during the catch-up that no majority of them is left.
         """
         is_change = bool(voters) and voters != self._voters
         was_learning = self.is_catching_up
         super().set_voters(voters, now)
         if not is_change or not self.is_catching_up:
             return
-        # Also at the change that lets it in: it may have heard of none since voters of long before.
+        # This also applies when the newcomer is added: the voters that it knew before may be long outdated.
         del self._majorities[1:]
         self._add_sources(voters)
         if was_learning:
             self._begin()
 
     def tick(self, now: float, log_slot: int, voters_slot: int) -> list[OutgoingLearnRequest]:
-        """Return the requests that are due; to be called some times a second."""
+        """Return the requests that are due; call this a few times per second."""
         by_addr = {addr: voter_id for voter_id, addr in self._sources.items()}
         return [
             OutgoingLearnRequest(addr, self._request(by_addr[addr], log_slot, voters_slot))
@@ -77,36 +78,36 @@
         voters_slot: int,
         now: float,
     ) -> OperationsLearned | None:
-        """Carry out a voter's part.
+        """Answer a newcomer's request.
 
-        `log_slot` and `voters_slot` are ours. None where it has to learn itself, or where one of both does not
-        know of the change of voters that the other one knows.
+        `log_slot` and `voters_slot` are those of this controller. Returns None if this voter has to catch up itself,
+        or if either side does not know the latest change of voters that the other one knows.
         """
         if not self.counts or request.log_slot < voters_slot or log_slot < request.voters_slot:
             return None
-        offer = self._offers.get(addr)
+        transfer = self._transfers.get(addr)
         position = request.position
-        if offer is None or offer.number != request.number or position == 0:
-            # Positions of another offer mean nothing in this one.
-            offer = self._offers[addr] = _Offer(request.number, replica.aged_records(now))
+        if transfer is None or transfer.number != request.number or position == 0:
+            # A position is valid only within the same transfer.
+            transfer = self._transfers[addr] = _RecordTransfer(request.number, replica.aged_records(now))
             position = 0
         records: list[AgedRecord] = []
         size = 0
-        for record in offer.records[position:]:
+        for record in transfer.records[position:]:
             records.append(record)
             size += len(record.stored)
-            if size >= PART_BYTES:
+            if size >= MAX_PART_BYTES:
                 break
         end = position + len(records)
-        is_last = end >= len(offer.records)
+        is_last = end >= len(transfer.records)
         if is_last:
-            del self._offers[addr]
+            del self._transfers[addr]
         return OperationsLearned(request.number, self.me, records, 0 if is_last else end)
 
     def on_part(
         self, addr: str, part: OperationsLearned, log_slot: int, voters_slot: int
     ) -> OutgoingLearnRequest | None:
-        """Note a part that was added to the replica; returns the request for the next one, if there is one."""
+        """Record a part that was added to the replica; return the request for the next part, if any."""
         is_repeated = self._positions.get(part.voter_id, 0) == part.next_position
         if is_repeated or not part.next_position or not self.is_expected(part):
             return None
@@ -114,11 +115,11 @@
         return OutgoingLearnRequest(addr, self._request(part.voter_id, log_slot, voters_slot))
 
     def is_expected(self, part: OperationsLearned) -> bool:
-        """Whether this part is waited for."""
+        """Whether this part belongs to the current attempt."""
         return self._is_expected(part.number, part.voter_id)
 
     def is_complete_with(self, part: OperationsLearned) -> bool:
-        """Count the last part of a voter; whether a majority is then complete, once all of it is on disk."""
+        """Count a voter's last part; return whether a majority is complete, provided that all parts are durable."""
         return not part.next_position and self.is_expected(part) and self._count(part.voter_id)
 
     def _begin(self) -> None:
--- a/crowseam/operations/claims.py
+++ b/crowseam/operations/claims.py
@@ -1,4 +1,4 @@
-"""A gateway's part: its claims, and the ends and withdrawals that a majority of the voters does not have yet."""
+"""Gateway side of keyed operations: its claims, and ends and withdrawals not yet stored by a majority of voters."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 )
 from crowseam.operations.records import answer_size
 
-CLAIM_TIMEOUT_S = 0.25  # for a decision
-MAX_SEND_WITHIN_S = 10.0  # after a claim, for which its request may be sent to a server
-RETRANSMIT_INTERVAL_S = 0.3  # of what is not settled
-GIVE_UP_AFTER_S = 30.0  # of what is not settled: until its window ends the key stays taken
-MAX_UNSETTLED_BYTES = 1024 * 1024  # of answers that no majority has; beyond that nothing is claimed
+CLAIM_TIMEOUT_S = 0.25  # timeout of a decision on a claim
+MAX_SEND_WITHIN_S = 10.0  # time after a claim in which its request may be sent to a server
+RETRANSMIT_INTERVAL_S = 0.3  # of unsettled ends and withdrawals
+GIVE_UP_AFTER_S = 30.0  # retries of an end or withdrawal stop; the key then stays reserved until its window ends
+MAX_UNSETTLED_BYTES = 1024 * 1024  # of unsettled answers, above which no new claims are made
 
 Settlement = OperationEnd | OperationWithdrawal
 
 
 class GrantedClaim(NamedTuple):
-    """A claim that was granted, and until when its request may be sent to a server (steady clock, s)."""
+    """A claim, and the time until which its request may be sent to a server (seconds, monotonic clock)."""
 
     claim: OperationClaim
     send_until: float
 
 
 class _Unsettled:
-    """An end or a withdrawal that is sent until a majority has it."""
+    """An end or withdrawal that is retransmitted until a majority of voters has stored it."""
 
     __slots__ = ("began_at", "message", "sent_at")
 
@@ -48,53 +48,53 @@
 
 
 class OperationClaims:
-    """What one incarnation of a gateway has claimed. Times are seconds of the steady clock."""
+    """The claims of one incarnation of a gateway. Times are seconds of the monotonic clock."""
 
     def __init__(self, gateway: str, incarnation: int) -> None:
         self.gateway = gateway
         self.incarnation = incarnation
         self._last_number = 0
-        self._waiting: dict[int, GrantedClaim] = {}  # claims without a decision, by number
+        self._undecided: dict[int, GrantedClaim] = {}  # claims without a decision, by number
         self._unsettled: dict[int, _Unsettled] = {}
         self._unsettled_bytes = 0
 
     @property
     def unsettled(self) -> int:
-        """How many ends and withdrawals no majority has, as far as is known here."""
+        """Number of ends and withdrawals without a confirmation that a majority has stored them."""
         return len(self._unsettled)
 
     @property
     def is_full(self) -> bool:
-        """Whether so much waits to be settled that nothing may be claimed."""
+        """Whether too much is unsettled to make new claims."""
         return self._unsettled_bytes >= MAX_UNSETTLED_BYTES
 
     def claim(self, key: bytes, fingerprint: bytes, time_left_s: float, now: float) -> OperationClaim:
-        """Return a new claim, to be sent to the controller."""
+        """Create a claim to be sent to the controller."""
         self._last_number += 1
         name = ClaimName(self.gateway, self.incarnation, self._last_number)
-        # Counted from before the claim is sent, so that we are done before any voter is.
+        # Counted from before the claim is sent, so that the limit ends here before it ends at any voter.
         send_within_s = min(time_left_s, MAX_SEND_WITHIN_S)
         claim = OperationClaim(name, key, fingerprint, send_within_s, time_left_s)
-        self._waiting[name.number] = GrantedClaim(claim, now + send_within_s)
+        self._undecided[name.number] = GrantedClaim(claim, now + send_within_s)
         return claim
 
     def on_decision(self, decision: ClaimDecision) -> GrantedClaim | None:
-        """Take a decision; returns its claim, or None where nothing waits for it any more."""
-        return self._waiting.pop(decision.number, None)
+        """Process a decision; return its claim, or None if the claim is no longer waiting for one."""
+        return self._undecided.pop(decision.number, None)
 
     def abandon(self, number: int, now: float) -> OperationWithdrawal | None:
-        """Give up a claim without a decision: from now on a grant of it is not used. Returns what is to be sent."""
-        waiting = self._waiting.pop(number, None)
-        return self.withdraw(waiting.claim, now) if waiting is not None else None
+        """Abandon an undecided claim, so that a late grant is ignored. Return the withdrawal to send, if any."""
+        undecided = self._undecided.pop(number, None)
+        return self.withdraw(undecided.claim, now) if undecided is not None else None
 
     def withdraw(self, claim: OperationClaim, now: float) -> OperationWithdrawal:
-        """Free the key of a claim whose request has surely not run and will not be sent. Returns what is to be sent."""
+        """Release the key of a claim whose request was not and will not be sent. Return the message to send."""
         withdrawal = OperationWithdrawal(claim.name, claim.key)
         self._keep_until_settled(claim.name.number, withdrawal, now)
         return withdrawal
 
     def end(self, end: OperationEnd, now: float) -> OperationEnd:
-        """Have the end of a claim kept. Returns what is to be sent."""
+        """Track the end of a claim until it is settled. Return the message to send."""
         self._keep_until_settled(end.claim.name.number, end, now)
         return end
 
@@ -103,7 +103,7 @@
         self._unsettled_bytes += unsettled.size
 
     def on_settled(self, message: OperationSettled) -> bool:
-        """Note that a majority has an end or a withdrawal; whether that was not known yet."""
+        """Record that a majority has stored an end or withdrawal; return whether that is new."""
         return self._forget(message.number)
 
     def _forget(self, number: int) -> bool:
@@ -114,13 +114,13 @@
         return True
 
     def unsettled_messages(self, now: float) -> list[Settlement]:
-        """Return all that is not settled, for a controller that has just been reached."""
+        """Return all unsettled messages, to be sent to a newly connected controller."""
         for unsettled in self._unsettled.values():
             unsettled.sent_at = now
         return [unsettled.message for unsettled in self._unsettled.values()]
 
     def tick(self, now: float) -> list[Settlement]:
-        """Return what is to be sent again; to be called some times a second."""
+        """Return the messages to retransmit; call this a few times per second."""
         due: list[Settlement] = []
         for number, unsettled in list(self._unsettled.items()):
             if now - unsettled.began_at >= GIVE_UP_AFTER_S:
--- a/crowseam/operations/coordinator.py
+++ b/crowseam/operations/coordinator.py
@@ -1,7 +1,7 @@
-"""A controller's part: it puts a gateway's claim, end or withdrawal to the voters, and counts a majority of them.
+"""Coordinator side of keyed operations: sends claims, ends and withdrawals to the voters and waits for a majority.
 
-A coordinator decides nothing by itself and remembers nothing that matters: a claim is granted by the disks of a
-majority, and another coordinator may settle what this one began.
+A coordinator keeps no durable state: a claim is granted by a majority of the voters' disks, and another coordinator
+can complete an end or withdrawal that this one started.
 """
 
 from __future__ import annotations
@@ -15,7 +15,6 @@
     ClaimName,
     ClaimOutcome,
     ClaimVote,
-    KeptAnswer,
     OperationClaim,
     OperationEnd,
     OperationSettled,
@@ -24,19 +23,20 @@
     RecordClaim,
     RecordEnd,
     RecordWithdrawal,
+    StoredAnswer,
     Verdict,
 )
 from crowseam.quorum import majority
 
-CLAIM_TIMEOUT_S = 0.2  # for the votes of a claim; its gateway waits a little longer
+CLAIM_TIMEOUT_S = 0.2  # for the votes on a claim; must be shorter than the timeout of the gateway
 RETRANSMIT_INTERVAL_S = 0.25  # of ends and withdrawals
-SETTLE_TIMEOUT_S = 3.0  # after which the gateway has to send an end or a withdrawal again
-# Votes for which a claim would be granted by no other voter: they do not count against the voters' number.
-_RIVALS = (Verdict.RIVAL_AT_WORK, Verdict.RIVAL_UNKNOWN)
+SETTLE_TIMEOUT_S = 3.0  # after which an end or withdrawal is dropped and the gateway has to send it again
+# Verdicts of voters that have stored another claim of the key.
+_RIVAL_VERDICTS = (Verdict.RIVAL_AT_WORK, Verdict.RIVAL_UNKNOWN)
 
 
 class _ClaimRound:
-    """A claim that the voters are asked about."""
+    """A round of votes on a claim."""
 
     __slots__ = ("claim", "gateway", "started_at", "votes")
 
@@ -47,7 +47,7 @@
         self.votes: dict[str, ClaimVote] = {}  # by address
 
     def decide(self, voters: Mapping[str, str], is_final: bool) -> ClaimDecision | None:
-        """Return the decision by the votes so far; None: more votes may change it, which `is_final` rules out."""
+        """Return the decision on the votes so far, or None if further votes matter and `is_final` is not set."""
         votes = [vote for addr, vote in self.votes.items() if addr in voters and voters[addr] == vote.voter_id]
         for vote in votes:
             if vote.verdict is Verdict.ANSWERED:
@@ -64,7 +64,7 @@
         return self._refusal(votes, needed, missing)
 
     def _refusal(self, votes: list[ClaimVote], needed: int, missing: int) -> ClaimDecision:
-        rivals = [vote for vote in votes if vote.verdict in _RIVALS]
+        rivals = [vote for vote in votes if vote.verdict in _RIVAL_VERDICTS]
         if rivals:
             votes_by_rival: Counter[ClaimName | None] = Counter(vote.rival for vote in rivals)
             if max(votes_by_rival.values()) + missing < needed:
@@ -77,13 +77,13 @@
         return self._decision(ClaimOutcome.NO_QUORUM)
 
     def _decision(
-        self, outcome: ClaimOutcome, remaining_s: float = 0.0, answer: KeptAnswer | None = None
+        self, outcome: ClaimOutcome, remaining_s: float = 0.0, answer: StoredAnswer | None = None
     ) -> ClaimDecision:
         return ClaimDecision(self.claim.name.number, outcome, remaining_s, answer)
 
 
 class _SettleRound:
-    """An end or a withdrawal that a majority is to have on disk. `gateway`: who waits for it; "": nobody."""
+    """An end or withdrawal to be stored by a majority. `gateway` waits for the confirmation; "" if none does."""
 
     __slots__ = ("acked_by", "claim", "gateway", "message", "sent_at", "started_at")
 
@@ -93,44 +93,44 @@
         self.message = message
         self.started_at = now
         self.sent_at = now
-        self.acked_by: dict[str, str] = {}  # ids by address
+        self.acked_by: dict[str, str] = {}  # address -> id of the voter
 
     def missing(self, voters: Mapping[str, str]) -> list[str]:
-        """Return the voters that have not acknowledged."""
+        """Return the addresses of the voters that have not acknowledged."""
         return sorted(addr for addr, voter_id in voters.items() if self.acked_by.get(addr) != voter_id)
 
 
 class OperationCoordinator:
     """The rounds of one controller.
 
-    Numbers of rounds begin above `first_number`, which is to be above all numbers of earlier incarnations, as
-    answers to their requests may come to us. Times are seconds of the steady clock.
+    Round numbers start above `first_number`, which must exceed all numbers of earlier incarnations, because late
+    replies to their requests may still arrive. Times are seconds of the monotonic clock.
     """
 
     def __init__(self, first_number: int) -> None:
         self._last_number = first_number
         self._claims: dict[int, _ClaimRound] = {}
         self._settling: dict[int, _SettleRound] = {}
-        self._settling_numbers: dict[tuple[type, ClaimName], int] = {}  # of what is settled of which claim
-        self._voters: dict[str, str] = {}  # ids by address
+        self._settling_numbers: dict[tuple[type, ClaimName], int] = {}  # round number by message type and claim
+        self._voters: dict[str, str] = {}  # address -> id
         self._log_slot = 0
 
     def __len__(self) -> int:
         return len(self._claims) + len(self._settling)
 
     def set_voters(self, voters: Mapping[str, str], log_slot: int) -> None:
-        """Take the voters as they are known here with the newest slot known; to be called before each message."""
+        """Update the voters and the newest known log slot; call this before each message."""
         self._voters = dict(voters)
         self._log_slot = log_slot
 
-    # What gateways ask for
+    # Requests of gateways
 
     def on_claim(
         self, gateway: str, claim: OperationClaim, reachable: Collection[str], now: float
     ) -> list[CoordinatorEffect]:
-        """Put a claim to the voters; `reachable` are those in touch, ourselves included."""
-        near = sum(addr in reachable for addr in self._voters)
-        if not self._voters or near < majority(len(self._voters)):
+        """Send a claim to the voters; `reachable` has the addresses of connected controllers, including this one."""
+        reachable_voters = sum(addr in reachable for addr in self._voters)
+        if not self._voters or reachable_voters < majority(len(self._voters)):
             return [Reply(gateway, ClaimDecision(claim.name.number, ClaimOutcome.NO_QUORUM))]
         number = self._next_number()
         self._claims[number] = _ClaimRound(gateway, claim, now)
@@ -138,27 +138,27 @@
         return [Send(addr, request) for addr in sorted(self._voters)]
 
     def on_end(self, gateway: str, end: OperationEnd, now: float) -> list[CoordinatorEffect]:
-        """Have the voters keep an end; the gateway is told once a majority has."""
+        """Have the voters store an end; the gateway gets a confirmation once a majority has."""
         return self._settle(gateway, end.claim.name, RecordEnd(self._next_number(), end), now)
 
     def on_withdrawal(self, gateway: str, withdrawal: OperationWithdrawal, now: float) -> list[CoordinatorEffect]:
-        """Have the voters free a key; the gateway is told once a majority has."""
+        """Have the voters release a key; the gateway gets a confirmation once a majority has."""
         return self._settle(gateway, withdrawal.name, RecordWithdrawal(self._next_number(), withdrawal), now)
 
     def _settle(
         self, gateway: str, claim: ClaimName, message: RecordEnd | RecordWithdrawal, now: float
     ) -> list[CoordinatorEffect]:
         key = (type(message), claim)
-        under_way = self._settling.get(self._settling_numbers.get(key, 0))
-        if under_way is not None:
-            # Its gateway asks again, as it does until it is answered: a round for each time would pile up.
-            under_way.gateway = gateway or under_way.gateway
-            return self._answer_if_settled(under_way)
+        ongoing = self._settling.get(self._settling_numbers.get(key, 0))
+        if ongoing is not None:
+            # The gateway retransmits until it gets a reply; join the ongoing round instead of starting another.
+            ongoing.gateway = gateway or ongoing.gateway
+            return self._reply_if_settled(ongoing)
         self._settling[message.round_number] = _SettleRound(gateway, claim, message, now)
         self._settling_numbers[key] = message.round_number
         return [Send(addr, message) for addr in sorted(self._voters)]
 
-    def _answer_if_settled(self, settling: _SettleRound) -> list[CoordinatorEffect]:
+    def _reply_if_settled(self, settling: _SettleRound) -> list[CoordinatorEffect]:
         acked = len(self._voters) - len(settling.missing(self._voters))
         if not settling.gateway or acked < majority(len(self._voters)):
             return []
@@ -169,7 +169,7 @@
         settling = self._settling.pop(number)
         del self._settling_numbers[type(settling.message), settling.claim]
 
-    # What voters answer
+    # Replies of voters
 
     def on_vote(self, addr: str, vote: ClaimVote, now: float) -> list[CoordinatorEffect]:
         """Count a vote."""
@@ -188,24 +188,24 @@
         del self._claims[number]
         effects: list[CoordinatorEffect] = [Reply(claim_round.gateway, decision)]
         if decision.outcome is not ClaimOutcome.GRANTED:
-            # Voters that have accepted it, or are about to, are not to be left with it.
+            # Remove the claim from voters that have accepted it or are about to.
             claim = claim_round.claim
             withdrawal = RecordWithdrawal(self._next_number(), OperationWithdrawal(claim.name, claim.key))
             effects += self._settle("", claim.name, withdrawal, now)
         return effects
 
     def on_ack(self, addr: str, ack: RecordAck) -> list[CoordinatorEffect]:
-        """Count an acknowledgement of an end or a withdrawal."""
+        """Count an acknowledgement of an end or withdrawal."""
         settling = self._settling.get(ack.round_number)
         if settling is None:
             return []
         settling.acked_by[addr] = ack.voter_id
         if not settling.missing(self._voters):
             self._forget_settling(ack.round_number)
-        return self._answer_if_settled(settling)
+        return self._reply_if_settled(settling)
 
     def tick(self, now: float) -> list[CoordinatorEffect]:
-        """Give up what has waited too long, and ask again for what links may have lost."""
+        """Expire rounds that have timed out, and retransmit messages that may have been lost."""
         effects: list[CoordinatorEffect] = []
         for number, claim_round in list(self._claims.items()):
             if now - claim_round.started_at >= CLAIM_TIMEOUT_S:
--- a/crowseam/operations/effects.py
+++ b/crowseam/operations/effects.py
@@ -1,4 +1,4 @@
-"""What the decisions on operations ask their owner to do."""
+"""Actions that the components of this package return for their owner to carry out."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 
 
 class Send(NamedTuple):
-    """Send a message to a controller; to ourselves too."""
+    """Send a message to a controller, which may be this one."""
 
     addr: str
     message: VoterMessage
 
 
 class Row(NamedTuple):
-    """A row on disk under `key`; no value: it is to be removed."""
+    """A row to write to disk under `key`; without a value, the row is removed."""
 
     key: str
     value: bytes | None
 
 
 class Persist(NamedTuple):
-    """Write rows, in the order in which such effects are given; send `then` once they are synced."""
+    """Write rows, then send the messages in `then` once the write is durable. Writes are carried out in order."""
 
     rows: list[Row]
     then: list[Send]
--- a/crowseam/operations/identity.py
+++ b/crowseam/operations/identity.py
@@ -1,11 +1,11 @@
-"""Which requests are tries of one operation: the key, and the fingerprint of what it stands for."""
+"""Identity of a keyed operation: its key, and a fingerprint of the request to detect reuse of the key."""
 
 from __future__ import annotations
 
 import re
 from hashlib import blake2b
 
-HEADER = b"x-op-key"
+KEY_HEADER = b"x-op-key"
 MAX_KEY_BYTES = 255
 _KEY_DIGEST_BYTES = 16
 _FINGERPRINT_BYTES = 16
@@ -13,18 +13,18 @@
 
 
 class OperationKeyError(ValueError):
-    """The key of an operation can't be used; the text names the field."""
+    """The operation key of a request is missing or invalid; the message names the header field."""
 
 
-def read_key(headers: list[tuple[bytes, bytes]]) -> bytes:
-    """Return the key that a request names.
+def key_from_headers(headers: list[tuple[bytes, bytes]]) -> bytes:
+    """Return the operation key of a request.
 
     Raises
     ------
     OperationKeyError
-        If there is none, or more than one, or it is too long or not visible ASCII.
+        If there is no key or more than one, or it is empty, too long or not visible ASCII.
     """
-    values = [value for name, value in headers if name == HEADER]
+    values = [value for name, value in headers if name == KEY_HEADER]
     if not values:
         raise OperationKeyError("x-op-key is missing")
     if len(values) > 1:
@@ -39,14 +39,14 @@
     return key
 
 
-def digest_of(tenant: str, key: bytes) -> bytes:
-    """Return what names an operation over the fleet. The length of the tenant's name keeps two pairs apart."""
+def operation_digest(tenant: str, key: bytes) -> bytes:
+    """Return the fleet-wide id of an operation. The length prefix keeps distinct (tenant, key) pairs distinct."""
     name = tenant.encode()
     return blake2b(b"%d:%b%b" % (len(name), name, key), digest_size=_KEY_DIGEST_BYTES).digest()
 
 
-def fingerprint_of(method: bytes, host: bytes, target: bytes, body: bytes) -> bytes:
-    """Return a digest by which a repeat is known as the same request."""
+def request_fingerprint(method: bytes, host: bytes, target: bytes, body: bytes) -> bytes:
+    """Return a digest that is equal for retries of the same request."""
     digest = blake2b(digest_size=_FINGERPRINT_BYTES)
     for part in (method, host.lower(), target, body):
         digest.update(b"%d:" % len(part))
--- a/crowseam/operations/messages.py
+++ b/crowseam/operations/messages.py
@@ -1,4 +1,4 @@
-"""The messages of keyed operations. All times in them are spans in seconds: no two clocks are compared."""
+"""Messages for keyed operations. They contain durations in seconds only, so clocks need not be synchronized."""
 
 from __future__ import annotations
 
@@ -8,15 +8,15 @@
 
 
 class ClaimName(msgspec.Struct, frozen=True, array_like=True):
-    """Names one claim of one gateway. It is never used for another claim, so that late messages can't be mistaken."""
+    """Unique name of one claim of a gateway. Names are never reused, so delayed messages cannot be misattributed."""
 
     gateway: str
     incarnation: int
     number: int
 
 
-class KeptAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """A server's answer, as each repeat gets it: status, end-to-end header fields, body."""
+class StoredAnswer(msgspec.Struct, frozen=True, array_like=True):
+    """A server's answer as retries get it: status, end-to-end header fields and body."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
@@ -27,11 +27,11 @@
 
 
 class OperationClaim(msgspec.Struct, frozen=True, array_like=True, tag="op.claim"):
-    """Asks for the right to run an operation.
+    """Asks for permission to run an operation.
 
-    `key` is the digest of tenant and `X-Op-Key`, `fingerprint` that of the request (empty: not known, as its body
-    is passed on while it comes). The gateway sends it to a server within `send_within_s` or never; a run has ended
-    after `run_within_s`.
+    `key` is the digest of tenant and `X-Op-Key`, `fingerprint` that of the request (empty if the body is streamed
+    and thus not known yet). The gateway sends the request to a server within `send_within_s` or not at all; a run
+    ends within `run_within_s`.
     """
 
     name: ClaimName
@@ -42,43 +42,43 @@
 
 
 class OperationEnd(msgspec.Struct, frozen=True, array_like=True, tag="op.end"):
-    """What became of the run of a claim; no answer: the outcome is not known, or its answer is too large to keep."""
+    """The end of a claimed run. No answer means that the outcome is unknown or the answer too large to store."""
 
     claim: OperationClaim
-    answer: KeptAnswer | None
+    answer: StoredAnswer | None
 
 
 class OperationWithdrawal(msgspec.Struct, frozen=True, array_like=True, tag="op.withdraw"):
-    """The operation of this claim has not run and never will: its key is free again."""
+    """Releases the key of a claim whose operation has not run and never will."""
 
     name: ClaimName
     key: bytes
 
 
 class ClaimOutcome(Enum):
-    """What a gateway is to do about a request whose operation it claimed."""
+    """The decision on a claim, which tells the gateway how to handle the request."""
 
     GRANTED = "granted"  # send it to a server
-    ANSWERED = "answered"  # the operation has run: give the answer that was kept
-    AT_WORK = "at_work"  # another try of it is at work
-    UNKNOWN = "unknown"  # another try of it may have run, and its answer is not known
+    ANSWERED = "answered"  # the operation has run: reply with the stored answer
+    AT_WORK = "at_work"  # another attempt is in progress
+    UNKNOWN = "unknown"  # another attempt may have run, and its answer is not known
     OTHER_REQUEST = "other_request"  # the key was used for another request
-    CONTENDED = "contended"  # several tries met, and none has the right: claim anew under another name
-    NO_QUORUM = "no_quorum"  # no majority of the voters answers
+    CONTENDED = "contended"  # concurrent claims blocked each other: claim again with a new name
+    NO_QUORUM = "no_quorum"  # no majority of the voters replied
     FULL = "full"  # the voters have no space for another key
 
 
 class ClaimDecision(msgspec.Struct, frozen=True, array_like=True, tag="op.decision"):
-    """The answer to `OperationClaim`, by its number; `remaining_s`: how long a run at work may still last."""
+    """The reply to the claim with this number; `remaining_s` is how long a run in progress may still take."""
 
     number: int
     outcome: ClaimOutcome
     remaining_s: float = 0.0
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 class OperationSettled(msgspec.Struct, frozen=True, array_like=True, tag="op.settled"):
-    """A majority has the end or the withdrawal of the claim with this number on disk."""
+    """A majority of voters has stored the end or the withdrawal of the claim with this number."""
 
     number: int
 
@@ -87,7 +87,7 @@
 
 
 class RecordClaim(msgspec.Struct, frozen=True, array_like=True, tag="op.record_claim"):
-    """Asks a voter to record a claim. `log_slot` is the newest slot of the log that the sender knows."""
+    """Asks a voter to record a claim. `log_slot` is the newest log slot that the sender knows."""
 
     round_number: int
     log_slot: int
@@ -109,32 +109,32 @@
 
 
 class Verdict(Enum):
-    """What a voter says to a claim."""
+    """A voter's verdict on a claim."""
 
-    ACCEPTED = "accepted"  # it is on this voter's disk, and no other claim of the key is
-    RIVAL_AT_WORK = "rival_at_work"  # another claim of the key is, whose run may go on
-    RIVAL_UNKNOWN = "rival_unknown"  # another one is, whose run is over without a known answer
+    ACCEPTED = "accepted"  # stored by this voter, which has no other claim of the key
+    RIVAL_AT_WORK = "rival_at_work"  # another claim of the key is stored, and its run may be in progress
+    RIVAL_UNKNOWN = "rival_unknown"  # another claim is stored, and its run is over without a known answer
     ANSWERED = "answered"
     OTHER_REQUEST = "other_request"
     WITHDRAWN = "withdrawn"  # the claim itself was withdrawn before
-    NOT_READY = "not_ready"  # this voter has yet to learn what others granted
-    OUTDATED = "outdated"  # the sender does not know the voters
+    NOT_READY = "not_ready"  # this voter has not caught up on claims granted before it joined
+    OUTDATED = "outdated"  # the sender does not know the current voters
     FULL = "full"
 
 
 class ClaimVote(msgspec.Struct, frozen=True, array_like=True, tag="op.vote"):
-    """A voter's answer to `RecordClaim`."""
+    """A voter's reply to `RecordClaim`."""
 
     round_number: int
     voter_id: str
     verdict: Verdict
     rival: ClaimName | None = None
     remaining_s: float = 0.0
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 class RecordAck(msgspec.Struct, frozen=True, array_like=True, tag="op.ack"):
-    """A voter has the end or the withdrawal on its disk."""
+    """A voter has stored the end or the withdrawal of this round."""
 
     round_number: int
     voter_id: str
@@ -144,7 +144,7 @@
 
 
 class LearnOperations(msgspec.Struct, frozen=True, array_like=True, tag="op.learn"):
-    """Asks a voter for the records from `position` on; `number` is that of this attempt to learn."""
+    """Asks a voter for its records from `position` on; `number` identifies this catch-up attempt."""
 
     number: int
     log_slot: int
@@ -153,14 +153,14 @@
 
 
 class AgedRecord(msgspec.Struct, frozen=True, array_like=True):
-    """A record as a voter has it, in its stored form, and the seconds for which it is still kept there."""
+    """A voter's record in its stored form, and for how many seconds the voter still keeps it."""
 
     stored: bytes
     remaining_s: float
 
 
 class OperationsLearned(msgspec.Struct, frozen=True, array_like=True, tag="op.learned"):
-    """A part of a voter's records; `next_position` is 0 after the last one."""
+    """A part of a voter's records; `next_position` is 0 in the last part."""
 
     number: int
     voter_id: str
--- a/crowseam/operations/replica.py
+++ b/crowseam/operations/replica.py
@@ -1,8 +1,8 @@
-"""A voter's part: the claims it has accepted and the ends it keeps.
+"""Voter side of keyed operations: the records of accepted claims and their ends.
 
-A voter accepts one claim of a key at a time, and says so once that is on its disk. A claim that a majority has
-accepted is granted, so no two of one key are: both majorities have a voter in common, which refuses the second one.
-What has surely not run is withdrawn by its own gateway and by nobody else; all else stays until its window is over.
+A voter accepts one claim per key at a time and replies once the claim is durable. A claim accepted by a majority is
+granted. Two claims of one key cannot both be granted, because any two majorities share a voter, which refuses the
+second one. A claim is withdrawn only if its operation cannot have run; all other records are kept until they expire.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
     AgedRecord,
     ClaimName,
     ClaimVote,
-    KeptAnswer,
     OperationClaim,
     OperationEnd,
     RecordAck,
     RecordClaim,
     RecordEnd,
     RecordWithdrawal,
+    StoredAnswer,
     Verdict,
 )
 from crowseam.operations.records import (
@@ -33,18 +33,18 @@
     row_key,
 )
 
-MAX_ANSWER_BYTES = 64 * 1024  # of an answer that is kept
-REMEMBER_WITHDRAWN_S = 10.0  # for which a late copy of a withdrawn claim is refused
+MAX_ANSWER_BYTES = 64 * 1024  # size limit of stored answers
+REMEMBER_WITHDRAWN_S = 10.0  # time for which delayed copies of a withdrawn claim are refused
 _EXPIRY_STEP_S = 1.0
 
 
 class OperationReplica:
     """The records of one voter.
 
-    `voter_id`, `voters_slot` and `is_ready` are kept up to date by the owner: the id of this voter, a slot of the
-    log after which the voters have not changed, and whether it has learned all that was granted before it counted.
-    `max_bytes` bounds what is kept; a claim that would go beyond is refused, and nothing is forgotten early for it.
-    Times are seconds of the steady clock.
+    The owner keeps these attributes up to date: `voter_id` is the id of this voter, `voters_slot` a log slot since
+    which the voters have not changed, and `is_ready` whether this voter has caught up on claims granted before it
+    joined. `max_bytes` limits the total size: claims beyond it are refused, and no record is evicted for them.
+    Times are seconds of the monotonic clock.
     """
 
     def __init__(self, voter_id: str, retention: Retention, max_bytes: int, now: float) -> None:
@@ -54,17 +54,17 @@
         self.retention = retention
         self.max_bytes = max_bytes
         self.used_bytes = 0
-        self.expired = 0  # how many records have outlived their window
+        self.expired = 0  # number of expired records
         self._by_key: dict[bytes, dict[ClaimName, OperationRecord]] = {}
-        self._expiring: dict[int, list[tuple[bytes, ClaimName]]] = {}  # by second
+        self._expiring: dict[int, list[tuple[bytes, ClaimName]]] = {}  # second -> records that may expire then
         self._expired_until = int(now)
-        self._withdrawn: dict[ClaimName, float] = {}  # until when each is remembered
+        self._withdrawn: dict[ClaimName, float] = {}  # time until which each name is remembered
 
     def __len__(self) -> int:
         return sum(map(len, self._by_key.values()))
 
     def count_states(self) -> dict[str, int]:
-        """Return how many records there are in each state."""
+        """Return the number of records by state."""
         counts = {state.value: 0 for state in State}
         for records in self._by_key.values():
             for record in records.values():
@@ -72,19 +72,19 @@
         return counts
 
     def records_of(self, key: bytes) -> list[OperationRecord]:
-        """Return the records of one key."""
+        """Return the records of a key."""
         return list(self._by_key.get(key, {}).values())
 
     def restore(self, rows: Iterable[bytes], now: float) -> None:
-        """Take what the disk has. Ages begin anew, which frees no key early. Raises msgspec.MsgspecError."""
+        """Load records from disk. Their ages restart at zero. Raises msgspec.MsgspecError."""
         for row in rows:
             stored = decode_record(row)
-            self._adopt(stored, now, now + self.retention.of_claim(stored.claim))
+            self._merge(stored, now, now + self.retention.claim_retention_s(stored.claim))
 
     # Claims
 
     def on_claim(self, addr: str, request: RecordClaim, now: float) -> list[ReplicaEffect]:
-        """Accept a claim, or say what stands against it."""
+        """Vote on a claim: accept it, or reply with the reason for refusing it."""
         claim = request.claim
         vote = self._vote(request, now)
         reply = [Send(addr, vote)]
@@ -92,34 +92,34 @@
             return list(reply)
         record = self._find(claim.key, claim.name)
         if record is None:
-            record = self._add(claim, now, now + self.retention.of_claim(claim))
+            record = self._add(claim, now, now + self.retention.claim_retention_s(claim))
         return [Persist([Row(row_key(claim), record.encode())], reply)]
 
     def _vote(self, request: RecordClaim, now: float) -> ClaimVote:
         number, claim = request.round_number, request.claim
         records = list(self._by_key.get(claim.key, {}).values())
-        obstacle = self._obstacle(claim, records, now)
-        is_answered = obstacle is not None and obstacle[0] is Verdict.ANSWERED
-        # What a run has answered stays true, whoever votes.
-        if not is_answered and (refusal := self._refusal_of_all(request)) is not None:
+        conflict = self._conflict(claim, records, now)
+        is_answered = conflict is not None and conflict[0] is Verdict.ANSWERED
+        # A stored answer is valid even if this voter may not vote.
+        if not is_answered and (refusal := self._reason_not_to_vote(request)) is not None:
             return ClaimVote(number, self.voter_id, refusal)
-        if obstacle is None:
+        if conflict is None:
             return ClaimVote(number, self.voter_id, self._verdict_on_free_key(claim, bool(records)))
-        verdict, record = obstacle
+        verdict, record = conflict
         answer = record.answer if verdict is Verdict.ANSWERED else None
         remaining_s = max(0.0, record.run_ends_at - now)
         return ClaimVote(number, self.voter_id, verdict, record.name, remaining_s, answer)
 
-    def _refusal_of_all(self, request: RecordClaim) -> Verdict | None:
-        """Return why this voter can't vote on any claim of this sender; None if it can."""
+    def _reason_not_to_vote(self, request: RecordClaim) -> Verdict | None:
+        """Return why this voter cannot vote on claims of this sender, or None if it can."""
         if not self.is_ready:
             return Verdict.NOT_READY
         return Verdict.OUTDATED if request.log_slot < self.voters_slot else None
 
-    def _obstacle(
+    def _conflict(
         self, claim: OperationClaim, records: list[OperationRecord], now: float
     ) -> tuple[Verdict, OperationRecord] | None:
-        """Return what of the records of its key stands against a claim, and as what."""
+        """Return the record of the same key that conflicts with a claim, and the verdict; None without a conflict."""
         for record in records:
             if self._is_other_request(record.claim, claim):
                 return Verdict.OTHER_REQUEST, record
@@ -148,7 +148,7 @@
     # Ends and withdrawals
 
     def on_end(self, addr: str, request: RecordEnd, now: float) -> list[ReplicaEffect]:
-        """Keep the end of an operation, also where its claim is not known here."""
+        """Store the end of an operation, even if its claim is unknown here."""
         end = request.end
         record = self._record_end(end, now)
         ack = Send(addr, RecordAck(request.round_number, self.voter_id))
@@ -158,34 +158,34 @@
         claim = end.claim
         record = self._find(claim.key, claim.name)
         if record is None:
-            record = self._add(claim, now, now + self.retention.of_claim(claim))
+            record = self._add(claim, now, now + self.retention.claim_retention_s(claim))
         if record.state is not State.ENDED:
-            answer = self._fitting(end.answer)
+            answer = self._answer_if_it_fits(end.answer)
             self._set(record, State.UNKNOWN if answer is None else State.ENDED, answer)
-            self._keep_until(record, now + self.retention.of_end())
+            self._keep_until(record, now + self.retention.answer_retention_s())
         return record
 
-    def _fitting(self, answer: KeptAnswer | None) -> KeptAnswer | None:
-        """Return the answer if there is space for it. What is at work has space set aside."""
+    def _answer_if_it_fits(self, answer: StoredAnswer | None) -> StoredAnswer | None:
+        """Return the answer if it can be stored, else None. Operations in progress have space reserved."""
         if answer is None or answer_size(answer) > MAX_ANSWER_BYTES:
             return None
         return answer if self.used_bytes + answer_size(answer) <= self.max_bytes + MAX_ANSWER_BYTES else None
 
     def on_withdrawal(self, addr: str, request: RecordWithdrawal, now: float) -> list[ReplicaEffect]:
-        """Free a key whose operation has not run. What has ended is never withdrawn."""
+        """Release a key whose operation has not run. An ended operation is never withdrawn."""
         withdrawal = request.withdrawal
         record = self._find(withdrawal.key, withdrawal.name)
         self._withdrawn[withdrawal.name] = now + REMEMBER_WITHDRAWN_S
         ack = Send(addr, RecordAck(request.round_number, self.voter_id))
         if record is None:
-            return [Persist([], [ack])]  # in order, behind what may still be on its way to the disk
+            return [Persist([], [ack])]  # an empty write orders the ack after pending writes
         if record.state is not State.CLAIMED:
             return []
         self._remove(record)
         return [Persist([Row(row_key(record.claim), None)], [ack])]
 
     def expire(self, now: float) -> list[Row]:
-        """Forget what is past its window; returns the rows to remove. To be called about once a second."""
+        """Drop expired records; return the rows to remove. Call this about once per second."""
         rows: list[Row] = []
         for second in range(self._expired_until, int(now)):
             for key, name in self._expiring.pop(second, ()):
@@ -198,10 +198,10 @@
         self._withdrawn = {name: until for name, until in self._withdrawn.items() if until > now}
         return rows
 
-    # Learning
+    # Catch-up
 
     def aged_records(self, now: float) -> list[AgedRecord]:
-        """Return all that is kept here, for a voter that has just joined."""
+        """Return all records, for a voter that has just joined."""
         return [
             AgedRecord(record.encode(), max(0.0, record.expires_at - now))
             for records in self._by_key.values()
@@ -209,15 +209,15 @@
         ]
 
     def learn(self, learned: Iterable[AgedRecord], now: float) -> list[Row]:
-        """Add what another voter has; returns the rows to write. Claims that contradict stand side by side."""
+        """Add records of another voter; return the rows to write. Conflicting claims of a key are all kept."""
         rows = []
         for each in learned:
             stored = decode_record(each.stored)
-            record = self._adopt(stored, now, now + each.remaining_s + _EXPIRY_STEP_S)
+            record = self._merge(stored, now, now + each.remaining_s + _EXPIRY_STEP_S)
             rows.append(Row(row_key(record.claim), record.encode()))
         return rows
 
-    def _adopt(self, stored: StoredRecord, now: float, expires_at: float) -> OperationRecord:
+    def _merge(self, stored: StoredRecord, now: float, expires_at: float) -> OperationRecord:
         claim = stored.claim
         record = self._find(claim.key, claim.name)
         if record is None:
@@ -239,7 +239,7 @@
         self._schedule_expiry(record)
         return record
 
-    def _set(self, record: OperationRecord, state: State, answer: KeptAnswer | None) -> None:
+    def _set(self, record: OperationRecord, state: State, answer: StoredAnswer | None) -> None:
         self.used_bytes -= record.size
         record.state = state
         record.answer = answer
--- a/crowseam/quotas/__init__.py
+++ b/crowseam/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""What many gateways may use together: shares of tenants' quotas on lease, admission by them, and the retry budget."""
+"""Limits shared by many gateways: tenant quotas leased in shares, admission control, and the retry budget."""
--- a/crowseam/quotas/lease_messages.py
+++ b/crowseam/quotas/lease_messages.py
@@ -1,18 +1,21 @@
-"""What a gateway and a grantor say to each other. Both are arrays on the wire, so fields keep their order."""
+"""Messages between gateways and grantors.
+
+Both are encoded as arrays, so the order of the fields is part of the protocol.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-SHARE_UNITS = 1_000_000  # of a whole quota: shares are whole numbers, so that sums are exact
-NO_FENCING_TOKEN = 0  # of a gateway that has never held a lease
+SHARE_UNITS = 1_000_000  # in a whole quota; shares are integers so that sums are exact
+NO_FENCING_TOKEN = 0  # sent by a gateway that has never held a lease
 
 
 class LeaseReport(msgspec.Struct, array_like=True, tag="lending.held"):
-    """What a gateway tells the grantor that it holds.
+    """A gateway's report of the lease that it holds.
 
-    `incarnation` grows with each start of the gateway's process. `sent_at` is the gateway's clock as it sent this,
-    and `remaining_s` what is left of its lease. Shares are in `SHARE_UNITS`, by tenant.
+    `incarnation` increases with each start of the gateway's process. `sent_at` is the gateway's clock when it sent
+    the report, and `remaining_s` the remaining time of its lease. Shares are in `SHARE_UNITS`, by tenant.
     """
 
     incarnation: int
@@ -24,10 +27,10 @@
 
 
 class QuotaLease(msgspec.Struct, array_like=True, tag="lending.lease"):
-    """The grantor's answer: it holds for `term_s` from `sent_at`, a time that the gateway put into its report.
+    """The grantor's answer: a lease for `term_s` from `sent_at`, which is copied from the gateway's report.
 
-    Epoch 0 is a new grantor's first answer: the gateway keeps what it holds, and obeys no lower fencing token any
-    more.
+    Epoch 0 is the first answer of a new grantor: the gateway keeps its current lease, and rejects lower fencing
+    tokens from then on.
     """
 
     incarnation: int
--- a/crowseam/quotas/reserve.py
+++ b/crowseam/quotas/reserve.py
@@ -1,15 +1,15 @@
-"""The part of each quota that is not leased, but handed out by the request where a share is used up."""
+"""The part of each quota that is not leased, but granted request by request where a share is used up."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-_MIN_RATE = 1e-6  # requests a second, for a time to wait that is finite
+_MIN_RATE = 1e-6  # requests per second; keeps the wait finite
 _ROUNDING = 1e-9
 
 
 class ReserveGrant(NamedTuple):
-    """How many requests may pass, and the seconds until there is one more."""
+    """The number of granted requests, and the seconds until another one is available."""
 
     requests: int
     wait_s: float
@@ -23,7 +23,7 @@
 class QuotaReserve:
     """Token buckets by tenant.
 
-    They begin empty with each grantor, so that what an earlier one has handed out is accounted for.
+    They start empty with each grantor, which accounts for what its predecessor has granted.
     """
 
     def __init__(self, now: float) -> None:
@@ -31,9 +31,9 @@
         self._levels: dict[str, _Level] = {}
 
     def draw(self, tenant: str, rate: float, burst: float, count: int, now: float) -> ReserveGrant:
-        """Hand out up to `count` requests.
+        """Grant up to `count` requests.
 
-        `rate` and `burst` are the part of the tenant's quota that is kept, in requests a second and requests.
+        `rate` and `burst` are the reserved part of the tenant's quota, in requests per second and requests.
         """
         depth = max(1.0, burst)
         level = self._levels.get(tenant, _Level(0.0, self._created_at))
--- a/crowseam/quotas/unleased_allowance.py
+++ b/crowseam/quotas/unleased_allowance.py
@@ -1,27 +1,27 @@
-"""What gateways may pass beside their shares, within what the rule allows above the quota."""
+"""What gateways may admit in addition to their shares, within the allowed excess over the quota."""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-EXTRA_FRACTION = 0.6  # of what the rule leaves above the quota, cut evenly: what buckets may hold beyond shares
-MAX_EXTRA_REQUESTS = 4.0  # of one bucket
-FLOOR_FRACTION = 0.25  # of the same, cut evenly: what fills the buckets without a lease in a window
-CHANCE_DEVIATIONS = 3.0  # standard deviations left for chance, where a bucket is too small for a request
+EXTRA_FRACTION = 0.6  # of the allowed excess, divided evenly: what buckets may hold beyond shares
+MAX_EXTRA_REQUESTS = 4.0  # per bucket
+FLOOR_FRACTION = 0.25  # of the allowed excess, divided evenly: what fills buckets without a lease in a window
+CHANCE_DEVIATIONS = 3.0  # standard deviations set aside for the randomness of buckets too small for a request
 
 
 class UnleasedAllowance(NamedTuple):
-    """Of one gateway: requests a second without a lease, and what its bucket may hold beyond its share of the burst."""
+    """For one gateway: requests per second without a lease, and requests that its bucket may hold beyond its share."""
 
     floor_rate: float
     extra_requests: float
 
 
 def floor_requests(rate: float, burst: float, window_s: float, excess: float, slack: float, gateways: int) -> float:
-    """Return the requests in any window by which a gateway without a lease fills its bucket of a tenant.
+    """Return the requests by which a gateway without a lease fills its bucket of a tenant in any window.
 
-    A quarter of what the rule allows above the quota, cut evenly over `gateways`: the buckets of all of them
-    may hold most of the rest when the window begins. `rate` is in requests a second; 0 means no limit
+    This is a quarter of the allowed excess over the quota, divided evenly over `gateways`, because all of their
+    buckets may hold most of the rest when the window begins. `rate` is in requests per second; 0 means unlimited
     (infinity is returned).
     """
     if rate <= 0:
@@ -32,13 +32,13 @@
 def unleased_allowance(
     rate: float, burst: float, window_s: float, excess: float, slack: float, gateways: int
 ) -> UnleasedAllowance:
-    """Return what one of `gateways` gateways may pass of a tenant beside its share.
+    """Return what one of `gateways` gateways may admit of a tenant in addition to its share.
 
-    `excess` (a fraction of the quota) and `slack` (requests) are the rule's: what all gateways together may pass
-    above the quota in any window.
+    `excess` (a fraction of the quota) and `slack` (requests) define the allowed excess: what all gateways together
+    may admit above the quota in any window.
     """
     spare = excess * (rate * window_s + burst) + slack
     floor_rate = floor_requests(rate, burst, window_s, excess, slack, gateways) / window_s
-    for_chance = CHANCE_DEVIATIONS * 0.5 * max(1, gateways) ** 0.5
-    extra = min(EXTRA_FRACTION * spare, max(0.0, spare - for_chance))
+    deviation_allowance = CHANCE_DEVIATIONS * 0.5 * max(1, gateways) ** 0.5
+    extra = min(EXTRA_FRACTION * spare, max(0.0, spare - deviation_allowance))
     return UnleasedAllowance(floor_rate, min(MAX_EXTRA_REQUESTS, extra / max(1, gateways)))
--- a/crowseam/simulator/scenario/replay.py
+++ b/crowseam/simulator/scenario/replay.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from random import Random
 
-from crowseam.gateway.counters import ASKED
+from crowseam.gateway.counters import ASKED_EVENT
 
 # A gateway counts its requests by route and tenant and tells them in one line a span:
 #     event=asked span=5 counts=look-up/north-branch:12,borrow/south-branch:3
@@ -26,7 +26,7 @@
     rng, found = Random(seed), []
     for lines in logs:
         for line in lines:
-            if f"event={ASKED} " not in line:
+            if f"event={ASKED_EVENT} " not in line:
                 continue
             fields = dict(_PAIR.findall(line))
             try:
@@ -36,7 +36,7 @@
             for route, tenant, count in _COUNT.findall(fields.get("counts", "").strip('"')):
                 found += [(until - span * rng.random(), route, tenant) for _ in range(int(count))]
     if not found:
-        raise ReplayError(f"no line tells event={ASKED} with t, span and counts")
+        raise ReplayError(f"no line tells event={ASKED_EVENT} with t, span and counts")
     found.sort()
     begun = found[0][0]
     return [(at - begun, route, tenant) for at, route, tenant in found]
--- a/crowseam/simulator/slow_links.py
+++ b/crowseam/simulator/slow_links.py
@@ -150,7 +150,7 @@
             lambda ids: None,
             dict,
         )
-        heard, leave = self.controller_session._heard, self.controller_session._leave
+        heard, leave = self.controller_session._on_message, self.controller_session._leave_controller
 
         def watched(link: object, message: Message) -> None:
             self.heard[type(message).__name__] += 1
@@ -162,7 +162,7 @@
             self.left += 1
             leave(*args)
 
-        self.controller_session._heard, self.controller_session._leave = watched, left
+        self.controller_session._on_message, self.controller_session._leave_controller = watched, left
         process.loop.call_soon(self.controller_session.start)
 
     def _sign(self, whose: str, sender: str, now: float) -> None:
--- a/crowseam/simulator/world/patches.py
+++ b/crowseam/simulator/world/patches.py
@@ -49,8 +49,8 @@
         (clock, "time", virtual_time.time),
         (clock, "time_ns", virtual_time.time_ns),
         (logs, "say", say),
-        (notice, "complain", _discard),
-        (backends, "complain", _discard),
+        (notice, "warn_rate_limited", _discard),
+        (backends, "warn_rate_limited", _discard),
     ]
     replacements += [(module, "time", virtual_time) for module in (backends, notice, server)]
     replacements += [(module, "select", Select) for module in (backends, server)]
--- a/crowseam/storage/__init__.py
+++ b/crowseam/storage/__init__.py
@@ -1,4 +1,4 @@
-"""What a controller keeps on its disk, in one SQLite database.
+"""Durable storage of a controller in one SQLite database.
 
 `store.Store` is the entry point.
 """
--- a/crowseam/storage/errors.py
+++ b/crowseam/storage/errors.py
@@ -1,5 +1,5 @@
-"""The errors of the store."""
+"""Exceptions of the storage package."""
 
 
 class StoreError(Exception):
-    """The disk refused, or what was read from it is not what was written."""
+    """An I/O error, or data that cannot be read back as it was written."""
--- a/crowseam/storage/records.py
+++ b/crowseam/storage/records.py
@@ -1,4 +1,4 @@
-"""What is stored besides the records of the agreement."""
+"""Records that are stored in addition to those of the consensus package."""
 
 from __future__ import annotations
 
@@ -6,21 +6,21 @@
 
 
 class Note(msgspec.Struct, frozen=True):
-    """A value of another part of the controller under `key`; None removes it."""
+    """A key-value pair that another component of the controller stores; the value None removes it."""
 
     key: str
     value: bytes | None
 
 
 class OperationRow(msgspec.Struct, frozen=True):
-    """A record of a keyed operation under `key`; None removes it."""
+    """The stored record of a keyed operation; the value None removes it."""
 
     key: str
     value: bytes | None
 
 
 class Member(msgspec.Struct, frozen=True):
-    """A gateway that may hold a lease, under its `name`; None removes it."""
+    """A gateway that may hold a lease; the value None removes it."""
 
     name: str
     value: bytes | None
--- a/crowseam/storage/store.py
+++ b/crowseam/storage/store.py
@@ -1,7 +1,7 @@
-"""The store of a controller: identity, promises, votes, chosen entries, notes and members.
+"""The store of a controller: identity, promises, votes, chosen entries, notes, members and keyed operations.
 
-A damaged chosen entry is dropped, since other machines know it too. After any damage to what this machine
-promised, the whole file is quarantined and the machine starts as one with an empty disk, under a new id.
+A corrupt chosen entry is dropped, because other machines have it too. If identity, promises, votes or operations are
+corrupt, the file is quarantined and the machine starts with an empty disk and a new id.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     SnapshotRecord,
     VoteRecord,
 )
-from crowseam.storage.database import DamagedRowsError, Database, sync_directory
+from crowseam.storage.database import CorruptionError, Database, sync_directory
 from crowseam.storage.errors import StoreError
 from crowseam.storage.records import Member, Note, OperationRow
 
@@ -41,15 +41,15 @@
     "operations": "TEXT",
 }
 _CRITICAL_TABLES = ("identity", "promises", "votes", "operations")
-_ADDED_TABLES = frozenset({"operations"})
-# Keys of the table `identity`.
+_OPTIONAL_TABLES = frozenset({"operations"})
+# Keys in the table `identity`.
 _ID_KEY = "id"
 _HIGHEST_CHOSEN_KEY = "floor"
-_DIGEST_BYTES = 32  # of a copy of the store, before its body (SHA-256)
+_DIGEST_BYTES = 32  # SHA-256 digest at the start of a snapshot file
 
 
 class _StoreCopy(msgspec.Struct):
-    """What an exported file holds; promises and votes stay with the machine that gave them."""
+    """Content of a snapshot file. Promises and votes are left out, as they bind only the machine that made them."""
 
     highest_chosen_slot: int = msgspec.field(name="floor")
     chosen: dict[int, Entry]
@@ -67,49 +67,49 @@
 
 
 class Store:
-    """One database file at `path`; calls block until the disk has answered. Any thread, one at a time."""
+    """The store in the file `path`. Calls block on disk I/O and may come from any thread, but not concurrently."""
 
     def __init__(self, path: str | os.PathLike[str]) -> None:
-        self._database = Database(Path(path), _TABLES, _CRITICAL_TABLES, self._check_identity, _ADDED_TABLES)
+        self._database = Database(Path(path), _TABLES, _CRITICAL_TABLES, self._check_identity, _OPTIONAL_TABLES)
 
     @property
     def path(self) -> Path:
-        """The file of the database."""
+        """Path of the database file."""
         return self._database.path
 
     @property
     def was_quarantined(self) -> bool:
-        """Whether a damaged file was put aside as this store was opened."""
+        """Whether a corrupt file was quarantined when this store was opened."""
         return self._database.was_quarantined
 
     def open(self) -> None:
-        """Open the store, or begin a new one if it is missing or damaged. Raises StoreError if the disk refuses."""
+        """Open the store, or create an empty one if it is missing or corrupt. Raises StoreError on an I/O error."""
         self._database.open()
 
     def close(self) -> None:
-        """Let go of the file; everything written before is already safe."""
+        """Close the file. All earlier writes are already durable."""
         self._database.close()
 
     def _check_identity(self) -> None:
         has_id = _ID_KEY in dict(self._database.rows("identity"))
         if not has_id and any(next(self._database.rows(table), None) for table in ("promises", "votes")):
-            raise DamagedRowsError("promises without an id")
+            raise CorruptionError("found promises or votes without a voter id")
 
     # Reading
 
     def load(self) -> DurableState:
-        """Return what the disk holds.
+        """Read the consensus state.
 
-        Without an id, `crowseam.consensus.voter_selection.assign_identity` has to give one first.
+        If it has no id, `crowseam.consensus.voter_selection.assign_identity` must assign one before it is used.
 
         Raises
         ------
         StoreError
-            If it cannot be read.
+            If the state cannot be read.
         """
         try:
             return self._load()
-        except (sqlite3.Error, msgspec.DecodeError, DamagedRowsError, ValueError) as error:
+        except (sqlite3.Error, msgspec.DecodeError, CorruptionError, ValueError) as error:
             raise StoreError(f"cannot read the store: {error}") from error
 
     def _load(self) -> DurableState:
@@ -132,21 +132,21 @@
         return durable
 
     def notes(self) -> dict[str, bytes]:
-        """Return all notes that are not damaged, by key. Raises StoreError."""
-        return self._undamaged("notes")
+        """Return the intact notes by key. Raises StoreError."""
+        return self._readable_rows("notes")
 
     def members(self) -> dict[str, bytes]:
-        """Return all members that are not damaged, by name. Raises StoreError."""
-        return self._undamaged("members")
+        """Return the intact members by name. Raises StoreError."""
+        return self._readable_rows("members")
 
     def operations(self) -> list[bytes]:
-        """Return the records of keyed operations. Raises StoreError."""
+        """Return the encoded records of keyed operations. Raises StoreError."""
         try:
             return [body for _, body in self._database.rows("operations")]
-        except (sqlite3.Error, UnicodeDecodeError, DamagedRowsError) as error:
+        except (sqlite3.Error, UnicodeDecodeError, CorruptionError) as error:
             raise StoreError(f"cannot read the operations of the store: {error}") from error
 
-    def _undamaged(self, table: str) -> dict[str, bytes]:
+    def _readable_rows(self, table: str) -> dict[str, bytes]:
         try:
             return dict(self._database.rows(table, skip_damaged=True))
         except (sqlite3.Error, UnicodeDecodeError) as error:
@@ -155,19 +155,19 @@
     # Writing
 
     def write(self, records: Iterable[Record | Note | Member | OperationRow]) -> None:
-        """Write all records in one transaction; they are synced when this returns.
+        """Write all records in one transaction, which is durable on return.
 
         Raises
         ------
         StoreError
-            If the disk refuses; nothing of them is then kept.
+            On an I/O error; none of the records is then written.
         """
         try:
             with self._database.transaction():
                 for record in records:
                     self._write(record)
         except (sqlite3.Error, UnicodeDecodeError) as error:
-            raise StoreError(f"cannot write: {error}") from error
+            raise StoreError(f"cannot write to the store: {error}") from error
 
     def _write(self, record: Record | Note | Member | OperationRow) -> None:
         put = self._database.put
@@ -209,68 +209,68 @@
         if row is None or int(row[0]) < slot:
             self._database.put("identity", _HIGHEST_CHOSEN_KEY, str(slot).encode())
 
-    # Copies
+    # Snapshot files
 
     def snapshot(self, file: str | os.PathLike[str]) -> str:
-        """Copy all but promises and votes into `file`; returns its digest (hexadecimal).
+        """Write a snapshot file without promises and votes; return its digest (hexadecimal).
 
         Raises
         ------
         StoreError
-            If the store cannot be read or the file not be written.
+            If the store cannot be read or the file cannot be written.
         """
         durable = self.load()
         copy = _StoreCopy(durable.highest_chosen_slot, durable.chosen, durable.snapshot, self.notes(), self.members())
         body = _encode(copy)
         digest = hashlib.sha256(body)
         target = Path(file)
-        draft = target.with_name(target.name + ".draft")
+        temporary = target.with_name(target.name + ".draft")
         try:
-            with draft.open("wb") as out:
+            with temporary.open("wb") as out:
                 out.write(digest.digest() + body)
                 out.flush()
                 os.fsync(out.fileno())
-            draft.replace(target)
+            temporary.replace(target)
             sync_directory(target.parent)
         except OSError as error:
-            raise StoreError(f"cannot write the copy {target}: {error}") from error
+            raise StoreError(f"cannot write the snapshot file {target}: {error}") from error
         return digest.hexdigest()
 
     def restore(self, file: str | os.PathLike[str], voters: list[Voter] | None = None) -> str:
-        """Fill this store, which must be empty, from a copy; returns the digest of the copy.
+        """Restore a snapshot file into this store, which must be empty; return the digest of the file.
 
-        The machine keeps no old id and no promises. With `voters` these vote from now on, for when the
-        earlier ones are gone for good; every one of them must then start from the same copy.
+        The restored store has no id and no promises. `voters` replaces the voters, in case the earlier ones are
+        permanently lost; each of the new voters must then start from the same file.
 
         Raises
         ------
         StoreError
-            If the copy cannot be read or is damaged, or the store is not empty.
+            If the snapshot file cannot be read or is corrupt, or the store is not empty.
         """
         copy, digest = _read_copy(Path(file))
         if not all(self._database.is_empty(table) for table in _TABLES):
             raise StoreError("the store is not empty")
-        self.write(_records_of(copy, voters))
+        self.write(_records_to_restore(copy, voters))
         return digest
 
 
 def _read_copy(file: Path) -> tuple[_StoreCopy, str]:
-    """Return the content of a copy, and its digest (hexadecimal)."""
+    """Return the content of a snapshot file and its digest (hexadecimal)."""
     try:
         data = file.read_bytes()
     except OSError as error:
-        raise StoreError(f"cannot read the copy: {error}") from error
+        raise StoreError(f"cannot read the snapshot file: {error}") from error
     digest = hashlib.sha256(data[_DIGEST_BYTES:])
     if data[:_DIGEST_BYTES] != digest.digest():
-        raise StoreError("the copy is damaged")
+        raise StoreError("the snapshot file is corrupt: its digest does not match")
     try:
         return _decode_copy(data[_DIGEST_BYTES:]), digest.hexdigest()
     except msgspec.DecodeError as error:
-        raise StoreError(f"the copy cannot be read: {error}") from error
+        raise StoreError(f"cannot decode the snapshot file: {error}") from error
 
 
-def _records_of(copy: _StoreCopy, voters: list[Voter] | None) -> list[Record | Note | Member]:
-    """Return what a copy writes into a store; with `voters` these take the place of all that it names."""
+def _records_to_restore(copy: _StoreCopy, voters: list[Voter] | None) -> list[Record | Note | Member]:
+    """Return the records to restore from a snapshot file; `voters`, if given, replaces all voters in it."""
     records: list[Record | Note | Member] = []
     if copy.snapshot is not None:
         snapshot = copy.snapshot if voters is None else msgspec.structs.replace(copy.snapshot, voters=voters)
--- a/crowseam/transport/__init__.py
+++ b/crowseam/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets between the system's own processes and those who call `ctl`."""
+"""Connections between the processes of the system, and the HTTP server for control calls (`ctl`)."""
--- a/crowseam/transport/links.py
+++ b/crowseam/transport/links.py
@@ -1,7 +1,7 @@
-"""Framed connections between the system's processes: a length, then a message.
+"""Framed connections between processes: each message is preceded by its length.
 
-What can't be read is counted and drops the connection, as its frames may be out of step. A cut link is
-silent: the kernel gives up what is not acknowledged after TCP_USER_TIMEOUT_MS, whoever waits on it.
+A message that cannot be decoded is counted and closes the connection, because its frames may be out of sync. A broken
+network path is detected by TCP_USER_TIMEOUT_MS, after which the kernel drops a connection with unacknowledged data.
 """
 
 from __future__ import annotations
@@ -19,39 +19,39 @@
 from crowseam.transport.messages import Message
 
 MAX_FRAME_BYTES = 32 * 1024 * 1024
-MAX_UNREAD_BYTES = 8 * 1024 * 1024  # that a peer may leave unread before it is dropped
+MAX_UNREAD_BYTES = 8 * 1024 * 1024  # unsent data above which a slow peer is disconnected
 TCP_USER_TIMEOUT_MS = 1500
-MIN_PAUSE_S = 0.15  # between two attempts to dial
-MAX_PAUSE_S = 1.0
-MAX_REJECTED_PAUSE_S = 2.0  # where the peer rejects us
+MIN_REDIAL_DELAY_S = 0.15  # initial delay between connection attempts
+MAX_REDIAL_DELAY_S = 1.0
+MAX_MISMATCH_DELAY_S = 2.0  # while the peer speaks another protocol version
 DIAL_TIMEOUT_S = 0.6
-_PAUSE_GROWTH = 1.6
+_DELAY_GROWTH = 1.6
 _LENGTH = struct.Struct(">I")
 
 
-def tune(sock: socket.socket) -> None:
-    """Send small messages at once, and notice a silent loss of the connection."""
+def set_socket_options(sock: socket.socket) -> None:
+    """Disable Nagle's algorithm, and limit the time that sent data may stay unacknowledged."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
 
 
 class Link(asyncio.Protocol):
-    """One connection; `heard(link, message)` gets what comes, `ended(link)` is called once."""
+    """One connection. `on_message(link, message)` is called for each message, `on_closed(link)` once at the end."""
 
-    unreadable = 0  # messages dropped in this process
+    unreadable_messages = 0  # count for this process
 
     def __init__(
         self,
-        heard: Callable[[Link, Message], None],
-        ended: Callable[[Link], None],
-        made: Callable[[Link], None] = lambda _: None,
+        on_message: Callable[[Link, Message], None],
+        on_closed: Callable[[Link], None],
+        on_connected: Callable[[Link], None] = lambda _: None,
     ) -> None:
-        self.heard = heard
-        self.ended = ended
-        self.made = made
+        self.on_message = on_message
+        self.on_closed = on_closed
+        self.on_connected = on_connected
         self.transport: asyncio.Transport | None = None
         self.buffer = bytearray()
-        self.peer = ""  # what the owner knows it by
+        self.peer = ""  # name given by the owner, for log lines
 
     @property
     def open(self) -> bool:
@@ -59,13 +59,13 @@
         return self.transport is not None and not self.transport.is_closing()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Note that the connection is up (asyncio)."""
+        """Store the transport and report the connection (asyncio)."""
         self.transport = cast(asyncio.Transport, transport)
-        tune(transport.get_extra_info("socket"))
-        self.made(self)
+        set_socket_options(transport.get_extra_info("socket"))
+        self.on_connected(self)
 
     def data_received(self, data: bytes) -> None:
-        """Hand each complete message to `heard`; what can't be read ends the link (asyncio)."""
+        """Pass each complete message to `on_message`; close the link if one cannot be decoded (asyncio)."""
         buffer = self.buffer
         buffer += data
         at = 0
@@ -77,11 +77,11 @@
                     break
                 message = decode(memoryview(buffer)[at + _LENGTH.size : end])
                 at = end
-                self.heard(self, message)
+                self.on_message(self, message)
                 if not self.open:
                     return
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-            Link.unreadable += 1
+            Link.unreadable_messages += 1
             logs.say("message_unreadable", peer=self.peer, error=error)
             self.close()
             return
@@ -89,11 +89,11 @@
             del buffer[:at]
 
     def send(self, *messages: Message) -> None:
-        """Write messages; they are lost where the link is."""
+        """Send messages; they are dropped if the link is closed."""
         self.write(b"".join(frame(message) for message in messages))
 
     def write(self, frames: bytes) -> None:
-        """Write what `frame` made."""
+        """Send encoded frames; see `frame`."""
         if self.transport is None or not self.open:
             return
         if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
@@ -103,112 +103,112 @@
             self.transport.write(frames)
 
     def close(self) -> None:
-        """End the link at once; what is not written yet is lost."""
+        """Abort the link; data not sent yet is dropped."""
         if self.transport is not None:
             self.transport.abort()
 
-    def finish(self) -> None:
-        """Close once all that was sent is written; nothing more is read."""
+    def close_when_flushed(self) -> None:
+        """Close the link after all buffered data is sent; stop reading."""
         if self.transport is not None:
             self.transport.close()
 
     def connection_lost(self, _: Exception | None) -> None:
-        """Note that the connection is gone (asyncio)."""
-        self.ended(self)
+        """Report the end of the connection (asyncio)."""
+        self.on_closed(self)
 
 
 def _frame_size(buffer: bytearray, at: int) -> int:
     size: int = _LENGTH.unpack_from(buffer, at)[0]
     if size > MAX_FRAME_BYTES:
-        raise ValueError(f"a frame of {size} bytes")
+        raise ValueError(f"frame too large: {size} bytes")
     return size
 
 
 def frame(message: Message) -> bytes:
-    """Return the bytes of one message on a link."""
+    """Encode a message with its length prefix."""
     body = encode(message)
     return _LENGTH.pack(len(body)) + body
 
 
 class Dialer:
-    """Keeps one link to an address, dialling again after a pause while it is wanted."""
+    """Keeps one link to an address open, redialling with backoff until closed."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         host: str,
         port: int,
-        heard: Callable[[Link, Message], None],
-        made: Callable[[Link], None],
+        on_message: Callable[[Link, Message], None],
+        on_connected: Callable[[Link], None],
     ) -> None:
         self.loop = loop
         self.host = host
         self.port = port
-        self.heard = heard
-        self.made = made
+        self.on_message = on_message
+        self.on_connected = on_connected
         self.link: Link | None = None
         self.is_wanted = True
-        self.pause_s = MIN_PAUSE_S
-        self.rejected_pause_s = MIN_PAUSE_S
-        self._retry: asyncio.TimerHandle | None = None  # while the next attempt is waited for
+        self.redial_delay_s = MIN_REDIAL_DELAY_S
+        self.mismatch_delay_s = MIN_REDIAL_DELAY_S
+        self._retry_timer: asyncio.TimerHandle | None = None  # set while a redial is scheduled
         self.task: asyncio.Task[None] | None = loop.create_task(self._dial())
 
     async def _dial(self) -> None:
         try:
             async with asyncio.timeout(DIAL_TIMEOUT_S):
                 await self.loop.create_connection(
-                    lambda: Link(self.heard, self._ended, self._made), self.host, self.port
+                    lambda: Link(self.on_message, self._on_closed, self._on_connected), self.host, self.port
                 )
         except (OSError, TimeoutError):
-            self._later()
+            self._schedule_redial()
 
-    def _made(self, link: Link) -> None:
+    def _on_connected(self, link: Link) -> None:
         self.link = link
-        self.pause_s = MIN_PAUSE_S
+        self.redial_delay_s = MIN_REDIAL_DELAY_S
         if self.is_wanted:
-            self.made(link)
+            self.on_connected(link)
         else:
             link.close()
 
-    def _ended(self, link: Link) -> None:
+    def _on_closed(self, link: Link) -> None:
         if self.link is link:
             self.link = None
-            self._later()
+            self._schedule_redial()
 
-    def _later(self) -> None:
+    def _schedule_redial(self) -> None:
         if self.is_wanted:
-            self._retry = self.loop.call_later(self.pause_s, self._again)
-            self.pause_s = min(MAX_PAUSE_S, self.pause_s * _PAUSE_GROWTH)
+            self._retry_timer = self.loop.call_later(self.redial_delay_s, self._redial)
+            self.redial_delay_s = min(MAX_REDIAL_DELAY_S, self.redial_delay_s * _DELAY_GROWTH)
 
-    def hasten(self) -> None:
-        """Dial at once where the next attempt is waited for, as the other end has just shown that it is up."""
-        if self._retry is not None:
-            self._retry.cancel()
-            self._again()
+    def retry_now(self) -> None:
+        """Redial immediately if a redial is scheduled, because the peer is known to be up."""
+        if self._retry_timer is not None:
+            self._retry_timer.cancel()
+            self._redial()
 
-    def _again(self) -> None:
-        self._retry = None
+    def _redial(self) -> None:
+        self._retry_timer = None
         if self.is_wanted and self.link is None:
             self.task = self.loop.create_task(self._dial())
 
-    def rejected(self) -> None:
-        """The peer speaks another version of the protocol: end the link, and dial again after a growing pause."""
-        self.rejected_pause_s = min(MAX_REJECTED_PAUSE_S, self.rejected_pause_s * _PAUSE_GROWTH)
-        self.pause_s = self.rejected_pause_s
+    def on_version_mismatch(self) -> None:
+        """Close the link to a peer that speaks another protocol version; redial with growing backoff."""
+        self.mismatch_delay_s = min(MAX_MISMATCH_DELAY_S, self.mismatch_delay_s * _DELAY_GROWTH)
+        self.redial_delay_s = self.mismatch_delay_s
         if self.link is not None:
             self.link.close()
 
-    def accepted(self) -> None:
-        """The peer speaks our version of the protocol: pauses begin anew."""
-        self.rejected_pause_s = MIN_PAUSE_S
+    def on_version_match(self) -> None:
+        """Reset the backoff for version mismatches, as the peer speaks our protocol version."""
+        self.mismatch_delay_s = MIN_REDIAL_DELAY_S
 
     def send(self, *messages: Message) -> None:
-        """Write messages; they are lost where no link is up."""
+        """Send messages; they are dropped while no link is open."""
         if self.link is not None:
             self.link.send(*messages)
 
     def close(self) -> None:
-        """End the link for good."""
+        """Close the link and stop redialling."""
         self.is_wanted = False
         if self.link is not None:
             self.link.close()
--- a/crowseam/transport/messages.py
+++ b/crowseam/transport/messages.py
@@ -1,6 +1,6 @@
-"""The messages between the system's own processes, in one union for the decoder.
+"""All messages between the processes of the system, and their union for the decoder.
 
-All are arrays on the wire, so fields keep their order; new ones come last, with a default.
+All messages are encoded as arrays, so the order of their fields is fixed and new fields are appended with a default.
 """
 
 from __future__ import annotations
@@ -18,20 +18,21 @@
 from crowseam.operations import messages as operations
 from crowseam.quotas.lease_messages import LeaseReport, QuotaLease
 
-# The version of the protocol between the system's processes. To be raised with each change that a process of the
-# version before would misread. The fields of the greetings (PeerGreeting, OpenSession, SessionOpened) stay where they
-# are for good, so that any two versions read each other's greeting.
+# Version of the protocol between processes. Raise it with every change that a process of the previous version would
+# misread. The fields of the greetings (PeerGreeting, OpenSession, SessionOpened) must never move, so that any two
+# versions can read each other's greeting.
 PROTOCOL_VERSION = 3
-UNVERSIONED = 1  # the version of processes whose greetings do not name one
+UNVERSIONED = 1  # version of processes whose greetings contain none
 
 
 # Between controllers
 
 
 class PeerGreeting(msgspec.Struct, array_like=True, frozen=True, tag="hello"):
-    """The first message of a connection between controllers: whose it is, and which protocol version it speaks.
+    """The first message from the controller that opens a connection to another one.
 
-    It is sent back only to a controller that speaks another version, before its connection is closed.
+    The other controller replies with its own greeting only if the protocol versions differ, and then closes the
+    connection.
     """
 
     addr: str
@@ -42,8 +43,9 @@
 class PeerHeartbeat(msgspec.Struct, array_like=True, frozen=True, tag="ping"):
     """A heartbeat between controllers.
 
-    `sent_at` is the sender's clock (s), `echo` the peer's newest `sent_at`, `last_slot` the newest slot of the log
-    known here, `controllers` those heard lately. `wants_reply`: the peer is to send its own at once.
+    `sent_at` is the sender's clock (s), `echo` the latest `sent_at` received from the peer, `last_slot` the newest
+    log slot known to the sender, and `controllers` the addresses that it heard from recently. `wants_reply` asks the
+    peer for an immediate heartbeat.
     """
 
     sent_at: float
@@ -54,19 +56,19 @@
 
 
 class ChangedServers(msgspec.Struct, array_like=True, frozen=True, tag="rows"):
-    """Records of servers that have just changed."""
+    """Server records that have just changed."""
 
     records: list[ServerRecord]
 
 
 class HeardReports(msgspec.Struct, array_like=True, frozen=True, tag="heard"):
-    """Servers of which a report has come."""
+    """Servers that have sent a report to the sender."""
 
     reports: list[HeardReport]
 
 
 class ForwardedLeaseReport(msgspec.Struct, array_like=True, frozen=True, tag="ask"):
-    """A gateway's report for one role, forwarded to its holder. `demand` is in requests a second by tenant."""
+    """A gateway's report for one role, forwarded to the holder of the role. `demand`: requests/s by tenant."""
 
     gateway: str
     key: str
@@ -75,7 +77,7 @@
 
 
 class ForwardedLease(msgspec.Struct, array_like=True, frozen=True, tag="lent"):
-    """The answer to `ForwardedLeaseReport`, to be passed on to the gateway."""
+    """The reply to `ForwardedLeaseReport`, to be forwarded to the gateway."""
 
     gateway: str
     key: str
@@ -83,7 +85,7 @@
 
 
 class ReserveDraw(msgspec.Struct, array_like=True, frozen=True, tag="draw"):
-    """A gateway whose share is used up asks for `count` requests of a tenant from the grantor's reserve."""
+    """Asks for `count` requests from the grantor's reserve for a tenant whose share at the gateway is used up."""
 
     gateway: str
     tenant: str
@@ -92,7 +94,7 @@
 
 
 class ReserveDrawReply(msgspec.Struct, array_like=True, frozen=True, tag="drawn"):
-    """The answer to `ReserveDraw`: how many may pass, and the seconds until one more may."""
+    """The reply to `ReserveDraw`: the number of admitted requests, and the seconds until one more is available."""
 
     gateway: str
     number: int
@@ -101,17 +103,17 @@
 
 
 class InFlightQuery(msgspec.Struct, array_like=True, frozen=True, tag="watch"):
-    """Asks for what the peer's gateways have in flight at these servers, which leave."""
+    """Asks how many requests the peer's gateways have in flight at these leaving servers."""
 
     number: int
     records: list[ServerRecord]
 
 
 class InFlightReply(msgspec.Struct, array_like=True, frozen=True, tag="watched"):
-    """The answer to `InFlightQuery`.
+    """The reply to `InFlightQuery`.
 
-    `gateways` has requests by server of each gateway (None: it has not answered); `lost_gateways` those lost from
-    sight and `ages_s` servers that leave, each by seconds.
+    `gateways` has the in-flight requests by server for each gateway (None if it has not replied). `lost_gateways`
+    has the seconds since each lost gateway was last a member, `ages_s` those since each leaving server began to leave.
     """
 
     number: int
@@ -121,14 +123,14 @@
 
 
 class OutlierReport(msgspec.Struct, array_like=True, frozen=True, tag="ill"):
-    """Failures of servers that a gateway has seen, or (below 0) successes of ejected ones, by id."""
+    """Failure counts of servers seen by a gateway, by id; negative numbers count successes of ejected servers."""
 
     gateway: str
     outcomes: dict[str, int]
 
 
 class EjectedServers(msgspec.Struct, array_like=True, frozen=True, tag="shun"):
-    """All servers that the fleet ejects."""
+    """The ids of all servers that are ejected fleet-wide."""
 
     ids: list[str]
 
@@ -137,11 +139,11 @@
 
 
 class OpenSession(msgspec.Struct, array_like=True, frozen=True, tag="open"):
-    """A gateway opens its session, and says up to where it knows the log and the registry.
+    """Opens a gateway's session and tells its position in the log and in the server registry.
 
-    `session_number` counts within the gateway's incarnation; `registry` and `position` name a place in the log of
-    one copy of the registry. `accepts_chunks`: a large configuration may come in chunks, which earlier versions do
-    not know.
+    `session_number` counts sessions within the gateway's incarnation. `registry` and `position` identify a position
+    in the change log of one replica of the registry. `accepts_chunks`: the gateway can receive a large configuration
+    in chunks, which earlier versions cannot.
     """
 
     gateway: str
@@ -156,16 +158,16 @@
 
 
 class GatewayReport(msgspec.Struct, array_like=True, frozen=True, tag="report"):
-    """Demand at a gateway by tenant (requests a second), and what it holds of each role's quotas."""
+    """Demand at a gateway by tenant (requests/s), and the quota leases that it holds by role."""
 
     demand: dict[str, float]
     held: dict[str, LeaseReport]
 
 
 class InFlightCounts(msgspec.Struct, array_like=True, frozen=True, tag="leaving"):
-    """The answer to `InFlightCountRequest`: requests in flight at servers that leave, by id.
+    """The reply to `InFlightCountRequest`: requests in flight at leaving servers, by server id.
 
-    `registry` and `position` say up to where the gateway has followed the registry.
+    `registry` and `position` are the gateway's current position in the registry.
     """
 
     number: int
@@ -175,19 +177,19 @@
 
 
 class FollowingLog(msgspec.Struct, array_like=True, frozen=True, tag="following"):
-    """A gateway has the configuration after `slot` and follows the log from there; -1: it has none."""
+    """The gateway has the configuration after `slot` and follows the log from there; -1 if it has none."""
 
     slot: int
 
 
 class CloseSession(msgspec.Struct, array_like=True, frozen=True, tag="bye"):
-    """The gateway stops."""
+    """Closes the session because the gateway is shutting down."""
 
 
 class SessionOpened(msgspec.Struct, array_like=True, frozen=True, tag="welcome"):
-    """The session stands, unless `protocol` is unlike the gateway's: then the connection is closed.
+    """Confirms the session; if `protocol` differs from the gateway's, the connection is closed instead.
 
-    `controllers`: where else one may be opened.
+    `controllers` are other controllers to which a session can be opened.
     """
 
     addr: str
@@ -196,14 +198,14 @@
 
 
 class ConfigurationState(msgspec.Struct, array_like=True, frozen=True, tag="state"):
-    """The configuration after `slot`, complete; the body is packed (see `codec.pack`)."""
+    """The full configuration after `slot`; the body is packed (see `codec.pack`)."""
 
     slot: int
     body: bytes
 
 
 class ConfigurationStep(msgspec.Struct, array_like=True, frozen=True, tag="step"):
-    """What slot `slot` did: a configuration (`whole`) or a patch (packed), or nothing for a gateway (no body)."""
+    """The effect of `slot`: a packed full configuration (`whole`) or patch, or no body if nothing changed."""
 
     slot: int
     whole: bool = False
@@ -211,7 +213,7 @@
 
 
 class ServerUpdate(msgspec.Struct, array_like=True, frozen=True, tag="servers"):
-    """Records of servers, all (`is_complete`) or those changed, and the position to follow on from."""
+    """All server records (`is_complete`) or the changed ones, and the registry position after them."""
 
     registry: str
     position: int
@@ -220,13 +222,13 @@
 
 
 class SilentServers(msgspec.Struct, array_like=True, frozen=True, tag="quiet"):
-    """All servers of which nothing has been heard for a while."""
+    """The ids of all servers that have sent no report for some time."""
 
     ids: list[str]
 
 
 class SessionHeartbeat(msgspec.Struct, array_like=True, frozen=True, tag="pulse"):
-    """A heartbeat to a gateway: how many gateways there are, the newest slot, and whether a majority is in touch."""
+    """A heartbeat to a gateway: the number of gateways, the newest slot, and whether a quorum is reachable."""
 
     members: int
     slot: int
@@ -234,7 +236,7 @@
 
 
 class InFlightCountRequest(msgspec.Struct, array_like=True, frozen=True, tag="count"):
-    """Asks a gateway what it has in flight at servers that leave. Sent only while an operator looks."""
+    """Asks a gateway for its in-flight requests at leaving servers. Sent only while an operator queries them."""
 
     number: int
 
--- a/crowseam/transport/protocol_check.py
+++ b/crowseam/transport/protocol_check.py
@@ -1,4 +1,4 @@
-"""Whether a peer speaks the same version of the protocol, told in the log once for each unlike peer."""
+"""Checks the protocol versions of peers and logs each mismatch once."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 
 class ProtocolCheck:
-    """Compares the versions that greetings name, and remembers which peers were unlike."""
+    """Compares the protocol versions in greetings with ours and remembers peers with another one."""
 
     def __init__(self, ours: int = PROTOCOL_VERSION) -> None:
         self.ours = ours
-        self._unlike: dict[str, int] = {}  # versions by peer
+        self._mismatched: dict[str, int] = {}  # peer -> its version
 
     def matches(self, peer: str, theirs: int) -> bool:
-        """Whether this peer may be spoken to; an unlike version is logged when it is first met."""
+        """Return whether the peer speaks our version; log a mismatch when it is first seen."""
         if theirs == self.ours:
-            self._unlike.pop(peer, None)
+            self._mismatched.pop(peer, None)
             return True
-        if self._unlike.get(peer) != theirs:
-            self._unlike[peer] = theirs
+        if self._mismatched.get(peer) != theirs:
+            self._mismatched[peer] = theirs
             logs.say("protocol_mismatch", peer=peer, ours=self.ours, theirs=theirs)
         return False
--- a/fennelpoint/__init__.py
+++ b/fennelpoint/__init__.py
@@ -6,7 +6,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """`Controller` is loaded when it is asked for: programs that use a part of the package start sooner."""
+    """Import `Controller` on first use, so that programs that use a part of the package start faster."""
     if name != "Controller":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     from fennelpoint.control import Controller
--- a/fennelpoint/adapter.py
+++ b/fennelpoint/adapter.py
@@ -1,7 +1,7 @@
 """Wire codec and loop: `python -m fennelpoint.adapter` hosts instances of the decision module.
 
 Reads batches of events from standard input and writes one reply per batch to standard output.
-It only translates between the wire's words and `fennelpoint.interface`; it decides nothing.
+It only translates between the wire format and `fennelpoint.interface`.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
     304: api.Status.CONNECT_FAILED,
     305: api.Status.RESET,
     306: api.Status.CANCELLED,
-    307: api.Status.MOOT,
+    307: api.Status.NOT_SENT,
 }
 STATES = {0: api.BackendState.GONE, 1: api.BackendState.READY, 3: api.BackendState.DRAINING}
 ROSTER_KINDS = {
@@ -39,33 +39,33 @@
     2: api.RosterKind.CACHED,
     3: api.RosterKind.FAILED,
 }
-FLAG_REPEAT, FLAG_WRITE = 2, 4
+FLAG_RETRY, FLAG_WRITE = 2, 4
 
 
 class WireError(Exception):
-    """The input does not follow the wire; the text names the fault and where it stands."""
+    """The input does not follow the wire format; the message says how, and in which batch and record."""
 
 
-# Events: record bytes to interface events.
+# Events: from the bytes of a record to events of the interface.
 
 
 class Reader:
-    """Takes fields from one record, checking that they fill it exactly."""
+    """Reads the fields of one record and checks that they fill it exactly."""
 
     def __init__(self, data: bytes, where: str) -> None:
-        self.data, self.where, self.at = data, where, 0
+        self.data, self.where, self.offset = data, where, 0
 
     def take(self, layout: str) -> tuple:
         size = struct.calcsize(">" + layout)
         return struct.unpack(">" + layout, self.raw(size))
 
     def raw(self, size: int) -> bytes:
-        end = self.at + size
+        end = self.offset + size
         if end > len(self.data):
             raise WireError(f"{self.where}: fields need {end} bytes, the record has {len(self.data)}")
-        part = self.data[self.at : end]
-        self.at = end
-        return part
+        piece = self.data[self.offset : end]
+        self.offset = end
+        return piece
 
     def report(self) -> list[float]:
         (count,) = self.take("B")
@@ -80,91 +80,102 @@
         return table[code]
 
     def amount(self, value: float, what: str) -> float:
-        """A figure that has to be a number and can't be negative."""
+        """Return a value after checking that it is finite and not negative."""
         if not 0.0 <= value < math.inf:
             raise WireError(f"{self.where}: {what} {value} is not a finite figure of 0 or more")
         return value
 
     def finish(self) -> None:
-        if self.at != len(self.data):
-            raise WireError(f"{self.where}: fields end at {self.at} of {len(self.data)} bytes")
+        if self.offset != len(self.data):
+            raise WireError(f"{self.where}: fields end at {self.offset} of {len(self.data)} bytes")
 
 
-def _registry(r: Reader) -> api.Roster:
-    kind, version, count = r.take("BQI")
+def _roster(reader: Reader) -> api.Roster:
+    kind, version, count = reader.take("BQI")
     entries = []
     for _ in range(count):
-        shape, started, zone, cell, backend, state, weight = ENTRY.unpack(r.raw(ENTRY.size))
+        kind_index, started, zone, cell, backend, state, weight = ENTRY.unpack(reader.raw(ENTRY.size))
         entries.append(
             api.BackendEntry(
-                backend, r.lookup(STATES, state, "backend state"), started, zone, cell, shape, weight
+                backend,
+                reader.lookup(STATES, state, "backend state"),
+                started,
+                zone,
+                cell,
+                kind_index,
+                weight,
             )
         )
-    return api.Roster(r.lookup(ROSTER_KINDS, kind, "list form"), version, entries)
-
-
-def _request(r: Reader) -> api.Request:
-    request, cls, plan, customer, left, units, width, first, bits = r.take("IBIQdfffB")
-    for value, what in ((left, "time left"), (units, "units"), (width, "spread"), (first, "first ingress")):
-        r.amount(value, what)
+    return api.Roster(reader.lookup(ROSTER_KINDS, kind, "list form"), version, entries)
+
+
+def _request(reader: Reader) -> api.Request:
+    request, cls, plan, customer, time_left, units, spread, first_ingress, flags = reader.take("IBIQdfffB")
+    for value, what in (
+        (time_left, "time left"),
+        (units, "units"),
+        (spread, "spread"),
+        (first_ingress, "first ingress"),
+    ):
+        reader.amount(value, what)
     return api.Request(
         request,
         cls,
         plan,
         customer,
-        left,
+        time_left,
         units,
-        width,
-        first,
-        bool(bits & FLAG_REPEAT),
-        bool(bits & FLAG_WRITE),
+        spread,
+        first_ingress,
+        bool(flags & FLAG_RETRY),
+        bool(flags & FLAG_WRITE),
     )
 
 
-def _outcome(r: Reader) -> api.Outcome:
-    request, ended, backend, latency, code, attempt, used, units = r.take("IB6sdHHHH")
+def _outcome(reader: Reader) -> api.Outcome:
+    request, request_ended, backend, latency, code, attempt, metered, units = reader.take("IB6sdHHHH")
     return api.Outcome(
         request,
         attempt,
         backend,
-        r.lookup(STATUSES, code, "status"),
-        r.amount(latency, "latency"),
-        bool(ended),
-        used,
+        reader.lookup(STATUSES, code, "status"),
+        reader.amount(latency, "latency"),
+        bool(request_ended),
+        metered,
         units,
-        r.report(),
+        reader.report(),
     )
 
 
-def _stream_started(r: Reader) -> api.StreamStarted:
-    return api.StreamStarted(*r.take("IH6sd"))
+def _stream_started(reader: Reader) -> api.StreamStarted:
+    return api.StreamStarted(*reader.take("IH6sd"))
 
 
-def _client_gone(r: Reader) -> api.ClientGone:
-    return api.ClientGone(*r.take("I"))
+def _client_gone(reader: Reader) -> api.ClientGone:
+    return api.ClientGone(*reader.take("I"))
 
 
-def _timer_due(r: Reader) -> api.TimerDue:
-    return api.TimerDue(*r.take("I"))
+def _timer_due(reader: Reader) -> api.TimerDue:
+    return api.TimerDue(*reader.take("I"))
 
 
-def _probe_result(r: Reader) -> api.ProbeResult:
-    backend, code, latency = r.take("6sHd")
-    status = r.lookup(STATUSES, code, "status")
-    return api.ProbeResult(backend, status, r.amount(latency, "latency"), r.report())
+def _probe_result(reader: Reader) -> api.ProbeResult:
+    backend, code, latency = reader.take("6sHd")
+    status = reader.lookup(STATUSES, code, "status")
+    return api.ProbeResult(backend, status, reader.amount(latency, "latency"), reader.report())
 
 
-def _peer_message(r: Reader) -> api.PeerMessage:
-    sender, size = r.take("HH")
-    return api.PeerMessage(sender, r.raw(size))
+def _peer_message(reader: Reader) -> api.PeerMessage:
+    sender, size = reader.take("HH")
+    return api.PeerMessage(sender, reader.raw(size))
 
 
-def _counter_reply(r: Reader) -> api.CounterReply:
-    name, code, total, latency = r.take("QHfd")
-    status = r.lookup(STATUSES, code, "status")
+def _counter_reply(reader: Reader) -> api.CounterReply:
+    key, code, total, latency = reader.take("QHfd")
+    status = reader.lookup(STATUSES, code, "status")
     if not math.isfinite(total):
-        raise WireError(f"{r.where}: total {total} is not finite")
-    return api.CounterReply(name, status, total, r.amount(latency, "latency"))
+        raise WireError(f"{reader.where}: total {total} is not finite")
+    return api.CounterReply(key, status, total, reader.amount(latency, "latency"))
 
 
 SPAWN, DETACH = 30, 70
@@ -172,7 +183,7 @@
     10: _peer_message,
     20: _client_gone,
     40: _probe_result,
-    50: _registry,
+    50: _roster,
     60: _stream_started,
     80: _request,
     90: _counter_reply,
@@ -181,32 +192,32 @@
 }
 
 
-# Actions: interface actions to record bytes.
+# Actions: from actions of the interface to the bytes of a record.
 
 
-def _text(text: str) -> bytes:
+def _string(text: str) -> bytes:
     data = text.encode()[:0xFFFF]
     return struct.pack(">H", len(data)) + data
 
 
-def _tell(a: api.Tell) -> tuple[int, bytes]:
-    peer = EVERY_PEER if a.peer is None else a.peer
-    return 80, struct.pack(">IH", peer, len(a.body)) + a.body
+def _peer_send(action: api.SendPeerMessage) -> tuple[int, bytes]:
+    peer = EVERY_PEER if action.peer is None else action.peer
+    return 80, struct.pack(">IH", peer, len(action.body)) + action.body
 
 
 ACTIONS: dict[type, Callable[..., tuple[int, bytes]]] = {
-    api.Send: lambda a: (10, struct.pack(">I6sd", a.request, a.backend, a.timeout)),
-    api.Refuse: lambda a: (20, struct.pack(">Id", a.request, a.retry_after)),
-    api.Fail: lambda a: (30, struct.pack(">I", a.request)),
-    api.CancelAttempt: lambda a: (40, struct.pack(">IH", a.request, a.attempt)),
-    api.SetTimer: lambda a: (50, struct.pack(">dI", a.delay, a.token)),
-    api.Probe: lambda a: (60, a.backend),
-    api.CloseIdle: lambda a: (70, a.backend),
-    api.Tell: _tell,
-    api.Log: lambda a: (90, _text(a.text)),
-    api.Subscribe: lambda a: (110, struct.pack(">B", a.on)),
-    api.FetchRoster: lambda a: (120, b""),
-    api.Count: lambda a: (130, struct.pack(">Qfd", a.name, a.amount, a.forget_after)),
+    api.Send: lambda action: (10, struct.pack(">I6sd", action.request_id, action.backend, action.timeout)),
+    api.Refuse: lambda action: (20, struct.pack(">Id", action.request_id, action.retry_after)),
+    api.Fail: lambda action: (30, struct.pack(">I", action.request_id)),
+    api.CancelAttempt: lambda action: (40, struct.pack(">IH", action.request_id, action.attempt)),
+    api.SetTimer: lambda action: (50, struct.pack(">dI", action.delay, action.token)),
+    api.Probe: lambda action: (60, action.backend),
+    api.CloseIdle: lambda action: (70, action.backend),
+    api.SendPeerMessage: _peer_send,
+    api.Log: lambda action: (90, _string(action.text)),
+    api.Subscribe: lambda action: (110, struct.pack(">B", action.enabled)),
+    api.FetchRoster: lambda action: (120, b""),
+    api.CounterAdd: lambda action: (130, struct.pack(">Qfd", action.key, action.amount, action.ttl)),
 }
 DIE = 100
 
@@ -216,13 +227,13 @@
 
 
 class Host:
-    """The instances of this process; they share nothing but the loop."""
+    """The instances of this process, which share no state."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Controller] = {}
 
     def record(self, code: int, data: bytes, now: float, where: str) -> list[bytes]:
-        """Give one event to its instance; the encoded actions it answers with."""
+        """Pass one event to its instance and return the encoded actions."""
         reader = Reader(data, where)
         (instance,) = reader.take("I")
         if code == SPAWN:
@@ -231,32 +242,32 @@
                 settings = from_lines(reader.raw(size).decode())
             except ValueError as error:
                 raise WireError(f"{where}: {error}") from None
-            step = lambda: self.start(instance, settings, seed, now)  # noqa: E731
+            run = lambda: self.start(instance, settings, seed, now)  # noqa: E731
         elif code == DETACH:
-            step = lambda: self.instances.pop(instance, None) and []  # noqa: E731
+            run = lambda: self.instances.pop(instance, None) and []  # noqa: E731
         elif code in EVENTS:
             event = EVENTS[code](reader)
             if isinstance(event, api.Request):
                 self.check(instance, event, where)
-            step = lambda: self.handle(instance, event, now)  # noqa: E731
+            run = lambda: self.handle(instance, event, now)  # noqa: E731
         else:
             raise WireError(f"{where}: unknown event code {code}")
         reader.finish()
         try:
-            return [encode(instance, *ACTIONS[type(action)](action)) for action in step() or []]
-        except Exception as error:  # a defect in the decisions: declare it to the host of the wire
-            return [encode(instance, DIE, _text(f"{type(error).__name__}: {error}"))]
+            return [encode(instance, *ACTIONS[type(action)](action)) for action in run() or []]
+        except Exception as error:  # a defect in the decision module: report it over the wire
+            return [encode(instance, DIE, _string(f"{type(error).__name__}: {error}"))]
 
-    def check(self, instance: int, ask: api.Request, where: str) -> None:
-        """Refuse a request of a class or plan that the instance's settings don't have."""
+    def check(self, instance: int, request: api.Request, where: str) -> None:
+        """Reject a request of a class or plan that the instance's settings don't have."""
         if (controller := self.instances.get(instance)) is None:
             return
-        for index, known, what in (
-            (ask.cls, controller.settings.classes, "class"),
-            (ask.plan, controller.settings.plans, "plan"),
+        for index, defined, what in (
+            (request.cls, controller.settings.classes, "class"),
+            (request.plan, controller.settings.plans, "plan"),
         ):
-            if index >= len(known):
-                raise WireError(f"{where}: {what} {index} is not among the {len(known)} of the settings")
+            if index >= len(defined):
+                raise WireError(f"{where}: {what} {index} is not among the {len(defined)} of the settings")
 
     def start(self, instance: int, settings: api.Settings, seed: int, now: float) -> list[api.Action]:
         self.instances[instance] = Controller(settings, seed, now)
@@ -264,33 +275,33 @@
 
     def handle(self, instance: int, event: api.Event, now: float) -> list[api.Action]:
         controller = self.instances.get(instance)
-        return controller.handle(event, now) if controller else []  # a stopped instance is owed nothing
+        return controller.handle(event, now) if controller else []  # the instance was stopped
 
     def batch(self, body: bytes, count: int, now: float, number: int) -> bytes:
-        """The reply to one batch."""
-        out, at = [], 0
+        """Return the reply to one batch."""
+        records, offset = [], 0
         for index in range(count):
             where = f"batch {number}, record {index}"
-            if at + RECORD_HEADER.size > len(body):
+            if offset + RECORD_HEADER.size > len(body):
                 raise WireError(f"{where}: the batch ends at byte {len(body)}")
-            code, size = RECORD_HEADER.unpack_from(body, at)
-            at += RECORD_HEADER.size
-            if at + size > len(body):
+            code, size = RECORD_HEADER.unpack_from(body, offset)
+            offset += RECORD_HEADER.size
+            if offset + size > len(body):
                 raise WireError(f"{where}: length {size} passes the end of the batch")
-            out += self.record(code, body[at : at + size], now, where)
-            at += size
-        if at != len(body):
-            raise WireError(f"batch {number}: {len(body) - at} bytes after its last record")
-        reply = b"".join(out)
-        return REPLY_HEADER.pack(len(reply), len(out)) + reply
+            records += self.record(code, body[offset : offset + size], now, where)
+            offset += size
+        if offset != len(body):
+            raise WireError(f"batch {number}: {len(body) - offset} bytes after its last record")
+        reply = b"".join(records)
+        return REPLY_HEADER.pack(len(reply), len(records)) + reply
 
 
 def read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """As many bytes as asked for, however the stream chops them; fewer only at its end."""
+    """Return `size` bytes, however the stream splits them; fewer only at its end."""
     parts, missing = [], size
-    while missing and (part := stream.read(missing)):
-        parts.append(part)
-        missing -= len(part)
+    while missing and (piece := stream.read(missing)):
+        parts.append(piece)
+        missing -= len(piece)
     return b"".join(parts)
 
 
--- a/fennelpoint/choice.py
+++ b/fennelpoint/choice.py
@@ -1,4 +1,4 @@
-"""Which backend a try goes to, and what is known of backends: how slow they are, and how cold."""
+"""Which backend a request is sent to, and what is known of backends: how slow they are, and how cold."""
 
 from __future__ import annotations
 
@@ -6,142 +6,174 @@
 from random import Random
 
 from fennelpoint import interface as api
-from fennelpoint.state import Backend, Try
-from fennelpoint.upkeep import Fleet, same_group
-from fennelpoint.window import LEARN, REST_MOST, TARGET
-
-PUMP, LATE_MARGIN = 0.02, 3.0  # s between looks at what waits; usual latencies between release and aim
-FIRST_GUESS, FASTER, SLOWER = 0.12, 0.1, 0.03  # of the aim: a first latency; an answer's weights
-TAIL, TAIL_STEP, PATIENCE = 0.1, 0.1, 3.0  # of the answers come later; step to that; times it to wait for one
-FAILED, SLOWEST, SLOW_HALF = 4.0, 6.0, 1.0  # a failure looks so much slower, at most; s to fade by half
-PAUSE_FULL = 0.03  # s of pause where a backend is full
-NEAR_TIE, CANDIDATES = 1.15, 16  # how much better another zone must be; an own part of a large fleet
-HERD, SEES = 0.2, 4.0  # least random part of a wait; ingresses up to which own work out tells most of it
-PROBES, PROBE_WAIT = 2, 0.05  # backends probed for a try by those who see little, and s that it waits
-REPORT_HALF, COLD_CAUTION = 1.0, 1.5  # s for a report to count half; power of a cold share that wins a draw
+from fennelpoint.state import Backend, Task
+from fennelpoint.upkeep import Fleet, same_scope
+from fennelpoint.window import LEARNING_RATE, MAX_PAUSE_S, MAX_PRESSURE
+
+RECHECK_S, MARGIN = 0.02, 3.0  # for requests that wait; recent latencies kept until the target
+# First latency, as a share of the target; weights of an answer below and above the typical latency.
+INITIAL_LATENCY, LEARN_FASTER, LEARN_SLOWER = 0.12, 0.1, 0.03
+# Share of answers beyond the tail latency; step of its adaptation; tail latencies to wait for an answer.
+TAIL_SHARE, TAIL_STEP, TIMEOUT_TAILS = 0.1, 0.1, 3.0
+FAILURE_SLOWNESS, MAX_SLOWNESS, SLOWNESS_HALF_LIFE_S = 4.0, 6.0, 1.0  # factor of a failure; largest slowness
+FULL_PAUSE_S = 0.03  # for a backend that rejected an attempt as full
+OTHER_ZONE_FACTOR, CANDIDATES = 1.15, 16  # on the cost of another zone; backends that an ingress prefers
+# Least random part of a cost; ingresses up to which the work sent from here shows most of a backend's load.
+MIN_RANDOM, FEW_PEERS = 0.2, 4.0
+PROBES, PROBE_WAIT_S = 2, 0.05  # backends probed for a request, and how long it waits for them
+# Until a report counts half; power of its share with which a cold backend is drawn where all are cold.
+REPORT_HALF_LIFE_S, ALL_COLD_POWER = 1.0, 1.5
 
 
 class Choice:
-    """The choice of a backend by what it has out, by its own reports and by the answers so far."""
+    """Chooses a backend by the work in flight there, its own reports and the answers so far."""
 
     def __init__(self, settings: api.Settings, fleet: Fleet, random: Random) -> None:
         self.settings, self.fleet, self.random = settings, fleet, random
-        self.typical = [FIRST_GUESS * c.aim for c in settings.classes]  # latency of a class, uncrowded
-        self.usual = list(self.typical)  # and as it is now
-        self.tail = [c.aim / PATIENCE for c in settings.classes]  # and of the slowest of them
-        self.usual_held = 0.0  # requests a backend reports
-        # Where reports come with answers, the more ingresses the seldomer each hears of a backend.
-        seldom = max(1.0, settings.ingresses / SEES) if settings.report_via == "answers" else 1.0
-        self.report_half = REPORT_HALF * seldom**0.5
-        self.blind = HERD + (1.0 - HERD) * max(0.0, 1.0 - SEES / settings.ingresses)  # to others' work
-        self.probes = settings.may_probe and settings.report_via != "none" and self.blind > 0.5
-
-    def cold_share(self, b: Backend, now: float) -> float:
-        """The least part of its capacity that a backend can do by now; 1 when it is warm."""
-        started = max(b.entry.started_at, b.restored_at)
+        # By class: latency without queueing, recent latency, and latency of the slowest answers.
+        self.typical = [INITIAL_LATENCY * cls.latency_target for cls in settings.classes]
+        self.recent = list(self.typical)
+        self.tail = [cls.latency_target / TIMEOUT_TAILS for cls in settings.classes]
+        self.mean_load = 0.0  # requests that a backend reports, on average
+        # Where reports come with answers, the more ingresses there are, the older each one's reports get.
+        report_age = max(1.0, settings.ingresses / FEW_PEERS) if settings.report_via == "answers" else 1.0
+        self.report_half_life = REPORT_HALF_LIFE_S * report_age**0.5
+        # Grows with the share of a backend's work that other ingresses send.
+        self.random_part = MIN_RANDOM + (1.0 - MIN_RANDOM) * max(0.0, 1.0 - FEW_PEERS / settings.ingresses)
+        self.uses_probes = settings.may_probe and settings.report_via != "none" and self.random_part > 0.5
+
+    def cold_share(self, backend: Backend, now: float) -> float:
+        """Return the share of its capacity that a backend surely has by now; 1 when it is warm."""
+        started = max(backend.entry.started_at, backend.restored_at)
         age = max(0.0, now - started) if started > 0.0 else inf
         grown = min(1.0, age / max(self.settings.ramp_time, self.settings.tick))
         return self.settings.cold_share + (1.0 - self.settings.cold_share) * grown
 
-    def choose(self, t: Try, allowed: bool, now: float) -> Backend | None:
-        """The backend with the least expected wait, among some at random, that may take this try.
-
-        None where it has to wait; `t.picked` names the backends that are to be probed for it meanwhile.
-        """
-        cls, able = self.settings.classes[t.ask.cls], []
+    def choose(self, task: Task, allowed: bool, now: float) -> Backend | None:
+        """Return the backend with the least cost among those that may take this request."""
+        # None where it has to wait; `task.probed` then holds the backends to probe for it, if any.
+        cls, usable = self.settings.classes[task.request.cls], []
         ready = self.fleet.ready if allowed else []
-        if t.ran_at is not None and cls.effect is api.Effect.KEYED and cls.group is not api.Group.ALL:
-            ready = same_group(ready, t.ran_on, "zone" if cls.group is api.Group.ZONE else "cell")
-        for pool in (t.picked or (), ready[:CANDIDATES], ready):  # our part of the fleet: few connections
-            able = able or [b for b in pool if b.usable and now >= b.rest_until]
-        lots = sorted((self.random.expovariate(max(b.entry.weight, 1e-3)), i) for i, b in enumerate(able))
-        # Guards against pushing over cold backends, as a sum over all ingresses: a cold one is sent a try
-        # only by a draw by weight, won as seldom as it is cold, and once in half an aim for each try.  Where
-        # no other is warm, more seldom, as what loses draws again.
+        if task.ran_at is not None and cls.effect is api.Effect.KEYED and cls.scope is not api.DedupScope.ALL:
+            ready = same_scope(ready, task.ran_on, "zone" if cls.scope is api.DedupScope.ZONE else "cell")
+        # The preferred part of the fleet first: keeps the number of connections low.
+        for pool in (task.probed or (), ready[:CANDIDATES], ready):
+            usable = usable or [backend for backend in pool if backend.usable and now >= backend.paused_until]
+        draws = sorted(
+            (self.random.expovariate(max(backend.entry.weight, 1e-3)), i) for i, backend in enumerate(usable)
+        )
+        # Guards against overloading cold backends as a sum over all ingresses: a cold one is sent a request
+        # only if it wins a draw by weight and then one by its cold share, and each request draws once in half
+        # a latency target. Where all are cold it wins more rarely, as requests that lose draw again.
         costs = sorted(
-            (self.cost(able[i], lot, t, now), i) for lot, i in lots if self.cold_share(able[i], now) >= 1.0
+            (self.cost(usable[i], draw, task, now), i)
+            for draw, i in draws
+            if self.cold_share(usable[i], now) >= 1.0
         )
-        if lots and now >= t.draw_at and (share := self.cold_share(able[lots[0][1]], now)) < 1.0:
-            t.draw_at = now + cls.aim / 2
-            if self.random.random() < (share if costs else share**COLD_CAUTION):
-                return able[lots[0][1]]
-        if not self.probes or t.picked is not None or not costs:
-            return able[costs[0][1]] if costs else None
-        t.picked, t.not_before = [able[i] for _, i in costs[:PROBES]], now + PROBE_WAIT
-        for b in t.picked:
-            self.fleet.probing.setdefault(b.entry.backend, []).append(t)
+        if draws and now >= task.draw_at and (share := self.cold_share(usable[draws[0][1]], now)) < 1.0:
+            task.draw_at = now + cls.latency_target / 2
+            if self.random.random() < (share if costs else share**ALL_COLD_POWER):
+                return usable[draws[0][1]]
+        if not self.uses_probes or task.probed is not None or not costs:
+            return usable[costs[0][1]] if costs else None
+        task.probed, task.earliest = [usable[i] for _, i in costs[:PROBES]], now + PROBE_WAIT_S
+        for backend in task.probed:
+            self.fleet.probing.setdefault(backend.entry.backend, []).append(task)
         return None
 
-    def cost(self, b: Backend, lot: float, t: Try, now: float) -> float:
-        """The work before a new try at this backend, by what is known, over what it can do.
-
-        Own work counts once for each ingress: all read the same reports, which are old by up to a second, and
-        do alike.  Guards against a herd: whoever told the least got everything until its next report.
-        """
-        weight, work, held = max(b.entry.weight, 1e-3), self.typical[t.ask.cls], self.usual_held
-        held += (b.reported - held) * 0.5 ** ((now - b.reported_at) / self.report_half)
-        luck = 1.0 if t.picked else 1.0 + self.blind * (lot * weight - 1.0)
-        luck *= NEAR_TIE if b.entry.zone != self.settings.zone else 1.0
-        out = b.load * self.settings.ingresses
-        return luck * self.slow(b, now) * (out + work * (1.0 + held)) / weight
-
-    def slow(self, b: Backend, now: float) -> float:
-        return 1.0 + (b.slow - 1.0) * 0.5 ** ((now - b.slow_at) / SLOW_HALF)
-
-    def fail(self, b: Backend, now: float) -> None:
-        b.slow, b.slow_at = min(SLOWEST, max(1.0, self.slow(b, now)) * FAILED), now
-
-    def patience(self, t: Try, b: Backend, now: float) -> float:
-        """How long to wait for an answer: one far later than nearly all others won't come.
+    def cost(self, backend: Backend, draw: float, task: Task, now: float) -> float:
+        """Return the known work before a new request at this backend, over the backend's weight."""
+        # Work sent from here counts once for each ingress, as all read the same reports and behave alike.
+        # Guards against herding: else the backend that reported least gets all requests until it next
+        # reports.
+        weight, work, held = max(backend.entry.weight, 1e-3), self.typical[task.request.cls], self.mean_load
+        held += (backend.load - held) * 0.5 ** ((now - backend.reported_at) / self.report_half_life)
+        factor = 1.0 if task.probed else 1.0 + self.random_part * (draw * weight - 1.0)
+        factor *= OTHER_ZONE_FACTOR if backend.entry.zone != self.settings.zone else 1.0
+        in_flight = backend.work_in_flight * self.settings.ingresses
+        return factor * self.current_slowness(backend, now) * (in_flight + work * (1.0 + held)) / weight
+
+    def current_slowness(self, backend: Backend, now: float) -> float:
+        """Return the slowness, which decays to 1."""
+        return 1.0 + (backend.slowness - 1.0) * 0.5 ** ((now - backend.slowness_at) / SLOWNESS_HALF_LIFE_S)
+
+    def on_failure(self, backend: Backend, now: float) -> None:
+        """Raise the slowness of a backend after a failure."""
+        backend.slowness, backend.slowness_at = (
+            min(MAX_SLOWNESS, max(1.0, self.current_slowness(backend, now)) * FAILURE_SLOWNESS),
+            now,
+        )
 
-        Guards the aim against answers that get lost.  Where no other attempt could meet it, or none is
-        allowed, it lasts until the client stops waiting.
-        """
-        wait = PATIENCE * self.tail[t.ask.cls] / self.cold_share(b, now)
-        again = (
-            t.attempts < self.settings.max_attempts
+    def timeout(self, task: Task, backend: Backend, now: float) -> float:
+        """Return how long to wait for an answer; 0 means until the client's deadline."""
+        # An answer far later than nearly all others will not come. The timeout leaves time for another
+        # attempt to meet the latency target; there is none where no other attempt could, or where none is
+        # allowed.
+        wait = TIMEOUT_TAILS * self.tail[task.request.cls] / self.cold_share(backend, now)
+        may_retry = (
+            task.attempts < self.settings.max_attempts
             and self.settings.may_cancel
-            and not t.ask.is_coming
-            and self.settings.classes[t.ask.cls].effect is not api.Effect.UNSAFE
+            and not task.request.is_uploading
+            and self.settings.classes[task.request.cls].effect is not api.Effect.UNSAFE
+        )
+        return (
+            wait
+            if may_retry and now + wait + MARGIN * self.recent[task.request.cls] <= task.target_at
+            else 0.0
         )
-        return wait if again and now + wait + LATE_MARGIN * self.usual[t.ask.cls] <= t.aim_at else 0.0
-
-    def report(self, b: Backend, values: list[float], now: float) -> None:
-        """Take in a backend's own word on the requests it holds."""
-        told = {k: v for k, v in zip(self.settings.report_fields, values, strict=False) if 0.0 <= v < inf}
-        busy = 1.0 / (1.1 - min(1.0, told.get("util", 0.0))) - 1.0 / 1.1
-        held = max(told.get("inflight", 0.0), told.get("queue", 0.0), busy)
-        self.usual_held += LEARN / 4 * (held - self.usual_held) if told else 0.0
-        # Where nothing is told: guards against reports that stop just from the busy ones.
-        b.reported, b.reported_at = held if told else max(b.reported, 2.0 * self.usual_held), now
 
-    def learn(self, b: Backend, o: api.Outcome, t: Try | None, now: float) -> tuple[float, float] | None:
-        """Take in how an attempt ended; the pressure that it tells of, and the s that this took."""
-        self.fleet.answer(b, o.request)
-        self.report(b, o.report, now) if o.report else None
-        if t is not None and o.status in (api.Status.OK, api.Status.TIMEOUT):
-            # A time-out counts as late: guards against giving up ever sooner on a back end that slows.
-            late = o.status is api.Status.TIMEOUT or o.latency > self.tail[t.ask.cls]
-            self.tail[t.ask.cls] *= 1.0 + TAIL_STEP * (late - TAIL)
-        if o.status is api.Status.FULL:
-            b.rest_until = now + 2 * PAUSE_FULL
-            # Guards against a stop of all for a few that were turned away: no latency tells of a crowd here,
-            # so it takes most of them to cut, and no sooner than an answer would show the last cut.  It
-            # covers backends at their end and short queues; a fleet that is full to the brim is cut later.
-            return 2.0 * TARGET, max(self.usual)
-        elif o.status is api.Status.OK and t is not None and 0.0 <= o.latency < inf:
-            cls, aim, slow, b.fails = t.ask.cls, self.settings.classes[t.ask.cls].aim, self.slow(b, now), 0
-            gap = o.latency - self.typical[cls]
-            if self.cold_share(b, now) >= 1.0:
-                self.typical[cls] += gap * (SLOWER if gap > 0 else FASTER)
-            self.usual[cls] += LEARN * (min(o.latency, aim / 2 / LATE_MARGIN) - self.usual[cls])
-            b.slow, b.slow_at = slow + LEARN * (o.latency / self.typical[cls] - slow), now
-            return o.latency / aim - min(TARGET, self.typical[cls] / aim), o.latency
-        elif o.status not in (api.Status.OK, api.Status.CANCELLED, api.Status.MOOT):
-            # Guards against blaming one event for each attempt that it ended: when all connections break at
-            # once, a backend that is well again would be shunned for many seconds.
-            if now - o.latency >= b.failed_at:
-                self.fail(b, now)
-                b.fails, b.rest_until = b.fails + 1, now + min(REST_MOST, 2 * PUMP * 2.0**b.fails)
-                b.failed_at = now
+    def on_report(self, backend: Backend, values: list[float], now: float) -> None:
+        """Take in a backend's own report of the requests that it holds."""
+        loads = {
+            name: value
+            for name, value in zip(self.settings.report_fields, values, strict=False)
+            if 0.0 <= value < inf
+        }
+        busy = 1.0 / (1.1 - min(1.0, loads.get("util", 0.0))) - 1.0 / 1.1
+        held = max(loads.get("inflight", 0.0), loads.get("queue", 0.0), busy)
+        self.mean_load += LEARNING_RATE / 4 * (held - self.mean_load) if loads else 0.0
+        # An empty report counts as a high load: reports may fail just at the busy backends.
+        backend.load, backend.reported_at = held if loads else max(backend.load, 2.0 * self.mean_load), now
+
+    def on_outcome(
+        self, backend: Backend, outcome: api.Outcome, task: Task | None, now: float
+    ) -> tuple[float, float] | None:
+        """Learn from how an attempt ended; return the pressure that it shows and the latency, if any."""
+        self.fleet.remove_attempt(backend, outcome.request_id)
+        self.on_report(backend, outcome.report, now) if outcome.report else None
+        if task is not None and outcome.status in (api.Status.OK, api.Status.TIMEOUT):
+            # A timeout counts as late; else ever shorter timeouts would follow while a back end slows down.
+            late = outcome.status is api.Status.TIMEOUT or outcome.latency > self.tail[task.request.cls]
+            self.tail[task.request.cls] *= 1.0 + TAIL_STEP * (late - TAIL_SHARE)
+        if outcome.status is api.Status.FULL:
+            backend.paused_until = now + 2 * FULL_PAUSE_S
+            # Guards against stopping all traffic for a few rejections: it takes a majority of them to shrink
+            # the window, and no sooner than an answer would show the effect of the last decrease.
+            return 2.0 * MAX_PRESSURE, max(self.recent)
+        elif outcome.status is api.Status.OK and task is not None and 0.0 <= outcome.latency < inf:
+            cls, target, slowness, backend.failures = (
+                task.request.cls,
+                self.settings.classes[task.request.cls].latency_target,
+                self.current_slowness(backend, now),
+                0,
+            )
+            excess = outcome.latency - self.typical[cls]
+            if self.cold_share(backend, now) >= 1.0:
+                self.typical[cls] += excess * (LEARN_SLOWER if excess > 0 else LEARN_FASTER)
+            self.recent[cls] += LEARNING_RATE * (min(outcome.latency, target / 2 / MARGIN) - self.recent[cls])
+            backend.slowness, backend.slowness_at = (
+                slowness + LEARNING_RATE * (outcome.latency / self.typical[cls] - slowness),
+                now,
+            )
+            return outcome.latency / target - min(MAX_PRESSURE, self.typical[cls] / target), outcome.latency
+        elif outcome.status not in (api.Status.OK, api.Status.CANCELLED, api.Status.NOT_SENT):
+            # Attempts sent before the last failure do not count: guards against avoiding a healthy backend
+            # for seconds after all its connections broke at once.
+            if now - outcome.latency >= backend.failed_at:
+                self.on_failure(backend, now)
+                backend.failures, backend.paused_until = (
+                    backend.failures + 1,
+                    now + min(MAX_PAUSE_S, 2 * RECHECK_S * 2.0**backend.failures),
+                )
+                backend.failed_at = now
         return None
--- a/fennelpoint/control.py
+++ b/fennelpoint/control.py
@@ -1,10 +1,8 @@
-"""What one ingress does about each event; its types, events and actions stand in `interface.py`.
-
-A request is counted and placed (`_admit`), held while it is short of units, of an answer or of a backend
-(`_pump`), sent (`_place`), and ended by its outcome (`_outcome`).  What it goes by is decided elsewhere:
-quotas in `quota.py`, cuts and room given back in `regions.py`, the backend in `choice.py`, how much may be
-out in `window.py`.  What comes from the paper and what was changed is told where it is done.
-"""
+"""What one ingress does about each event; the types of events and actions are in `interface.py`."""
+# A request is counted and charged (`_on_request`), held while it lacks units, a counter reply or a backend
+# (`_recheck_held`), sent (`_send`), and ended by its outcome (`_on_outcome`). Quotas are decided in
+# `quota.py`, cuts and their return in `regions.py`, the backend in `choice.py`, and how many attempts may be
+# in flight in `window.py`.
 
 from __future__ import annotations
 
@@ -12,277 +10,300 @@
 from random import Random
 
 from fennelpoint import interface as api
-from fennelpoint.choice import LATE_MARGIN, PAUSE_FULL, PUMP, Choice
-from fennelpoint.quota import FORGET, SPARED, Quotas
-from fennelpoint.regions import PERIOD, Flow, Regulator
-from fennelpoint.state import Customer, Try
-from fennelpoint.upkeep import Fleet, Line, Timers
+from fennelpoint.choice import FULL_PAUSE_S, MARGIN, RECHECK_S, Choice
+from fennelpoint.quota import FORGET_AFTER_S, UNTAKEN, Quotas
+from fennelpoint.regions import PERIOD_S, Flow, Regulator
+from fennelpoint.state import Customer, Task
+from fennelpoint.upkeep import Fleet, RequestTable, Timers
 from fennelpoint.window import Window
 
-SPARE = 0.25  # of the window: beyond quotas nothing is sent past it
-RETRY_SHARE, RETRY_BURST = 0.1, 10.0  # further attempts a first one, saved up
-TOKEN_PERIOD, TOKEN_PUMP = 1, 2
+EXCESS_WINDOW_SHARE = 0.25  # share of the window that requests beyond quotas may fill
+RETRY_RATIO, MAX_RETRY_BUDGET = 0.1, 10.0  # retries allowed a first attempt; most that are saved up
+TOKEN_PERIOD, TOKEN_RECHECK = 1, 2
 
 
-def meet_of_several(failed: list[Flow], meet: list[Flow]) -> list[Flow]:
-    """Customers that meet quota and aim are cut only while customers of several plans fail."""
-    return meet if len({c.plan for c in failed}) > 1 else []
+def cuttable_flows(failed: list[Flow], meet: list[Flow]) -> list[Flow]:
+    """Allow cuts of customers that meet quota and target only while customers of several plans fail."""
+    return meet if len({flow.plan for flow in failed}) > 1 else []
 
 
 class Controller:
     """The decisions of one ingress: give it events, carry out the actions it returns."""
 
     def __init__(self, settings: api.Settings, seed: int, now: float) -> None:
-        self.settings, self.random, self.out = settings, Random(seed), []
-        self.fleet, self.line = Fleet(settings.me, settings.ingresses), Line()
+        self.settings, self.random, self.actions = settings, Random(seed), []
+        self.fleet, self.requests = Fleet(settings.ingress_index, settings.ingresses), RequestTable()
         self.timers = Timers(settings.tick)
         self.quotas = Quotas(settings, self.random, now)
-        self.regulator, self.period_at = Regulator(self.quotas.rate_here, meet_of_several), now
+        self.regulator, self.period_began_at = Regulator(self.quotas.own_rate, cuttable_flows), now
         self.choice = Choice(settings, self.fleet, self.random)
         self.window = Window(self.fleet, now)
-        self.retries = RETRY_BURST
-        self.on = {
-            api.Request: self._admit,
-            api.Outcome: self._outcome,
-            api.Roster: self._roster,
-            api.ProbeResult: self._probed,
-            api.TimerDue: self._timer,
-            api.CounterReply: self._counted,
-            api.ClientGone: lambda event, now: self.line.end(event.request),
+        self.retry_budget = MAX_RETRY_BUDGET
+        self.handlers = {
+            api.Request: self._on_request,
+            api.Outcome: self._on_outcome,
+            api.Roster: self._on_roster,
+            api.ProbeResult: self._on_probe_result,
+            api.TimerDue: self._on_timer,
+            api.CounterReply: self._on_counter_reply,
+            api.ClientGone: lambda event, now: self.requests.end(event.request_id),
             api.Withdraw: lambda event, now: self.fleet.withdraw(event.backend, now),
             api.Restore: lambda event, now: self._restore(event.backend, now),
-            api.BodyWhole: lambda event, now: self._body_whole(event.request, now),
-            api.StreamStarted: self._begun,
-            api.Part: lambda event, now: self._take_part(event.part, now),
+            api.BodyReceived: lambda event, now: self._on_body_received(event.request_id, now),
+            api.StreamStarted: self._on_stream_started,
+            api.ProcessShare: lambda event, now: self._set_process_share(event.share, now),
         }
 
     def start(self, now: float) -> list[api.Action]:
         return [api.Subscribe()] if self.settings.discovery == "ask" else []
 
     def handle(self, event: api.Event, now: float) -> list[api.Action]:
-        self.out = []
-        self.on.get(type(event), lambda event, now: None)(event, now)
-        return self.out
+        self.actions = []
+        self.handlers.get(type(event), lambda event, now: None)(event, now)
+        return self.actions
 
-    def names(self, backend: object) -> bool:
-        """Whether any list so far has named it, here or where it was taken out."""
-        return backend in self.fleet.named or backend in self.fleet.withdrawn
+    def knows(self, backend: object) -> bool:
+        """Whether any roster so far has listed it or an operator has withdrawn it."""
+        return backend in self.fleet.known_ids or backend in self.fleet.withdrawn_at
 
-    def cluster(self, now: float) -> tuple[int, int]:
-        """How many backends the list names, and how many of them get nothing new at present."""
+    def backend_counts(self, now: float) -> tuple[int, int]:
+        """Return how many backends the roster lists, and how many of them get no new requests at present."""
         listed = self.fleet.listed()
-        return len(listed), sum(not b.usable or now < b.rest_until for b in listed)
+        return len(listed), sum(not backend.usable or now < backend.paused_until for backend in listed)
 
-    def _take_part(self, part: float, now: float) -> None:
-        self.quotas.take_part(part, now)
-        self.window.part = part
-        self._pump(now)
+    def _set_process_share(self, share: float, now: float) -> None:
+        self.quotas.set_process_share(share, now)
+        self.window.process_share = share
+        self._recheck_held(now)
 
-    def _timer(self, due: api.TimerDue, now: float) -> None:
-        if self.timers.due(due.token, now):
-            self._period(now) if due.token == TOKEN_PERIOD else self._pump(now)
+    def _on_timer(self, due: api.TimerDue, now: float) -> None:
+        if self.timers.fire(due.token, now):
+            self._end_period(now) if due.token == TOKEN_PERIOD else self._recheck_held(now)
 
-    def _counted(self, reply: api.CounterReply, now: float) -> None:
+    def _on_counter_reply(self, reply: api.CounterReply, now: float) -> None:
         ok = reply.status is api.Status.OK and 0.0 <= reply.total < inf
-        if reply.name >= SPARED:
-            return self.quotas.spared(reply, ok)
-        if (c := self.quotas.customers.get(reply.name)) is None:
+        if reply.key >= UNTAKEN:
+            return self.quotas.on_untaken_total(reply, ok)
+        if (customer := self.quotas.customers.get(reply.key)) is None:
             return
-        if c.asking:  # let the try in, or not; soft plans may go on
-            t = self.quotas.answered(c, reply, ok, now)
-            if self.line.release(t):
-                t.not_before = now
-                self._enter(t, now)
+        if customer.checks:
+            task = self.quotas.on_check_reply(customer, reply, ok, now)
+            if self.requests.release(task):
+                task.earliest = now
+                self._send_or_hold(task, now)
             return
-        if c.held:  # what it may do is told anew: look again at what waits
-            self.out += self.timers.wake(TOKEN_PUMP, now + PUMP, now)
-        self.quotas.counted(c, reply, ok, now)
-
-    def _admit(self, ask: api.Request, now: float) -> None:
-        cls, plan = self.settings.classes[ask.cls], self.settings.plans[ask.plan]
-        c = self.quotas.customer(ask, now)
-        t = Try(ask, c, inf, inf, cls.worth * plan.price, kind=2 if ask.is_repeat else c.met)
-        self._time(t, now)
-        self.line.open[ask.request], c.worth = t, max(c.worth, t.worth)
-        self.quotas.fill(c, now)
-        if c.window:
-            if calls := self.quotas.ask(t, now):
-                self.out += calls
-                return self._hold(t, now)
-            self.quotas.guess(t, self.window.pressure, now)
-            return self._enter(t, now)
-        self._enter(t, now)
-        self.out += self.quotas.count(c, now)
-
-    def _time(self, t: Try, now: float) -> None:
-        """Its time counts from now."""
-        left, margin = t.ask.time_left, 2 * PUMP + self.settings.tick
-        t.aim_at = now + min(self.settings.classes[t.ask.cls].aim, left)
-        t.ends = now + left - margin  # the last answer that is surely in time
-        t.half = now + left / 2 - margin
-
-    def _body_whole(self, request: int, now: float) -> None:
-        """A large request has come whole: neither it nor its backend was late until now."""
-        if (t := self.line.open.get(request)) is None:
+        if customer.held:  # the new level may let held requests go
+            self.actions += self.timers.set(TOKEN_RECHECK, now + RECHECK_S, now)
+        self.quotas.on_total(customer, reply, ok, now)
+
+    def _on_request(self, request: api.Request, now: float) -> None:
+        cls, plan = self.settings.classes[request.cls], self.settings.plans[request.plan]
+        customer = self.quotas.customer_of(request, now)
+        task = Task(
+            request, customer, inf, inf, cls.worth * plan.price, kind=2 if request.is_retry else customer.seen
+        )
+        self._start_clock(task, now)
+        self.requests.open[request.request_id], customer.worth = task, max(customer.worth, task.worth)
+        self.quotas.fill(customer, now)
+        if customer.window:
+            if calls := self.quotas.check(task, now):
+                self.actions += calls
+                return self._hold(task, now)
+            self.quotas.guess_quota(task, self.window.pressure, now)
+            return self._send_or_hold(task, now)
+        self._send_or_hold(task, now)
+        self.actions += self.quotas.count(customer, now)
+
+    def _start_clock(self, task: Task, now: float) -> None:
+        # Let the request's time limits count from now.
+        left, margin = task.request.time_left, 2 * RECHECK_S + self.settings.tick
+        task.target_at = now + min(self.settings.classes[task.request.cls].latency_target, left)
+        task.latest_at = now + left - margin
+        task.half_at = now + left / 2 - margin
+
+    def _on_body_received(self, request_id: int, now: float) -> None:
+        # Restart the time limits of a request whose body is complete: only its client took time so far.
+        if (task := self.requests.open.get(request_id)) is None:
             return
-        self._time(t, now)
-        for b in self.fleet.busy.values():
-            if request in b.out:
-                self.fleet.restart(b, request, now)
-
-    def _begun(self, begun: api.StreamStarted, now: float) -> None:
-        """A large answer goes out: its first bytes were in time or not, the rest is up to its client."""
-        t, b = self.line.open.get(begun.request), self.fleet.known.get(begun.backend)
-        if t is not None:
-            t.begun_at = now
-        if b is not None and begun.request in b.out:
-            self.fleet.begin(b, begun.request)
-        self._pump(now)
-
-    def _enter(self, t: Try, now: float) -> None:
-        """Send a new try, hold it while its aim can be met, or refuse it at once."""
-        c, ask = t.customer, t.ask
-        queued = t.inside is None and c.held > 0.0 and c.level < c.held + ask.units  # others came first
-        if not queued and (self._place(t, now) or ask.request in self.line.held):
+        self._start_clock(task, now)
+        for backend in self.fleet.busy.values():
+            if request_id in backend.attempts:
+                self.fleet.restart_attempt(backend, request_id, now)
+
+    def _on_stream_started(self, event: api.StreamStarted, now: float) -> None:
+        # Take the latency from the first bytes of a streamed answer, as the rest is up to the client.
+        task, backend = self.requests.open.get(event.request_id), self.fleet.backends.get(event.backend)
+        if task is not None:
+            task.stream_at = now
+        if backend is not None and event.request_id in backend.attempts:
+            self.fleet.start_streaming(backend, event.request_id)
+        self._recheck_held(now)
+
+    def _send_or_hold(self, task: Task, now: float) -> None:
+        # Send a new request, hold it while its latency target can be met, or refuse it at once.
+        customer, request = task.customer, task.request
+        is_behind = (  # held requests of the customer come first
+            task.in_quota is None and customer.held > 0.0 and customer.level < customer.held + request.units
+        )
+        if not is_behind and (self._send(task, now) or request.request_id in self.requests.held):
             return
-        wait = self.quotas.wait(t)
-        late = t.inside is False or now + max(0.0, wait) + LATE_MARGIN * self.choice.usual[ask.cls] > t.aim_at
-        self._refuse(t, now, max(wait, c.window / 2)) if late else self._hold(t, now)
-
-    def _place(self, t: Try, now: float) -> bool:
-        """Send the try now if its quota, its cut and a backend allow it."""
-        first = not t.charged
-        inside = self.quotas.room(t, self.regulator.pressed, now) if first else True
-        if inside is None or self.window.full(1.0 if inside else SPARE, now):
+        wait = self.quotas.wait_for_units(task)
+        is_late = (
+            task.in_quota is False
+            or now + max(0.0, wait) + MARGIN * self.choice.recent[request.cls] > task.target_at
+        )
+        self._refuse(task, now, max(wait, customer.window / 2)) if is_late else self._hold(task, now)
+
+    def _send(self, task: Task, now: float) -> bool:
+        # Send the request now if its quota, its cut, the window and a backend allow it.
+        is_first = not task.is_charged
+        in_quota = self.quotas.check_quota(task, self.regulator.has_failed, now) if is_first else True
+        if in_quota is None or self.window.is_full(1.0 if in_quota else EXCESS_WINDOW_SHARE, now):
             return False
-        unpicked = t.picked is None
-        if (b := self.choice.choose(t, self._allowed(t, now), now)) is None:
-            if unpicked and t.picked is not None:
-                self.out += [api.Probe(b.entry.backend) for b in t.picked]
-                self._hold(t, now)
+        was_unprobed = task.probed is None
+        if (backend := self.choice.choose(task, self._may_send(task, now), now)) is None:
+            if was_unprobed and task.probed is not None:
+                self.actions += [api.Probe(backend.entry.backend) for backend in task.probed]
+                self._hold(task, now)
             return False
-        if first:
-            self.quotas.charge(t, inside)
-            self.retries = min(RETRY_BURST, self.retries + RETRY_SHARE)
-        self.line.release(t)
-        t.charged, t.picked, t.attempts, work = True, None, t.attempts + 1, self.choice.typical[t.ask.cls]
-        self.fleet.send(b, t, work, self.settings.classes[t.ask.cls].aim, now)
-        self.regulator.sent(t.customer, t.ask.units * first, work)
-        self._activate(now)
-        self.out.append(api.Send(t.ask.request, b.entry.backend, self.choice.patience(t, b, now)))
+        if is_first:
+            self.quotas.charge(task, in_quota)
+            self.retry_budget = min(MAX_RETRY_BUDGET, self.retry_budget + RETRY_RATIO)
+        self.requests.release(task)
+        task.is_charged, task.probed, task.attempts, work = (
+            True,
+            None,
+            task.attempts + 1,
+            self.choice.typical[task.request.cls],
+        )
+        self.fleet.add_attempt(
+            backend, task, work, self.settings.classes[task.request.cls].latency_target, now
+        )
+        self.regulator.record_sent(task.customer, task.request.units * is_first, work)
+        self._schedule_period(now)
+        self.actions.append(
+            api.Send(task.request.request_id, backend.entry.backend, self.choice.timeout(task, backend, now))
+        )
         return True
 
-    def _hold(self, t: Try, now: float) -> None:
-        """Keep it until it may be sent, or until its aim or its client can't be met any more.
-
-        What no backend has had is ended before half of its time is up: its client may try elsewhere.
-        """
-        late = t.aim_at - LATE_MARGIN * self.choice.usual[t.ask.cls]
-        t.last = min(late, t.ends, inf if t.reached else t.half)
-        self.line.hold(t)
-        self.out += self.timers.wake(TOKEN_PUMP, min(self._due(t, now), t.last), now)
-
-    def _due(self, t: Try, now: float) -> float:
-        """When to look at a held try again: not before its bucket can hold its units.
-
-        Guards the CPU: looking every PUMP at what only waits for its quota was half of all events.
-        """
-        return max(now + PUMP, t.not_before, self.quotas.due(t))
-
-    def _pump(self, now: float) -> None:
-        """Release held tries, the highest worth first; end those that can't make it any more."""
+    def _hold(self, task: Task, now: float) -> None:
+        # Keep a request until it may be sent, or until its latency target or deadline can't be met any more.
+        # One that reached no backend ends before half of its time, so that its client may try elsewhere.
+        late_at = task.target_at - MARGIN * self.choice.recent[task.request.cls]
+        task.ends_at = min(late_at, task.latest_at, inf if task.tried else task.half_at)
+        self.requests.hold(task)
+        self.actions += self.timers.set(TOKEN_RECHECK, min(self._due_at(task, now), task.ends_at), now)
+
+    def _due_at(self, task: Task, now: float) -> float:
+        # Return when to look at a held request again: not before its bucket can hold its units.
+        # Guards the CPU: rechecks at short intervals of requests that only wait for their quota are costly.
+        return max(now + RECHECK_S, task.earliest, self.quotas.units_due_at(task))
+
+    def _recheck_held(self, now: float) -> None:
+        # Send held requests, those with the highest worth first; end those that have no time left.
         soonest = inf
-        for t in self.line.by_worth():
-            # Once as much is out as may be, the rest needn't ask: guards the CPU with a long line.
-            if now >= t.not_before and self.fleet.out < self.window.most() and self._place(t, now):
+        for task in self.requests.held_by_worth():
+            # A full window is checked first: guards the CPU while many requests are held.
+            if now >= task.earliest and self.fleet.in_flight < self.window.limit() and self._send(task, now):
                 continue
-            if now >= t.last:
-                self._answered(t.customer, 1.0, now)
-                self._refuse(t, now, 0.0)
+            if now >= task.ends_at:
+                self._answered(task.customer, 1.0, now)
+                self._refuse(task, now, 0.0)
             else:
-                soonest = min(soonest, max(now + PUMP, min(self._due(t, now), t.last)))
-        self.out += self.timers.wake(TOKEN_PUMP, soonest, now)
-
-    def _refuse(self, t: Try, now: float, wait: float) -> None:
-        """End a try that has nothing out: refused where that promise is true, else failed.
+                soonest = min(soonest, max(now + RECHECK_S, min(self._due_at(task, now), task.ends_at)))
+        self.actions += self.timers.set(TOKEN_RECHECK, soonest, now)
+
+    def _refuse(self, task: Task, now: float, wait: float) -> None:
+        # End a request without attempts in flight: refused if it may safely be repeated, else failed.
+        # The client is to retry when there are units for it, but not before an answer may have freed a place.
+        cls = self.settings.classes[task.request.cls]
+        is_safe = self._may_send(task, now) and (
+            task.ran_at is None or cls.effect is api.Effect.SAFE or cls.scope is api.DedupScope.ALL
+        )
+        task.customer.untaken += task.request.units * (not task.is_charged)
+        wait = max(wait, self.choice.recent[task.request.cls])
+        retry_after = min(self.settings.max_retry_after, wait) if self.settings.may_set_retry_after else 0.0
+        self.actions.append(
+            api.Refuse(task.request.request_id, retry_after) if is_safe else api.Fail(task.request.request_id)
+        )
+        self.requests.end(task.request.request_id)
 
-        The client is told to come back once its units are there, or a place is: by when an answer comes.
-        """
-        cls = self.settings.classes[t.ask.cls]
-        harmless = self._allowed(t, now) and (
-            t.ran_at is None or cls.effect is api.Effect.SAFE or cls.group is api.Group.ALL
+    def _may_send(self, task: Task, now: float) -> bool:
+        # Whether the effect lets this request be sent now; a keyed one that may have run only for a time.
+        cls = self.settings.classes[task.request.cls]
+        is_deduplicated = (
+            cls.effect is api.Effect.KEYED and task.ran_at is not None and now < task.ran_at + cls.dedup_span
         )
-        t.customer.spared += t.ask.units * (not t.charged)
-        wait = max(wait, self.choice.usual[t.ask.cls])
-        advice = min(self.settings.max_advice, wait) if self.settings.may_advise else 0.0
-        self.out.append(api.Refuse(t.ask.request, advice) if harmless else api.Fail(t.ask.request))
-        self.line.end(t.ask.request)
-
-    def _allowed(self, t: Try, now: float) -> bool:
-        """Whether the effect lets this try be sent now; time undoes that while a keyed one waits."""
-        cls = self.settings.classes[t.ask.cls]
-        keyed = cls.effect is api.Effect.KEYED and t.ran_at is not None and now < t.ran_at + cls.window
-        return t.ran_at is None or cls.effect is api.Effect.SAFE or keyed
-
-    def _outcome(self, o: api.Outcome, now: float) -> None:
-        backend, t = self.fleet.known.get(o.backend), self.line.open.get(o.request)
-        if backend is not None and o.request in backend.out:
-            pressure = self.choice.learn(backend, o, t, now)
-            self.window.press(*pressure, now) if pressure else None
-        if t is not None and (o.status is api.Status.OK or o.ended):
-            aim = self.settings.classes[t.ask.cls].aim
-            self._answered(t.customer, ((t.begun_at or now) - (t.aim_at - aim)) / aim, now)
-            t.customer.level -= o.true_units - t.ask.units if o.true_units else 0.0  # where units are settled
-            self.line.end(o.request)
-        elif t is not None:
-            if not o.status.never_ran and t.ran_at is None:
-                t.ran_at, t.ran_on = now - o.latency, backend.entry if backend else None
-            t.reached = t.reached or o.status not in (api.Status.CONNECT_FAILED, api.Status.MOOT)
-            t.not_before = now + PAUSE_FULL * t.attempts * (o.status in (api.Status.FULL, api.Status.MOOT))
-            again = t.ran_at is not None  # as time, effect and a budget against retry storms allow
-            barred = self.retries < 1.0 or not self._allowed(t, now)
-            if t.attempts >= self.settings.max_attempts or now >= t.ends or again and barred or not o.is_held:
-                self._refuse(t, now, 0.0)
+        return task.ran_at is None or cls.effect is api.Effect.SAFE or is_deduplicated
+
+    def _on_outcome(self, outcome: api.Outcome, now: float) -> None:
+        backend, task = self.fleet.backends.get(outcome.backend), self.requests.open.get(outcome.request_id)
+        if backend is not None and outcome.request_id in backend.attempts:
+            sample = self.choice.on_outcome(backend, outcome, task, now)
+            self.window.observe(*sample, now) if sample else None
+        if task is not None and (outcome.status is api.Status.OK or outcome.request_ended):
+            target = self.settings.classes[task.request.cls].latency_target
+            self._answered(task.customer, ((task.stream_at or now) - (task.target_at - target)) / target, now)
+            task.customer.level -= outcome.actual_units - task.request.units if outcome.actual_units else 0.0
+            self.requests.end(outcome.request_id)
+        elif task is not None:
+            if not outcome.status.never_ran and task.ran_at is None:
+                task.ran_at, task.ran_on = now - outcome.latency, backend.entry if backend else None
+            task.tried = task.tried or outcome.status not in (api.Status.CONNECT_FAILED, api.Status.NOT_SENT)
+            task.earliest = now + FULL_PAUSE_S * task.attempts * (
+                outcome.status in (api.Status.FULL, api.Status.NOT_SENT)
+            )
+            # An attempt after one that may have run is a retry; the budget guards against retry storms.
+            is_retry = task.ran_at is not None
+            is_barred = self.retry_budget < 1.0 or not self._may_send(task, now)
+            if (
+                task.attempts >= self.settings.max_attempts
+                or now >= task.latest_at
+                or is_retry
+                and is_barred
+                or not outcome.can_resend
+            ):
+                self._refuse(task, now, 0.0)
             else:
-                self.retries -= again
-                if now < t.not_before or not self._place(t, now):
-                    self._hold(t, now)
-        self._pump(now)
+                self.retry_budget -= is_retry
+                if now < task.earliest or not self._send(task, now):
+                    self._hold(task, now)
+        self._recheck_held(now)
 
-    def _roster(self, roster: api.Roster, now: float) -> None:
+    def _on_roster(self, roster: api.Roster, now: float) -> None:
         if roster.kind is api.RosterKind.FAILED:
-            return self.out.append(api.Subscribe())
-        self.fleet.follow(roster, now)
+            return self.actions.append(api.Subscribe())
+        self.fleet.apply_roster(roster, now)
         self.window.open(self.settings.ingresses)
 
     def _restore(self, backend: object, now: float) -> None:
-        """What waits may go there now, as seldom as its cold share allows."""
+        # Put a backend back in use; held requests may go there, as its cold share allows.
         self.fleet.restore(backend, now)
-        self._pump(now)
+        self._recheck_held(now)
 
-    def _probed(self, probe: api.ProbeResult, now: float) -> None:
-        if (b := self.fleet.known.get(probe.backend)) is not None:
+    def _on_probe_result(self, probe: api.ProbeResult, now: float) -> None:
+        if (backend := self.fleet.backends.get(probe.backend)) is not None:
             ok = probe.status is api.Status.OK
-            self.choice.report(b, probe.report, now) if ok else self.choice.fail(b, now)
-        for t in self.fleet.probed(probe.backend):
-            t.not_before = now
-            if t.ask.request in self.line.held and not self._place(t, now):
-                self._hold(t, now)
-
-    def _answered(self, c: Customer, ratio: float, now: float) -> None:
-        self.regulator.answered(c, ratio)
-        self._activate(now)
-
-    def _activate(self, now: float) -> None:
-        """Let periods run while there is something to look at."""
-        if TOKEN_PERIOD not in self.timers.at:
-            self.period_at = now
-            self.out += self.timers.wake(TOKEN_PERIOD, now + PERIOD, now)
-
-    def _period(self, now: float) -> None:
-        span, self.period_at = max(1e-6, now - self.period_at), now
-        self.window.age(PERIOD, now)
+            self.choice.on_report(backend, probe.report, now) if ok else self.choice.on_failure(backend, now)
+        for task in self.fleet.take_probed(probe.backend):
+            task.earliest = now
+            if task.request.request_id in self.requests.held and not self._send(task, now):
+                self._hold(task, now)
+
+    def _answered(self, customer: Customer, ratio: float, now: float) -> None:
+        self.regulator.record_answer(customer, ratio)
+        self._schedule_period(now)
+
+    def _schedule_period(self, now: float) -> None:
+        # Start a period unless one is running; none run while there is nothing to look at.
+        if TOKEN_PERIOD not in self.timers.due_at:
+            self.period_began_at = now
+            self.actions += self.timers.set(TOKEN_PERIOD, now + PERIOD_S, now)
+
+    def _end_period(self, now: float) -> None:
+        span, self.period_began_at = max(1e-6, now - self.period_began_at), now
+        self.window.observe_in_flight(PERIOD_S, now)
         self.regulator.regulate(span)
-        self.regulator.rest(now - FORGET)
+        self.regulator.drop_idle(now - FORGET_AFTER_S)
         if self.regulator.active or self.fleet.busy:
-            self.out += self.timers.wake(TOKEN_PERIOD, now + PERIOD, now)
+            self.actions += self.timers.set(TOKEN_PERIOD, now + PERIOD_S, now)
--- a/fennelpoint/interface.py
+++ b/fennelpoint/interface.py
@@ -1,8 +1,11 @@
 """The types that the decision module takes and gives: settings, events and actions.
 
-A host builds one `fennelpoint.control.Controller` from `Settings`, hands it every event with the
-time it happened, and carries out the actions it returns, in order.  Times are seconds; ids are
-opaque and only compared.  A zero or empty setting means that the site has no such thing.
+A host builds one `fennelpoint.control.Controller` from `Settings`, passes it every event with the time
+at which it happened, and carries out the returned actions in order. Times are in seconds; ids are opaque
+and only compared. A zero or empty optional setting means that the site does not have the feature.
+
+A request costs a number of units, the quantity that quotas are counted in. A backend that has just
+started is cold: it has only a share of its capacity at first and warms up over the ramp time (slow start).
 """
 
 from __future__ import annotations
@@ -13,15 +16,15 @@
 
 
 class Effect(Enum):
-    """May a request of this class run more than once?"""
+    """Whether a request of a class may run more than once; `KEYED` ones carry an idempotency key."""
 
     SAFE = "safe"
     KEYED = "keyed"
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
-    """Which backends drop the repeats of a keyed request."""
+class DedupScope(Enum):
+    """The backends among which repeats of a keyed request are recognized and dropped."""
 
     ALL = "all"
     ZONE = "zone"
@@ -29,7 +32,10 @@
 
 
 class Status(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """How an attempt, a probe or a counter call ended.
+
+    `FULL`: rejected by a backend without capacity. `NOT_SENT`: the host did not send the attempt.
+    """
 
     OK = "ok"
     ERROR = "error"
@@ -38,12 +44,12 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
     @property
     def never_ran(self) -> bool:
         """Whether this outcome proves that the attempt had no effect."""
-        return self in (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
+        return self in (Status.FULL, Status.CONNECT_FAILED, Status.NOT_SENT)
 
 
 class BackendState(Enum):
@@ -53,6 +59,8 @@
 
 
 class RosterKind(Enum):
+    """What a roster holds: changes, the whole list, a cached list, or nothing because discovery failed."""
+
     CHANGES = "changes"
     FULL = "full"
     CACHED = "cached"
@@ -61,29 +69,35 @@
 
 @dataclass(slots=True)
 class RequestClass:
+    """A kind of request: an answer within `latency_target` has its full worth, one after `deadline` none."""
+
     name: str
-    aim: float
+    latency_target: float
     deadline: float
     worth: float
     effect: Effect
-    group: Group = Group.ALL
-    window: float = 0.0
+    scope: DedupScope = DedupScope.ALL
+    dedup_span: float = 0.0  # how long backends recognize the repeats of a keyed request
     late_worth: float = 0.0
-    aim_stretch: float = 0.0
+    latency_target_stretch: float = 0.0
     streamed: bool = False
 
 
 @dataclass(slots=True)
 class Plan:
-    """Quotas of each customer of the plan, over all ingresses together; a rate of 0 is none."""
+    """Quotas of each customer of the plan, over all ingresses together; a rate of 0 means no quota.
+
+    With an `excess_worth` over 0, requests beyond the quota are sent while there is capacity; the ceiling
+    limits all requests, within and beyond the quota. `excess_cost` is the cost of a request sent beyond it.
+    """
 
     name: str
     price: float
     rate: float = 0.0
     burst: float = 0.0
-    open_limit: int = 0
-    over_worth: float = 0.0
-    over_cost: float = 0.0
+    concurrency_limit: int = 0
+    excess_worth: float = 0.0
+    excess_cost: float = 0.0
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
     ceiling_slack: float = 0.0
@@ -91,43 +105,45 @@
 
 @dataclass(slots=True)
 class Settings:
-    me: int
-    ingresses: int
+    ingress_index: int  # of this ingress, from 0
+    ingresses: int  # how many there are
     zone: int
     classes: list[RequestClass]
     plans: list[Plan]
     max_attempts: int
     drain_grace: float
-    cold_share: float
-    ramp_time: float
+    cold_share: float  # of its capacity that a backend has right after its start
+    ramp_time: float  # from a backend's start until it is warm
     tip_multiple: float
     fall_span: float
     answer_slack: float
-    tick: float
+    tick: float  # resolution of the host's timers
     report_fields: list[str] = field(default_factory=list)
     report_via: str = "none"
     discovery: str = "push"
-    ask_every: float = 0.0
+    poll_interval: float = 0.0
     weights: str = "none"
     has_counter: bool = False
     counter_timeout: float = 0.0
     counter_fee: float = 0.0
     meter_period: float = 0.0
-    trued_up: bool = False
-    most_units: float = 0.0
+    corrects_units: bool = False
+    max_units: float = 0.0  # of one request
     may_probe: bool = False
-    may_message: bool = False
+    may_message_peers: bool = False
     may_cancel: bool = False
-    may_copy: bool = False
-    may_advise: bool = False
-    max_advice: float = 0.0
+    may_hedge: bool = False
+    may_set_retry_after: bool = False
+    max_retry_after: float = 0.0
     connect_timeout: float = 0.0
-    idle_close: float = 0.0  # s after which a backend closes an idle connection
-    zones: list[str] = field(default_factory=list)  # names; a zone or kind elsewhere is an index here
+    idle_timeout: float = 0.0  # after which a backend closes an idle connection
+    zones: list[str] = field(
+        default_factory=list
+    )  # names; zones and kinds are indexes into these lists elsewhere
     kinds: list[str] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Refuse settings that can't work, naming the field."""
+        """Reject invalid settings with a `ValueError` that names the field."""
         if not self.classes:
             raise ValueError("classes: there must be one at least")
         if not self.plans:
@@ -137,24 +153,29 @@
                 raise ValueError(f"{name}: {getattr(self, name)} is under 1")
         parts = [
             ("", self),
-            *((f"classes[{i}].", c) for i, c in enumerate(self.classes)),
-            *((f"plans[{i}].", p) for i, p in enumerate(self.plans)),
+            *((f"classes[{i}].", cls) for i, cls in enumerate(self.classes)),
+            *((f"plans[{i}].", plan) for i, plan in enumerate(self.plans)),
         ]
         for prefix, part in parts:
             for item in fields(part):
                 value = getattr(part, item.name)
                 if isinstance(value, int | float) and not 0.0 <= value < inf:
                     raise ValueError(f"{prefix}{item.name}: {value} is not a finite figure of 0 or more")
-        for i, c in enumerate(self.classes):
-            if not 0.0 < c.aim <= c.deadline:
-                raise ValueError(f"classes[{i}].aim: {c.aim} is not between 0 and the deadline {c.deadline}")
+        for i, cls in enumerate(self.classes):
+            if not 0.0 < cls.latency_target <= cls.deadline:
+                raise ValueError(
+                    f"classes[{i}].latency_target: {cls.latency_target} is not between 0 and"
+                    f" the deadline {cls.deadline}"
+                )
 
 
 @dataclass(slots=True)
 class BackendEntry:
+    """One backend as service discovery lists it."""
+
     backend: object
     state: BackendState
-    started_at: float = 0.0
+    started_at: float = 0.0  # 0: not known, the backend counts as warm
     zone: int = 0
     cell: int = 0
     kind: int = 0
@@ -166,6 +187,8 @@
 
 @dataclass(slots=True)
 class Roster:
+    """The list of backends from service discovery, or changes to it."""
+
     kind: RosterKind
     version: int
     entries: list[BackendEntry]
@@ -173,45 +196,52 @@
 
 @dataclass(slots=True)
 class Request:
-    request: int
+    """A client's request. `cls` and `plan` are indexes into the settings.
+
+    `spread` is the number of ingresses that the customer's requests arrive at, `first_ingress` the first.
+    """
+
+    request_id: int
     cls: int
     plan: int
     customer: int
     time_left: float
     units: float
-    width: float
-    first: float
-    is_repeat: bool = False
+    spread: float
+    first_ingress: float
+    is_retry: bool = False
     is_write: bool = False
-    is_coming: bool = False  # its body is still on its way and won't be held: see `BodyWhole`
+    is_uploading: bool = (
+        False  # the body is still being received and will not be buffered: see `BodyReceived`
+    )
 
 
 @dataclass(slots=True)
 class Outcome:
-    request: int
+    request_id: int
     attempt: int
     backend: object
     status: Status
     latency: float
-    ended: bool
-    metered: int = 0
-    true_units: float = 0.0
+    request_ended: bool
+    metered_units: int = 0
+    actual_units: float = 0.0  # to be charged in place of the request's estimate; 0: not known
     report: list[float] = field(default_factory=list)
-    is_held: bool = True  # the request's body is, so that it can be sent again
+    can_resend: bool = True  # the request's body is still buffered
 
 
 @dataclass(slots=True)
-class BodyWhole:
-    """The last byte of a request that was coming is here: its time counts from now."""
+class BodyReceived:
+    """The body of a request that was uploading is complete; its time limits start now."""
 
-    request: int
+    request_id: int
 
 
 @dataclass(slots=True)
 class StreamStarted:
     """The first bytes of a large answer went to the client: the attempt is final, its outcome comes later."""
 
-    request: int
+    request_id: int
     attempt: int
     backend: object
     latency: float
@@ -219,7 +249,7 @@
 
 @dataclass(slots=True)
 class ClientGone:
-    request: int
+    request_id: int
 
 
 @dataclass(slots=True)
@@ -243,7 +273,7 @@
 
 @dataclass(slots=True)
 class CounterReply:
-    name: int
+    key: int
     status: Status
     total: float
     latency: float
@@ -258,22 +288,22 @@
 
 @dataclass(slots=True)
 class Restore:
-    """An operator puts a backend back; it may have been restarted, so it counts as cold."""
+    """An operator puts a backend back; as it may have been restarted, it counts as cold."""
 
     backend: object
 
 
 @dataclass(slots=True)
-class Part:
-    """The part of this ingress's allowances that is ours: under 1 while another process runs beside us."""
+class ProcessShare:
+    """This process's share of its ingress's limits: under 1 while a second process of the ingress runs."""
 
-    part: float
+    share: float
 
 
 Event = (
     Roster
     | Request
-    | BodyWhole
+    | BodyReceived
     | Outcome
     | StreamStarted
     | ClientGone
@@ -283,7 +313,7 @@
     | CounterReply
     | Withdraw
     | Restore
-    | Part
+    | ProcessShare
 )
 
 
@@ -292,27 +322,31 @@
 
 @dataclass(slots=True)
 class Send:
-    """Begin an attempt; a time-out of 0 lasts until the client stops waiting."""
+    """Start an attempt; with a timeout of 0 it lasts until the client's deadline."""
 
-    request: int
+    request_id: int
     backend: object
     timeout: float = 0.0
 
 
 @dataclass(slots=True)
 class Refuse:
-    request: int
+    """Answer that the request was not run and may be sent again, after `retry_after` if that is not 0."""
+
+    request_id: int
     retry_after: float = 0.0
 
 
 @dataclass(slots=True)
 class Fail:
-    request: int
+    """Answer with an error: the request may have run."""
+
+    request_id: int
 
 
 @dataclass(slots=True)
 class CancelAttempt:
-    request: int
+    request_id: int
     attempt: int
 
 
@@ -324,17 +358,21 @@
 
 @dataclass(slots=True)
 class Probe:
+    """Ask a backend for its load report."""
+
     backend: object
 
 
 @dataclass(slots=True)
 class CloseIdle:
+    """Close the idle connections to a backend."""
+
     backend: object
 
 
 @dataclass(slots=True)
-class Tell:
-    """A message to one peer, or to every peer when `peer` is None."""
+class SendPeerMessage:
+    """Send a message to one other ingress, or to all when `peer` is None."""
 
     body: bytes
     peer: int | None = None
@@ -347,7 +385,9 @@
 
 @dataclass(slots=True)
 class Subscribe:
-    on: bool = True
+    """Start or stop the delivery of rosters."""
+
+    enabled: bool = True
 
 
 @dataclass(slots=True)
@@ -356,12 +396,12 @@
 
 
 @dataclass(slots=True)
-class Count:
-    """Add an amount to a named number that the ingresses share."""
+class CounterAdd:
+    """Add an amount to a counter that the ingresses share; it is reset once `ttl` has passed."""
 
-    name: int
+    key: int
     amount: float
-    forget_after: float
+    ttl: float
 
 
 Action = (
@@ -372,9 +412,9 @@
     | SetTimer
     | Probe
     | CloseIdle
-    | Tell
+    | SendPeerMessage
     | Log
     | Subscribe
     | FetchRoster
-    | Count
+    | CounterAdd
 )
--- a/fennelpoint/net/__init__.py
+++ b/fennelpoint/net/__init__.py
@@ -1,1 +1,1 @@
-"""The socket side of the ingress: bytes to `interface` events, actions to bytes.  It decides nothing."""
+"""Socket layer of the ingress: translates socket events into `interface` events, and actions into I/O."""
