--- a/fennelpoint/net/discovery.py
+++ b/fennelpoint/net/discovery.py
@@ -1,6 +1,6 @@
-"""The list of backends: the whole of it first, then watches back to back.
+"""Client of service discovery: fetches the full list of backends, then watches for changes by long polling.
 
-Silence is not an empty list: while discovery can't be reached or read, what was told last stays.
+While discovery is unreachable or its answers are invalid, the last known list stays in force.
 """
 
 from __future__ import annotations
@@ -15,16 +15,17 @@
 import httptools
 
 from fennelpoint import interface as api
-from fennelpoint.net.notice import complain
-
-HOLD = 2.0  # s that a watch may wait: short, so that a dead connection is noticed soon
-SLACK = 1.0  # s over that until the answer is given up; for one that needn't wait, all there is
-BACKOFF, BACKOFF_MOST = 0.1, 1.0  # s before asking again after a failure, doubling up to
-JITTER = (0.5, 1.0)  # of a wait: between these at random, so that ingresses don't call in step
-APART = 0.25  # s between two calls of the fleet, where one discovery serves all
-ASKED_ANEW = 4  # times the time between asks that a failed call counts for
-MOST_LIST = 8 * 1024 * 1024  # bytes of a list
-STATES = {
+from fennelpoint.net.notice import warn_rate_limited
+
+WATCH_HOLD_S = 2.0  # long-poll hold time; short, so that a dead connection is noticed soon
+ANSWER_SLACK_S = 1.0  # added to the hold time before a call times out; the timeout of calls without a hold
+MIN_BACKOFF_S, MAX_BACKOFF_S = 0.1, 1.0  # exponential backoff after failures
+JITTER_RANGE = (0.5, 1.0)  # random factor of waits, so that ingresses do not call in step
+# Average time between two calls of the whole fleet, if all ingresses call one discovery service.
+FLEET_CALL_INTERVAL_S = 0.25
+MAX_BACKOFF_FACTOR = 4  # upper limit of the backoff, in poll intervals
+MAX_LIST_BYTES = 8 * 1024 * 1024
+STATE_OF_PHASE = {
     "up": api.BackendState.READY,
     "draining": api.BackendState.DRAINING,
     "removed": api.BackendState.GONE,
@@ -34,76 +35,80 @@
 
 
 class ListError(ValueError):
-    """A list that can't be read; the text names the field."""
+    """An invalid list or address; the message names the field."""
 
 
 @dataclass(slots=True)
-class Listing:
-    """One answer of discovery."""
+class DiscoveryUpdate:
+    """One answer of discovery: a roster and the addresses of its backends."""
 
     roster: api.Roster
     addresses: dict[str, Address]
 
 
 def parse_address(text: object, where: str) -> Address:
-    """HOST:PORT as an address to connect to; there is no DNS, so the host is one of numbers."""
+    """Parse IPV4:PORT; host names are not supported."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     parts = host.split(".")
-    if len(parts) != 4 or not all(p.isascii() and p.isdigit() and int(p) < 256 for p in parts):
+    if len(parts) != 4 or not all(part.isascii() and part.isdigit() and int(part) < 256 for part in parts):
         raise ListError(f"{where}: {text!r} is not an IPv4 address with a port")
     if not (port.isascii() and port.isdigit() and 0 < int(port) < 65536):
-        raise ListError(f"{where}: {text!r} has no port")
+        raise ListError(f"{where}: {text!r} has no valid port")
     return host, int(port)
 
 
-def _figure(value: object, where: str) -> float:
+def _parse_number(value: object, where: str) -> float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0.0 <= value < math.inf:
-        raise ListError(f"{where}: {value!r} is not a finite figure of 0 or more")
+        raise ListError(f"{where}: {value!r} is not a finite number of 0 or more")
     return float(value)
 
 
-def _index(names: list[str], value: object) -> int:
-    """A zone or kind by its place in the settings; one that they don't name is past their end."""
+def _index_of(names: list[str], value: object) -> int:
+    """Index of a zone or kind in the settings; an unknown one is past the end."""
     return names.index(value) if value in names else len(names)
 
 
 def parse_member(
     value: object, settings: api.Settings, where: str
 ) -> tuple[api.BackendEntry, Address | None]:
-    """One backend of a list."""
+    """Parse one backend of a list."""
     if not isinstance(value, dict):
         raise ListError(f"{where} is not an object")
     name, phase = value.get("id"), value.get("phase")
     if not isinstance(name, str) or not name:
-        raise ListError(f"{where}.id: {name!r} is not a name")
-    if not isinstance(phase, str) or phase not in STATES:
-        raise ListError(f"{where}.phase: {phase!r} is none of {', '.join(STATES)}")
-    state = STATES[phase]
-    gone = state is api.BackendState.GONE  # its other fields are of no use any more
+        raise ListError(f"{where}.id: {name!r} is not a non-empty string")
+    if not isinstance(phase, str) or phase not in STATE_OF_PHASE:
+        raise ListError(f"{where}.phase: {phase!r} is not one of {', '.join(STATE_OF_PHASE)}")
+    state = STATE_OF_PHASE[phase]
+    gone = state is api.BackendState.GONE  # its other fields are not needed
     address = None if gone else parse_address(value.get("host_port"), f"{where}.host_port")
-    started = 0.0 if gone else _figure(value.get("up_since_ms", 0), f"{where}.up_since_ms") / 1000.0
-    weight = 1.0 if gone else _figure(value.get("size", 1.0), f"{where}.size")
-    cell = 0 if gone else int(_figure(value.get("cell", 0), f"{where}.cell"))
+    started = 0.0 if gone else _parse_number(value.get("up_since_ms", 0), f"{where}.up_since_ms") / 1000.0
+    weight = 1.0 if gone else _parse_number(value.get("size", 1.0), f"{where}.size")
+    cell = 0 if gone else int(_parse_number(value.get("cell", 0), f"{where}.cell"))
     return api.BackendEntry(
         name,
         state,
         started,
-        _index(settings.zones, value.get("locality")),
+        _index_of(settings.zones, value.get("locality")),
         cell,
-        _index(settings.kinds, value.get("flavor")),
+        _index_of(settings.kinds, value.get("flavor")),
         weight,
     ), address
 
 
 def parse_list(
     value: object, settings: api.Settings, known: dict[str, Address] | None = None, where: str = "list"
-) -> Listing:
-    """A list or its changes; a member that can't be read leaves the backend as it was known."""
+) -> DiscoveryUpdate:
+    """Parse a full list or a list of changes.
+
+    An invalid member is skipped, so that its backend stays as it is known. In a full list, an invalid entry
+    of a known backend raises ListError, as skipping it would remove the backend.
+    """
     if not isinstance(value, dict):
         raise ListError(f"{where} is not an object")
     revision, complete, members = value.get("revision"), value.get("complete"), value.get("members")
     if isinstance(revision, bool) or not isinstance(revision, int) or revision < 0:
-        raise ListError(f"{where}.revision: {revision!r} is not a version")
+        raise ListError(f"{where}.revision: {revision!r} is not a whole number of 0 or more")
     if not isinstance(complete, bool):
         raise ListError(f"{where}.complete: {complete!r} is neither true nor false")
     if not isinstance(members, list):
@@ -115,69 +120,80 @@
         except ListError as error:
             name = member.get("id") if isinstance(member, dict) else None
             if complete and isinstance(name, str) and name in (known or {}):
-                raise  # dropped from a whole list it would count as gone
-            complain("discovery", "left out: %s", error)
+                raise  # skipping it would remove the backend
+            warn_rate_limited("discovery", "entry skipped: %s", error)
             continue
         entries[entry.backend] = entry
         if address is not None:
             addresses[entry.backend] = address
     kind = api.RosterKind.FULL if complete else api.RosterKind.CHANGES
-    return Listing(api.Roster(kind, revision, list(entries.values())), addresses)
+    return DiscoveryUpdate(api.Roster(kind, revision, list(entries.values())), addresses)
 
 
-class Discovery(asyncio.Protocol):
-    """The watch on discovery, over one connection at a time."""
+class DiscoveryWatch(asyncio.Protocol):
+    """Watches discovery over one connection at a time."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         address: Address,
         settings: api.Settings,
-        follow: Callable[[api.Roster, dict[str, Address]], None],
+        on_update: Callable[[api.Roster, dict[str, Address]], None],
         seed: int,
     ) -> None:
-        self.loop, self.address, self.settings, self.follow = loop, address, settings, follow
-        self.random, self.hold, self.patience, self.first_in = Random(seed), HOLD, SLACK, 0.0
-        self.backoff_least, self.backoff_most = BACKOFF, BACKOFF_MOST
+        self.loop, self.address, self.settings, self.on_update = loop, address, settings, on_update
+        self.random, self.hold_s, self.answer_slack_s, self.max_initial_delay_s = (
+            Random(seed),
+            WATCH_HOLD_S,
+            ANSWER_SLACK_S,
+            0.0,
+        )
+        self.min_backoff_s, self.max_backoff_s = MIN_BACKOFF_S, MAX_BACKOFF_S
         if settings.discovery == "ask":
-            # Each new watch is work for the one discovery of the whole fleet, which also goes on with calls
-            # that it has failed: once more come than it does, none is served any more.
-            self.first_in = self.backoff_least = settings.ingresses * APART
-            self.hold, self.patience = max(HOLD, settings.ask_every), HOLD + SLACK
-            self.backoff_most = max(BACKOFF_MOST, self.first_in, ASKED_ANEW * settings.ask_every)
-        self.known: dict[str, Address] = {}
-        self.revision: int | None = None  # of the last list from discovery itself
-        self.backoff = self.backoff_least
+            # The discovery service of the whole fleet keeps working on calls that have timed out. If calls
+            # arrive faster than it can serve them, it recovers only if clients back off far enough.
+            self.max_initial_delay_s = self.min_backoff_s = settings.ingresses * FLEET_CALL_INTERVAL_S
+            self.hold_s, self.answer_slack_s = (
+                max(WATCH_HOLD_S, settings.poll_interval),
+                WATCH_HOLD_S + ANSWER_SLACK_S,
+            )
+            self.max_backoff_s = max(
+                MAX_BACKOFF_S, self.max_initial_delay_s, MAX_BACKOFF_FACTOR * settings.poll_interval
+            )
+        self.known_addresses: dict[str, Address] = {}
+        self.revision: int | None = None  # of the last list received from discovery
+        self.backoff_s = self.min_backoff_s
         self.stopped = False
         self.transport: asyncio.Transport | None = None
         self.connecting: asyncio.Task | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.body: list[bytes] = []
-        self.size = 0
-        self.complete = self.keep = False
+        self.received_bytes = 0
+        self.complete = self.keep_alive = False
 
     def start(self) -> None:
-        """Begin to ask: soon where a list is known that will do until an answer comes, else at once."""
-        wait = self.first_in * self.random.random() if self.revision is not None else 0.0
-        self.timer = self.loop.call_later(wait, self._ask)
+        """Start watching: after a random delay if a usable list is known, else at once."""
+        wait = self.max_initial_delay_s * self.random.random() if self.revision is not None else 0.0
+        self.timer = self.loop.call_later(wait, self._send_request)
 
     def stop(self) -> None:
         self.stopped = True
-        self._drop()
-
-    def take(self, listing: Listing) -> None:
-        """Keep to a list, and tell of it."""
-        if listing.roster.kind is api.RosterKind.CACHED and self.settings.discovery == "ask":
-            self.revision = listing.roster.version  # the whole list is dear there, and free from an agent
-        if listing.roster.kind is not api.RosterKind.CHANGES:
-            self.known = {}
-        for entry in listing.roster.entries:
-            self.known.pop(entry.backend, None)
-        self.known.update(listing.addresses)
-        self.follow(listing.roster, listing.addresses)
-
-    def _drop(self) -> None:
-        """Leave the connection, whatever state it is in."""
+        self._disconnect()
+
+    def apply(self, update: DiscoveryUpdate) -> None:
+        """Apply a list and pass it on."""
+        if update.roster.kind is api.RosterKind.CACHED and self.settings.discovery == "ask":
+            # Avoids fetching the full list, which is expensive unless a local agent serves it.
+            self.revision = update.roster.version
+        if update.roster.kind is not api.RosterKind.CHANGES:
+            self.known_addresses = {}
+        for entry in update.roster.entries:
+            self.known_addresses.pop(entry.backend, None)
+        self.known_addresses.update(update.addresses)
+        self.on_update(update.roster, update.addresses)
+
+    def _disconnect(self) -> None:
+        """Close or abandon the connection, in any state."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -188,21 +204,21 @@
             transport, self.transport = self.transport, None
             transport.abort()
 
-    def _ask(self) -> None:
-        """The next call: on the open connection, or on a new one."""
+    def _send_request(self) -> None:
+        """Send the next call on the open connection, or open one first."""
         if self.stopped:
             return
         if self.timer is not None:
             self.timer.cancel()
-        wait = self.hold * self.random.uniform(*JITTER) if self.revision is not None else 0.0
-        self.timer = self.loop.call_later(wait + self.patience, self._failed, "does not answer")
+        wait = self.hold_s * self.random.uniform(*JITTER_RANGE) if self.revision is not None else 0.0
+        self.timer = self.loop.call_later(wait + self.answer_slack_s, self._retry_later, "call timed out")
         if self.transport is None:
             task = self.connecting = self.loop.create_task(
                 self.loop.create_connection(lambda: self, *self.address)
             )
             task.add_done_callback(self._connected)
             return
-        self.body, self.size, self.complete = [], 0, False
+        self.body, self.received_bytes, self.complete = [], 0, False
         self.parser = httptools.HttpResponseParser(self)
         query = f"?from={self.revision}&hold_ms={wait * 1000:.0f}" if self.revision is not None else ""
         self.transport.write(f"GET /v1/endpoints{query} HTTP/1.1\r\nHost: discovery\r\n\r\n".encode())
@@ -212,60 +228,62 @@
             return
         self.connecting = None
         if (error := task.exception()) is not None:
-            self._failed(f"can't be reached ({error})")
+            self._retry_later(f"cannot connect ({error})")
 
-    def _failed(self, what: str) -> None:
-        """Keep the list that there is and ask again a little later."""
+    def _retry_later(self, reason: str) -> None:
+        """Keep the known list and retry after a backoff."""
         if self.stopped:
             return
-        complain("discovery", "%s", what)
-        self._drop()
-        self.timer = self.loop.call_later(self.backoff * self.random.uniform(*JITTER), self._ask)
-        self.backoff = min(self.backoff_most, 2 * self.backoff)
+        warn_rate_limited("discovery", "%s", reason)
+        self._disconnect()
+        self.timer = self.loop.call_later(
+            self.backoff_s * self.random.uniform(*JITTER_RANGE), self._send_request
+        )
+        self.backoff_s = min(self.max_backoff_s, 2 * self.backoff_s)
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.connecting, self.transport = None, transport
-        self._ask()
+        self._send_request()
 
     def data_received(self, data: bytes) -> None:
         if self.transport is None:
             return
-        self.size += len(data)
+        self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            return self._failed(f"an answer can't be read ({error})")
-        if self.size > MOST_LIST:
-            return self._failed("an answer has no end")
+            return self._retry_later(f"invalid answer ({error})")
+        if self.received_bytes > MAX_LIST_BYTES:
+            return self._retry_later("answer too large")
         if self.complete:
-            self._answered()
+            self._handle_answer()
 
     def on_body(self, body: bytes) -> None:
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        self.complete, self.keep = True, self.parser.should_keep_alive()
+        self.complete, self.keep_alive = True, self.parser.should_keep_alive()
 
-    def _answered(self) -> None:
+    def _handle_answer(self) -> None:
         status = self.parser.get_status_code()
         if status != 200:
-            return self._failed(f"answers {status}")
+            return self._retry_later(f"unexpected status {status}")
         try:
-            listing = parse_list(json.loads(b"".join(self.body)), self.settings, self.known)
+            update = parse_list(json.loads(b"".join(self.body)), self.settings, self.known_addresses)
         except (ValueError, RecursionError) as error:
-            return self._failed(f"an answer can't be read ({error})")
-        if listing.roster.kind is api.RosterKind.CHANGES and self.revision is None:
-            return self._failed("told changes where the whole list was asked for")
-        news = listing.roster.kind is api.RosterKind.FULL or listing.roster.entries
-        self.revision, self.backoff = listing.roster.version, self.backoff_least
-        if not self.keep:
+            return self._retry_later(f"invalid answer ({error})")
+        if update.roster.kind is api.RosterKind.CHANGES and self.revision is None:
+            return self._retry_later("sent changes although the full list was requested")
+        has_changes = update.roster.kind is api.RosterKind.FULL or update.roster.entries
+        self.revision, self.backoff_s = update.roster.version, self.min_backoff_s
+        if not self.keep_alive:
             transport, self.transport = self.transport, None
             transport.abort()
-        self._ask()  # first: a watch lapses when the next call is late
-        if news:
-            self.take(listing)
+        self._send_request()  # first, since a watch expires if the next call is late
+        if has_changes:
+            self.apply(update)
 
     def connection_lost(self, error: Exception | None) -> None:
-        if self.transport is not None:  # else it was left on purpose
+        if self.transport is not None:  # else it was closed on purpose
             self.transport = None
-            self._failed("closed the connection")
+            self._retry_later("connection closed")
--- a/fennelpoint/net/figures.py
+++ b/fennelpoint/net/figures.py
@@ -1,4 +1,4 @@
-"""What the ingress reports of itself: plain counts, added to where a thing ends, as Prometheus text."""
+"""Request counters and gauges of the ingress in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 CONTENT_TYPE = b"text/plain; version=0.0.4; charset=utf-8"
 
 
-class Figures:
-    """The counts of each request class since the process began."""
+class RequestMetrics:
+    """Request counters since the start of the process, by request class."""
 
     def __init__(self, classes: Iterable[str]) -> None:
-        self.names = list(classes)
-        self.answered = [0] * len(self.names)  # requests served
-        self.deferred = [0] * len(self.names)  # requests refused
-        self.errored = [0] * len(self.names)  # requests failed
-        self.sends = [0] * len(self.names)  # attempts written whole to a backend
-
-    def render(self, current: int, size: int, unhealthy: int) -> bytes:
-        """All figures; the three that are not counts are told by those who know them."""
+        self.class_names = list(classes)
+        self.answered = [0] * len(self.class_names)  # requests answered with a backend's success
+        self.deferred = [0] * len(self.class_names)  # requests refused
+        self.errored = [0] * len(self.class_names)  # requests failed
+        self.sends = [0] * len(self.class_names)  # attempts completely written to a backend
+
+    def render(self, open_requests: int, cluster_size: int, unhealthy_servers: int) -> bytes:
+        """Render the counters and the given gauges."""
         lines: list[str] = []
         for name, help_text, counts in (
             ("app_answered", "Requests served.", self.answered),
@@ -26,22 +26,29 @@
             ("app_errored", "Requests failed.", self.errored),
             ("app_sends", "Attempts written whole to menu servers.", self.sends),
         ):
-            lines += _family(
+            lines += _render_family(
                 name,
                 help_text,
                 "counter",
-                [(f'{{group="{escape(group)}"}}', n) for group, n in zip(self.names, counts, strict=True)],
+                [
+                    (f'{{group="{escape_label_value(group)}"}}', count)
+                    for group, count in zip(self.class_names, counts, strict=True)
+                ],
             )
         for name, help_text, value in (
-            ("app_current", "Requests taken and not yet ended.", current),
-            ("app_cluster_size", "Menu servers in the list.", size),
-            ("app_cluster_unhealthy", "Listed menu servers that get nothing new at present.", unhealthy),
+            ("app_current", "Requests taken and not yet ended.", open_requests),
+            ("app_cluster_size", "Menu servers in the list.", cluster_size),
+            (
+                "app_cluster_unhealthy",
+                "Listed menu servers that get nothing new at present.",
+                unhealthy_servers,
+            ),
         ):
-            lines += _family(name, help_text, "gauge", [("", value)])
+            lines += _render_family(name, help_text, "gauge", [("", value)])
         return "\n".join([*lines, ""]).encode()
 
 
-def _family(name: str, help_text: str, kind: str, samples: Sequence[tuple[str, int]]) -> list[str]:
+def _render_family(name: str, help_text: str, kind: str, samples: Sequence[tuple[str, int]]) -> list[str]:
     return [
         f"# HELP {name} {help_text}",
         f"# TYPE {name} {kind}",
@@ -49,6 +56,6 @@
     ]
 
 
-def escape(value: str) -> str:
-    """A label's value as the text format wants it."""
+def escape_label_value(value: str) -> str:
+    """Escape a label value for the Prometheus text format."""
     return value.replace("\\", "\\\\").replace('"', '\\"').replace("\n", "\\n")
--- a/fennelpoint/net/flow.py
+++ b/fennelpoint/net/flow.py
@@ -1,6 +1,7 @@
-"""Bodies too large to hold: pieces that go on as they come, within one budget for all that waits.
+"""Streaming of large bodies: data is forwarded as it arrives, within one buffer budget per process.
 
-Nothing is read from one side while more than a piece waits to be written to the other.
+Backpressure: reading from one side stops while more than one read's worth of data is waiting to be written to
+the other.
 """
 
 from __future__ import annotations
@@ -9,126 +10,136 @@
 from collections.abc import Callable
 from typing import Protocol
 
-HELD = 64 * 1024  # bytes of a body that are held, so that it can be sent again or checked whole
-MOST_LARGE = 32 * 1024 * 1024  # bytes of any body
-PIECE, SMALL_PIECE = 64 * 1024, 4 * 1024  # bytes read at a time; with little room left
+# A body up to this size is kept in memory, so that it can be sent again or checked whole.
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
+MAX_BODY_BYTES = 32 * 1024 * 1024  # limit for any body
+# Per read; the small size is used once half of the budget is spent.
+READ_BYTES, SMALL_READ_BYTES = 64 * 1024, 4 * 1024
 MEGABYTE = 1024 * 1024
-PROCESS = 20 * MEGABYTE  # what a process needs without any bodies; there may be two
-USED, LEAST = 0.75, 2 * MEGABYTE  # of what is left, for the loop and the parsers have copies; at the least
-FRAMING = 16  # bytes of framing that may come with one of the body, as in chunks of a byte each
-MOST_OVERHEAD = 128 * 1024  # and without any: heads, trailers, extensions of chunks
-STALLED = 5.0  # s without a byte read or written, after which the peer of a large body is given up
+# Memory of a process without bodies; two processes run during a hand-over.
+PROCESS_BASE_BYTES = 20 * MEGABYTE
+# Share of the remaining memory; the event loop and the parsers hold copies of the data.
+BODY_MEMORY_SHARE, MIN_BUDGET_BYTES = 0.75, 2 * MEGABYTE
+MAX_FRAMING_FACTOR = 16  # bytes of chunk framing allowed per body byte (chunks of one byte)
+MAX_OVERHEAD_BYTES = 128 * 1024  # for heads, trailers and chunk extensions
+# After this time without a byte read or written, the peer of a streamed body is given up.
+STREAM_STALL_TIMEOUT_S = 5.0
 
 
-class Budget:
-    """Bytes that wait in this process, of all bodies together."""
+class BufferBudget:
+    """Memory budget for all buffered body data of this process."""
 
     def __init__(self, memory_mb: float) -> None:
-        """`memory_mb`: what the process may use."""
-        left = memory_mb * MEGABYTE - 2 * PROCESS
-        self.total = max(LEAST, int(left / 2 * USED))
+        """`memory_mb`: memory available to the ingress."""
+        available = memory_mb * MEGABYTE - 2 * PROCESS_BASE_BYTES
+        self.total = max(MIN_BUDGET_BYTES, int(available / 2 * BODY_MEMORY_SHARE))
         self.used = 0
-        self.buffer = memoryview(bytearray(PIECE))  # everyone reads into it, one after the other
+        self.read_buffer = memoryview(bytearray(READ_BYTES))  # shared by all connections
 
     @property
-    def full(self) -> bool:
-        """Whether nothing more may wait."""
+    def is_full(self) -> bool:
+        """Whether the budget is spent."""
         return self.used >= self.total
 
-    def piece(self) -> int:
-        """How much to read at a time."""
-        return PIECE if self.used < self.total // 2 else SMALL_PIECE
+    def read_size(self) -> int:
+        """Number of bytes to read at a time."""
+        return READ_BYTES if self.used < self.total // 2 else SMALL_READ_BYTES
 
-    def mark(self) -> int:
-        """How much may wait to be written before its source is left unread."""
-        return 0 if self.full else self.piece()
+    def high_water_mark(self) -> int:
+        """Number of bytes that may wait to be written before reading from the source stops."""
+        return 0 if self.is_full else self.read_size()
 
 
-class Waiting:
-    """What waits in one transport's buffer, as far as it counts against the budget."""
+class WriteBufferAccount:
+    """Charges the write buffer of one transport to the budget."""
 
     __slots__ = ("budget", "transport", "size")
 
-    def __init__(self, budget: Budget, transport: asyncio.Transport) -> None:
-        """Count what waits in `transport` against `budget`."""
+    def __init__(self, budget: BufferBudget, transport: asyncio.Transport) -> None:
+        """Charge the write buffer of `transport` to `budget`."""
         self.budget, self.transport, self.size = budget, transport, 0
 
-    def look(self) -> int:
-        """The bytes that wait at present."""
+    def update(self) -> int:
+        """Bring the charge up to date; returns the current size of the write buffer."""
         size = self.transport.get_write_buffer_size()
         self.budget.used += size - self.size
         self.size = size
         return size
 
-    def end(self) -> None:
-        """Nothing of it counts any more."""
+    def release(self) -> None:
+        """Remove the charge from the budget."""
         self.budget.used -= self.size
         self.size = 0
 
 
-class Sink(Protocol):
-    """Where an upload's bytes go."""
+class BodySink(Protocol):
+    """Destination of an upload."""
 
-    def pass_on(self, data: bytes) -> None:
-        """Take more of the body."""
+    def write_body(self, data: bytes) -> None:
+        """Write more of the body."""
 
     def finish(self) -> None:
-        """The body is whole."""
+        """End the body."""
 
 
 class Upload:
-    """A request's large body: held in part until a backend takes it, then passed on as it comes."""
+    """A large request body: buffered until a backend connection is attached, then streamed."""
 
-    __slots__ = ("budget", "read_on", "length", "held", "size", "whole", "sink", "on_whole")
+    __slots__ = ("budget", "set_reading", "length", "buffered", "size", "is_complete", "sink", "on_complete")
 
     def __init__(
-        self, budget: Budget, length: int | None, read_on: Callable[[bool], None], pieces: list[bytes]
+        self,
+        budget: BufferBudget,
+        length: int | None,
+        set_reading: Callable[[bool], None],
+        pieces: list[bytes],
     ) -> None:
-        """`pieces`: what has come of the body; `read_on` tells the client's side whether to read."""
+        """`pieces`: the data received so far; `set_reading` pauses and resumes reading from the client."""
         self.budget = budget
-        self.length = length  # none where it comes in chunks
-        self.read_on = read_on  # tells the client's side whether to read
-        self.held: list[bytes] | None = pieces  # all that came; none once a part was passed on
+        self.length = length  # None for chunked transfer encoding
+        self.set_reading = set_reading
+        # All data received so far; None once any of it has been forwarded.
+        self.buffered: list[bytes] | None = pieces
         self.size = sum(map(len, pieces))
-        self.whole = False
-        self.sink: Sink | None = None
-        self.on_whole: Callable[[], None] = lambda: None
+        self.is_complete = False
+        self.sink: BodySink | None = None
+        self.on_complete: Callable[[], None] = lambda: None
         budget.used += self.size
-        read_on(False)
+        set_reading(False)
 
     def feed(self, data: bytes) -> None:
-        """More has come: it goes on, or is held."""
+        """Forward or buffer more data of the body."""
         self.size += len(data)
         if self.sink is not None:
-            self.sink.pass_on(data)
-        elif self.held is not None:
-            self.held.append(data)
+            self.sink.write_body(data)
+        elif self.buffered is not None:
+            self.buffered.append(data)
             self.budget.used += len(data)
 
-    def end(self) -> None:
-        """The last byte has come."""
-        self.whole = True
-        self.read_on(True)
-        self.on_whole()
+    def feed_eof(self) -> None:
+        """End the body: the client has sent its last byte."""
+        self.is_complete = True
+        self.set_reading(True)
+        self.on_complete()
         if self.sink is not None:
             self.sink.finish()
 
-    def start(self, sink: Sink) -> None:
-        """Pass on what is held; from now on it is not any more."""
-        pieces, self.sink = self.held or [], sink
-        self.drop()
+    def attach(self, sink: BodySink) -> None:
+        """Send the buffered data to `sink`; later data goes there directly."""
+        pieces, self.sink = self.buffered or [], sink
+        self.discard_buffer()
         for piece in pieces:
-            sink.pass_on(piece)
-        if self.whole:
+            sink.write_body(piece)
+        if self.is_complete:
             sink.finish()
 
-    def leave(self, sink: Sink) -> None:
-        """That backend takes no more of it."""
+    def detach(self, sink: BodySink) -> None:
+        """Stop sending to `sink`."""
         if self.sink is sink:
             self.sink = None
 
-    def drop(self) -> None:
-        """Hold nothing any more."""
-        if self.held is not None:
-            self.budget.used -= sum(map(len, self.held))
-            self.held = None
+    def discard_buffer(self) -> None:
+        """Discard the buffered data; the body can no longer be sent from the start."""
+        if self.buffered is not None:
+            self.budget.used -= sum(map(len, self.buffered))
+            self.buffered = None
--- a/fennelpoint/net/handover.py
+++ b/fennelpoint/net/handover.py
@@ -1,8 +1,8 @@
-"""What two processes of one ingress know of each other while a new version takes over: files in a folder.
+"""Hand-over between two processes of one ingress during an upgrade, by files in a shared folder.
 
-Each process holds a lock on a file of its own that says what it is about; the lock ends with the process,
-so a file without one is stale.  The bans stand in one file that whoever changes it renames into place.
-Where the folder can't be used, a process acts as if it were alone.
+Each process holds a lock on a file of its own that contains its state. The lock ends with the process, so a
+file that is not locked is stale. Bans (backends taken out by operators) are kept in one file, which is
+replaced atomically. If the folder cannot be used, a process acts as if it were alone.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from pathlib import Path
 from urllib.parse import quote
 
-from fennelpoint.net.notice import complain, log
+from fennelpoint.net.notice import log, warn_rate_limited
 
-MOST_BANS = 1024 * 1024  # bytes of the file of bans; a larger one is none of ours
+MAX_BANS_BYTES = 1024 * 1024  # a larger file is rejected as invalid
 
 
 class State(Enum):
-    """What a process is about; the words are of one length, so that one replaces another whole."""
+    """State of a process, as stored in its file; values have equal length, so that a write replaces one."""
 
     STARTING = "start"
     RUNNING = "runs."
@@ -29,38 +29,39 @@
 
 
 class Handover:
-    """This process's own file, the others', and the bans."""
+    """Access to the state files of this and other processes, and to the file of bans."""
 
     def __init__(self, folder: str | None, name: str) -> None:
         self.folder = Path(folder) if folder else None
-        self.name = quote(name, safe="")  # it may hold anything, a slash too
-        self.own: Path | None = None
-        self.lock: int | None = None
-        self.bans_seen: tuple[int, int, int] | None = None  # which file of bans was read last
-
-    def appear(self) -> None:
-        """Be seen by the others from now on; the file is locked before it has its name, so never stale."""
+        self.name = quote(name, safe="")  # may contain any character, including slashes
+        self.own_path: Path | None = None
+        self.lock_fd: int | None = None
+        # Identifies the version of the bans file that was last read or written.
+        self.bans_version: tuple[int, int, int] | None = None
+
+    def register(self) -> None:
+        """Publish this process; its file is locked before it is renamed, so it is never seen as stale."""
         if self.folder is None:
             return
         try:
-            self.lock, path = tempfile.mkstemp(prefix=f"{self.name}.", suffix=".new", dir=self.folder)
-            fcntl.flock(self.lock, fcntl.LOCK_EX)
-            os.write(self.lock, State.STARTING.value.encode())
-            self.own = Path(path).with_suffix(".alive")
-            os.rename(path, self.own)
+            self.lock_fd, path = tempfile.mkstemp(prefix=f"{self.name}.", suffix=".new", dir=self.folder)
+            fcntl.flock(self.lock_fd, fcntl.LOCK_EX)
+            os.write(self.lock_fd, State.STARTING.value.encode())
+            self.own_path = Path(path).with_suffix(".alive")
+            os.rename(path, self.own_path)
         except OSError as error:
-            log.warning("no other process will see this one: %s", error)
+            log.warning("cannot register with other processes of this ingress: %s", error)
 
-    def say(self, state: State) -> None:
-        if self.lock is None:
+    def publish_state(self, state: State) -> None:
+        if self.lock_fd is None:
             return
         try:
-            os.pwrite(self.lock, state.value.encode(), 0)
-        except OSError as error:  # a stop goes on whatever becomes of its file
-            log.warning("other processes will not see that this one %s: %s", state.name.lower(), error)
+            os.pwrite(self.lock_fd, state.value.encode(), 0)
+        except OSError as error:  # the process stops even if its file cannot be written
+            log.warning("cannot publish state %s to other processes: %s", state.name.lower(), error)
 
-    def others(self) -> list[State]:
-        """What the other living processes of this ingress are about."""
+    def other_states(self) -> list[State]:
+        """Return the states of the other running processes of this ingress."""
         if self.folder is None:
             return []
         found = []
@@ -68,48 +69,48 @@
             paths = [
                 p
                 for p in self.folder.iterdir()
-                if p.suffix == ".alive" and p != self.own and p.name.rsplit(".", 2)[0] == self.name
+                if p.suffix == ".alive" and p != self.own_path and p.name.rsplit(".", 2)[0] == self.name
             ]
         except OSError as error:
-            complain("handover", "%s can't be read: %s", self.folder, error)
+            warn_rate_limited("handover", "cannot read %s: %s", self.folder, error)
             return []
         for path in paths:
             try:
                 with open(path, "rb") as file:
-                    if _locked(file.fileno()):
-                        found.append(_state(file.read(16)))
+                    if _is_locked(file.fileno()):
+                        found.append(_parse_state(file.read(16)))
                     else:
-                        path.unlink(missing_ok=True)  # its process is gone
+                        path.unlink(missing_ok=True)  # its process has ended
             except OSError:
-                continue  # it went just now
+                continue  # it was removed in the meantime
         return found
 
     # Bans
 
     @property
-    def _bans(self) -> Path:
+    def _bans_path(self) -> Path:
         return self.folder / f"{self.name}.bans.json"
 
-    def changed_bans(self) -> set[str] | None:
-        """The ids that are out, if that was changed since it was last read or written here."""
+    def read_changed_bans(self) -> set[str] | None:
+        """Return the banned ids if the file has changed since it was last read or written here, else None."""
         if self.folder is None:
             return None
         try:
-            with open(self._bans, "rb") as file:
-                if (seen := _mark(file.fileno())) == self.bans_seen:
+            with open(self._bans_path, "rb") as file:
+                if (version := _file_version(file.fileno())) == self.bans_version:
                     return None
-                self.bans_seen, data = seen, file.read(MOST_BANS + 1)
+                self.bans_version, data = version, file.read(MAX_BANS_BYTES + 1)
         except FileNotFoundError:
             return None
         except OSError as error:
-            complain("handover", "the bans can't be read: %s", error)
+            warn_rate_limited("handover", "cannot read the bans: %s", error)
             return None
         try:
             ids = json.loads(data)["bans"]
-            if not isinstance(ids, list) or not all(isinstance(i, str) for i in ids):
-                raise ValueError("bans is not a list of names")
+            if not isinstance(ids, list) or not all(isinstance(ban, str) for ban in ids):
+                raise ValueError("bans is not a list of strings")
         except (ValueError, KeyError, TypeError, RecursionError) as error:
-            log.error("the file of bans can't be read, so none is taken from it: %s", error)
+            log.error("bans file is invalid and ignored: %s", error)
             return None
         return set(ids)
 
@@ -121,21 +122,21 @@
             with open(handle, "w") as file:
                 json.dump({"bans": sorted(ids)}, file)
                 file.flush()
-                self.bans_seen = _mark(file.fileno())
-                os.rename(path, self._bans)
+                self.bans_version = _file_version(file.fileno())
+                os.rename(path, self._bans_path)
         except OSError as error:
-            log.error("the bans hold in this process alone, they can't be written: %s", error)
+            log.error("cannot write the bans, they apply to this process only: %s", error)
 
-    def leave(self) -> None:
-        """Be seen no more; the bans stay for whoever comes next."""
-        if self.lock is not None:
-            if self.own is not None:
-                self.own.unlink(missing_ok=True)
-            os.close(self.lock)
-            self.lock = self.own = None
+    def unregister(self) -> None:
+        """Withdraw this process; the bans stay for its successor."""
+        if self.lock_fd is not None:
+            if self.own_path is not None:
+                self.own_path.unlink(missing_ok=True)
+            os.close(self.lock_fd)
+            self.lock_fd = self.own_path = None
 
 
-def _locked(descriptor: int) -> bool:
+def _is_locked(descriptor: int) -> bool:
     try:
         fcntl.flock(descriptor, fcntl.LOCK_SH | fcntl.LOCK_NB)
     except BlockingIOError:
@@ -143,14 +144,14 @@
     return False
 
 
-def _state(word: bytes) -> State:
-    """One that can't be read counts as running: its part is left to it."""
+def _parse_state(data: bytes) -> State:
+    """Parse a state; an invalid one counts as running, so that its share of the allowances is left to it."""
     try:
-        return State(word.decode())
+        return State(data.decode())
     except ValueError:
         return State.RUNNING
 
 
-def _mark(descriptor: int) -> tuple[int, int, int]:
+def _file_version(descriptor: int) -> tuple[int, int, int]:
     status = os.fstat(descriptor)
     return status.st_ino, status.st_mtime_ns, status.st_size
--- a/fennelpoint/net/host.py
+++ b/fennelpoint/net/host.py
@@ -1,8 +1,8 @@
-"""The one owner of the decision module, its clock, timers and request ids.
+"""Runs the decision module: owns its clock, timers and request ids.
 
-Everything that happens on the sockets comes here, becomes an `interface` event, and each action that
-the module answers with is carried out, in order.  The host keeps what is needed to give every request
-exactly one answer; whom to send it to, and whether, is the module's alone.
+Socket events are translated into `interface` events, and the actions that the module returns are carried out
+in order. The host makes sure that every request gets exactly one answer; all routing and admission decisions
+are made by the module.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 from fennelpoint import interface as api
 from fennelpoint.control import Controller
-from fennelpoint.net.backends import Answer, Backends, Exchange, UpstreamConnection, load_report
-from fennelpoint.net.counter import Counter
-from fennelpoint.net.figures import Figures
+from fennelpoint.net.backends import Answer, BackendPool, Exchange, UpstreamConnection, parse_load_report
+from fennelpoint.net.counter import CounterClient
+from fennelpoint.net.figures import RequestMetrics
 from fennelpoint.net.flow import Upload
-from fennelpoint.net.notice import complain, log
+from fennelpoint.net.notice import log, warn_rate_limited
 
-EARLY = 0.0005  # s by which a timer may ring ahead of its time
+TIMER_TOLERANCE_S = 0.0005  # a timer may fire this much early
 
 
 class Clock:
-    """Unix time that only goes forward: the wall clock is read once, so that a step of it is not seen."""
+    """Monotonic Unix time: the wall clock is read once, so that later clock steps have no effect."""
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
@@ -37,20 +37,20 @@
 
 
 class Client(Protocol):
-    """Where a request's answer goes."""
+    """Receives the answer to a request."""
 
-    def served(self, answer: Answer) -> None: ...
+    def send_success(self, answer: Answer) -> None: ...
     def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None: ...
-    def piece(self, data: bytes) -> None: ...
+    def write_body(self, data: bytes) -> None: ...
     def finish(self) -> None: ...
-    def broken(self) -> None: ...
-    def refused(self, retry_after: float) -> None: ...
-    def failed(self) -> None: ...
+    def abort(self) -> None: ...
+    def send_refusal(self, retry_after: float) -> None: ...
+    def send_failure(self) -> None: ...
 
 
 @dataclass(slots=True)
-class Asked:
-    """A client's request as the server read it: what the module is told of it, and what goes on."""
+class ParsedRequest:
+    """A parsed request: the fields that the module decides by, and the bytes to forward."""
 
     txn: bytes
     cls: int
@@ -62,93 +62,93 @@
     first: float
     is_repeat: bool
     is_write: bool
-    head: bytes  # request line and end-to-end fields, without the time left
+    head: bytes  # request line and end-to-end fields, without the remaining time
     body: bytes
-    upload: Upload | None = None  # in place of the body, where that is too large to hold
+    upload: Upload | None = None  # replaces `body` if that is too large to buffer
 
-    def render(self, left: float) -> bytes:
-        """The bytes for a backend that is waited for this many seconds."""
-        return b"%bX-Remaining-Ms: %d\r\n\r\n%b" % (self.head, max(1, int(left * 1000)), self.body)
+    def render(self, time_left: float) -> bytes:
+        """Return the bytes to send to a backend, with `time_left` in seconds."""
+        return b"%bX-Remaining-Ms: %d\r\n\r\n%b" % (self.head, max(1, int(time_left * 1000)), self.body)
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
-    """An open request; it lives until its answer is given and nothing of it is out any more."""
+class InFlightRequest:
+    """A request in flight, until it is answered and all its attempts have ended."""
 
     id: int
-    asked: Asked
-    client: Client | None  # none once it is answered or gone
+    parsed: ParsedRequest
+    client: Client | None  # None once it is answered or the client has left
     deadline: float
     timer: asyncio.TimerHandle | None = None
     attempts: int = 0
-    out: dict[int, Exchange] = field(default_factory=dict)
-    passing: Passing | None = None  # its large answer, on the way to the client
-    coming: bool = False  # its body is on its way still
+    exchanges: dict[int, Exchange] = field(default_factory=dict)
+    stream: StreamedAnswer | None = None  # its large answer, while it is streamed to the client
+    is_incomplete: bool = False  # its body has not arrived completely
 
 
 @dataclass(slots=True, eq=False)
-class Passing:
-    """Takes a large answer for a ticket: from its first bytes on the attempt is the last."""
+class StreamedAnswer:
+    """Streams a large answer to the client; from its first bytes on no other attempt can be made."""
 
     host: Host
-    ticket: Ticket
-    number: int
+    request: InFlightRequest
+    attempt: int
     backend: str
     sent_at: float
-    timer: asyncio.TimerHandle | None = None  # of the attempt
-    latency: float = 0.0  # of the first bytes
+    timer: asyncio.TimerHandle | None = None  # timeout of the attempt
+    latency: float = 0.0  # until the first bytes
     head: Answer | None = None
 
     def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None:
-        self.latency, self.ticket.passing = self.host.clock() - self.sent_at, self
+        self.latency, self.request.stream = self.host.clock() - self.sent_at, self
         self.head = Answer(answer.status, answer.headers, b"")
-        for timer in (self.timer, self.ticket.timer):  # what was to come in time has
+        for timer in (self.timer, self.request.timer):  # the timeouts apply up to the first bytes only
             if timer is not None:
                 timer.cancel()
-        self.ticket.client.begin(answer, length, source)
-        self.host.post(api.StreamStarted(self.ticket.id, self.number, self.backend, self.latency))
+        self.request.client.begin(answer, length, source)
+        self.host.post(api.StreamStarted(self.request.id, self.attempt, self.backend, self.latency))
 
-    def piece(self, data: bytes) -> None:
-        if self.ticket.client is not None:
-            self.ticket.client.piece(data)
+    def write_body(self, data: bytes) -> None:
+        if self.request.client is not None:
+            self.request.client.write_body(data)
 
 
 class Host:
-    """Drives the module from socket events and its actions back to the sockets."""
+    """Feeds socket events to the decision module and carries out its actions."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         settings: api.Settings,
         seed: int,
-        backends: Backends,
-        counter: Counter | None,
+        backends: BackendPool,
+        counter: CounterClient | None,
     ) -> None:
         self.loop, self.settings, self.backends, self.counter = loop, settings, backends, counter
         self.clock = Clock()
-        self.figures = Figures(c.name for c in settings.classes)
-        self.tickets: dict[int, Ticket] = {}
-        self.open_ids: set[bytes] = set()  # of the tickets, as the clients named them
-        self.waiting = 0  # requests without an answer yet
-        self.coming = 0  # those among them that have not come whole
+        self.metrics = RequestMetrics(request_class.name for request_class in settings.classes)
+        self.in_flight: dict[int, InFlightRequest] = {}
+        self.open_ids: set[bytes] = set()  # client-supplied ids of the requests in flight
+        self.unanswered = 0  # requests without an answer yet
+        self.incomplete = 0  # unanswered requests whose body has not arrived completely
         self.last_id = 0
-        self.part = 1.0  # of the ingress's allowances that this process may use
-        self.ready = False  # whether there is a list to go by
+        self.allowance_share = 1.0  # share of the ingress's allowances that this process may use
+        self.ready = False  # whether a list of backends is known
         self._events: deque[api.Event] = deque()
         self._delivering = False
-        self._do: dict[type, Callable] = {
+        self._action_handlers: dict[type, Callable] = {
             api.Send: self._send,
             api.Refuse: self._refuse,
             api.Fail: self._fail,
             api.CancelAttempt: self._cancel,
             api.SetTimer: self._set_timer,
             api.Probe: self._probe,
-            api.Count: self._count,
-            api.CloseIdle: lambda a: self.backends.close_idle(a.backend),
-            api.Log: lambda a: log.info("%s", a.text),
-            # The watch on discovery never ends and asks for the whole list after a gap by itself.
-            api.Subscribe: lambda a: None,
-            api.FetchRoster: lambda a: None,
+            api.CounterAdd: self._count,
+            api.CloseIdle: lambda action: self.backends.close_idle(action.backend),
+            api.Log: lambda action: log.info("%s", action.text),
+            # The discovery watch is permanent and fetches the full list by itself after a gap.
+            api.Subscribe: lambda action: None,
+            api.FetchRoster: lambda action: None,
         }
         self.controller = Controller(settings, seed, self.clock())
         self._carry_out(self.controller.start(self.clock()))
@@ -156,7 +156,7 @@
     # Events
 
     def post(self, event: api.Event) -> None:
-        """Give the module an event, after those that came before; actions may cause further ones."""
+        """Pass an event to the module; events posted while one is being handled are queued."""
         self._events.append(event)
         if self._delivering:
             return
@@ -171,37 +171,39 @@
         try:
             actions = self.controller.handle(event, self.clock())
         except Exception:
-            # Guards the rule on lost requests: a defect costs the request at hand, not the process.
+            # A defect in the module must fail only the request at hand, not the process.
             log.exception("the decision module failed on %r", event)
-            ticket = self.tickets.get(getattr(event, "request", -1))
-            if ticket is not None and not ticket.out:
-                self._finish_failed(ticket)
+            request = self.in_flight.get(getattr(event, "request_id", -1))
+            if request is not None and not request.exchanges:
+                self._finish_failed(request)
             return
         self._carry_out(actions)
 
     def _carry_out(self, actions: list[api.Action]) -> None:
         for action in actions:
-            if (do := self._do.get(type(action))) is not None:
-                do(action)
+            if (handler := self._action_handlers.get(type(action))) is not None:
+                handler(action)
             else:
-                complain("host", "the module asked for %s, which is not served here", type(action).__name__)
+                warn_rate_limited(
+                    "host", "unsupported action of the decision module: %s", type(action).__name__
+                )
 
-    def follow(self, roster: api.Roster, addresses: dict[str, tuple[str, int]]) -> None:
-        """What discovery told: the sockets keep to it from now on, then the module hears of it."""
-        self.backends.follow(roster, addresses)
+    def apply_roster(self, roster: api.Roster, addresses: dict[str, tuple[str, int]]) -> None:
+        """Apply a list from discovery: to the connection pool first, then to the module."""
+        self.backends.apply_roster(roster, addresses)
         self.post(roster)
 
     @property
     def withdrawn(self) -> set[str]:
-        """The backends that operators took out."""
+        """The backends withdrawn by operators."""
         return self.backends.withdrawn
 
-    def names(self, backend: str) -> bool:
-        """Whether a list has named it, or an operator has."""
-        return self.controller.names(backend)
+    def is_known(self, backend: str) -> bool:
+        """Whether a backend was ever listed by discovery or named by an operator."""
+        return self.controller.knows(backend)
 
     def withdraw(self, backend: str) -> None:
-        """An operator takes a backend out, whatever discovery tells of it."""
+        """Take a backend out of use on behalf of an operator, whatever discovery says."""
         self.backends.withdraw(backend)
         self.post(api.Withdraw(backend))
 
@@ -209,217 +211,229 @@
         self.backends.restore(backend)
         self.post(api.Restore(backend))
 
-    def take_part(self, part: float) -> None:
-        """From now on so much of the ingress's allowances is this process's."""
-        if part != self.part:
-            self.part = part
-            self.post(api.Part(part))
+    def set_allowance_share(self, share: float) -> None:
+        """Set the share of the ingress's allowances that belongs to this process."""
+        if share != self.allowance_share:
+            self.allowance_share = share
+            self.post(api.ProcessShare(share))
 
-    def render_figures(self) -> bytes:
-        # A request is taken with its last byte.
-        return self.figures.render(self.waiting - self.coming, *self.controller.cluster(self.clock()))
+    def render_metrics(self) -> bytes:
+        # A request counts as taken once its last byte has arrived.
+        return self.metrics.render(
+            self.unanswered - self.incomplete, *self.controller.backend_counts(self.clock())
+        )
 
-    def admit(self, client: Client, asked: Asked) -> int:
-        """Take a request whose last byte has come; its id, for `gone`."""
+    def admit(self, client: Client, parsed: ParsedRequest) -> int:
+        """Accept a request; returns its id for `client_gone`."""
         self.last_id += 1
-        coming = asked.upload is not None and not asked.upload.whole
-        ticket = Ticket(self.last_id, asked, client, inf, coming=coming)
-        self.tickets[ticket.id] = ticket
-        self.open_ids.add(asked.txn)
-        self.waiting += 1
-        self.coming += coming
-        if coming:
-            asked.upload.on_whole = lambda: self._whole(ticket)
+        is_incomplete = parsed.upload is not None and not parsed.upload.is_complete
+        request = InFlightRequest(self.last_id, parsed, client, inf, is_incomplete=is_incomplete)
+        self.in_flight[request.id] = request
+        self.open_ids.add(parsed.txn)
+        self.unanswered += 1
+        self.incomplete += is_incomplete
+        if is_incomplete:
+            parsed.upload.on_complete = lambda: self._on_body_complete(request)
         else:
-            self._time(ticket)
+            self._start_deadline(request)
         self.post(
             api.Request(
-                ticket.id,
-                asked.cls,
-                asked.plan,
-                asked.customer,
-                asked.time_left,
-                asked.units,
-                asked.width,
-                asked.first,
-                asked.is_repeat,
-                asked.is_write,
-                coming,
+                request.id,
+                parsed.cls,
+                parsed.plan,
+                parsed.customer,
+                parsed.time_left,
+                parsed.units,
+                parsed.width,
+                parsed.first,
+                parsed.is_repeat,
+                parsed.is_write,
+                is_incomplete,
             )
         )
-        return ticket.id
+        return request.id
 
-    def _time(self, ticket: Ticket) -> None:
-        """Its last byte has come: its time counts from now."""
-        ticket.deadline = self.clock() + ticket.asked.time_left
-        ticket.timer = self.loop.call_later(ticket.asked.time_left, self._expire, ticket)
+    def _start_deadline(self, request: InFlightRequest) -> None:
+        """Start the deadline timer; the time counts from the last byte of the request."""
+        request.deadline = self.clock() + request.parsed.time_left
+        request.timer = self.loop.call_later(request.parsed.time_left, self._expire, request)
 
-    def _whole(self, ticket: Ticket) -> None:
-        if ticket.client is not None:
-            self._come(ticket)
-            self._time(ticket)
-            self.post(api.BodyWhole(ticket.id))
+    def _on_body_complete(self, request: InFlightRequest) -> None:
+        if request.client is not None:
+            self._mark_complete(request)
+            self._start_deadline(request)
+            self.post(api.BodyReceived(request.id))
 
-    def _come(self, ticket: Ticket) -> None:
-        """Nothing more of it is waited for."""
-        self.coming -= ticket.coming
-        ticket.coming = False
+    def _mark_complete(self, request: InFlightRequest) -> None:
+        """Record that the rest of the body is no longer awaited."""
+        self.incomplete -= request.is_incomplete
+        request.is_incomplete = False
 
     def is_open(self, txn: bytes) -> bool:
-        """Whether a request of this id has no answer yet, or may still be with a backend."""
+        """Whether a request with this id is unanswered or may still be running at a backend."""
         return txn in self.open_ids
 
-    def doubled(self, asked: Asked) -> None:
-        """A second request came under an id that is open."""
-        self.figures.errored[asked.cls] += 1
-
-    def gone(self, request: int) -> None:
-        """The client has closed its connection: nobody is owed an answer; what is out may end."""
-        ticket = self.tickets.get(request)
-        if ticket is not None and ticket.client is not None:
-            self._finish(ticket, None, lambda client: None)
-            if ticket.passing is not None or ticket.asked.upload is not None:
-                # There is nobody left to pass the rest on to, or to have it from.
-                for exchange in list(ticket.out.values()):
+    def report_duplicate(self, parsed: ParsedRequest) -> None:
+        """Count a request rejected because its id is already in flight."""
+        self.metrics.errored[parsed.cls] += 1
+
+    def client_gone(self, request_id: int) -> None:
+        """Handle the disconnect of a client: no answer is sent."""
+        request = self.in_flight.get(request_id)
+        if request is not None and request.client is not None:
+            self._finish(request, None, lambda client: None)
+            if request.stream is not None or request.parsed.upload is not None:
+                # A body that is being streamed, either way, has lost its peer.
+                for exchange in list(request.exchanges.values()):
                     exchange.give_up(api.Status.CANCELLED)
-            self.post(api.ClientGone(request))
+            self.post(api.ClientGone(request_id))
 
-    def _finish(self, ticket: Ticket, counts: list[int] | None, answer: Callable[[Client], None]) -> None:
-        """The one answer of a request; whatever else is said of it later is moot."""
-        client, ticket.client = ticket.client, None
+    def _finish(
+        self, request: InFlightRequest, counts: list[int] | None, send: Callable[[Client], None]
+    ) -> None:
+        """Answer a request once; later outcomes are ignored."""
+        client, request.client = request.client, None
         if client is not None:
-            self.waiting -= 1
-            self._come(ticket)
+            self.unanswered -= 1
+            self._mark_complete(request)
             if counts is not None:
-                counts[ticket.asked.cls] += 1
-            if ticket.asked.upload is not None:
-                ticket.asked.upload.drop()
-            self._forget(ticket)
-            answer(client)
-
-    def _finish_failed(self, ticket: Ticket) -> None:
-        # What has begun to go out can only be broken off: another answer would look like a part of it.
+                counts[request.parsed.cls] += 1
+            if request.parsed.upload is not None:
+                request.parsed.upload.discard_buffer()
+            self._remove_if_done(request)
+            send(client)
+
+    def _finish_failed(self, request: InFlightRequest) -> None:
+        # An answer that is being streamed can only be aborted: another one would be taken as part of it.
         self._finish(
-            ticket,
-            self.figures.errored,
-            lambda client: client.broken() if ticket.passing else client.failed(),
+            request,
+            self.metrics.errored,
+            lambda client: client.abort() if request.stream else client.send_failure(),
         )
 
-    def _forget(self, ticket: Ticket) -> None:
-        if ticket.client is None and not ticket.out and self.tickets.pop(ticket.id, None) is not None:
-            if ticket.timer is not None:
-                ticket.timer.cancel()
-            self.open_ids.discard(ticket.asked.txn)
+    def _remove_if_done(self, request: InFlightRequest) -> None:
+        if (
+            request.client is None
+            and not request.exchanges
+            and self.in_flight.pop(request.id, None) is not None
+        ):
+            if request.timer is not None:
+                request.timer.cancel()
+            self.open_ids.discard(request.parsed.txn)
 
-    def _expire(self, ticket: Ticket) -> None:
-        """The client's time is up: what is out is given up, and the module has the last word at once."""
-        for exchange in list(ticket.out.values()):
+    def _expire(self, request: InFlightRequest) -> None:
+        """Handle the expiry of a request's deadline: cancel its attempts and make sure it is answered."""
+        for exchange in list(request.exchanges.values()):
             exchange.give_up(api.Status.TIMEOUT)
-        if ticket.client is not None:
-            # Guards against a module that has lost a request: the answer must not wait for it.
-            complain("host", "request %d was still unanswered when its time was up", ticket.id)
-            self._finish_failed(ticket)
+        if request.client is not None:
+            # The module has lost the request: answer it here.
+            warn_rate_limited("host", "request %d was unanswered at its deadline", request.id)
+            self._finish_failed(request)
 
     def fail_all(self) -> None:
-        """The process ends: what is open gets its answer now, while there is someone to give it."""
-        for ticket in list(self.tickets.values()):
-            self._finish_failed(ticket)
+        """Fail all open requests because the process is about to end."""
+        for request in list(self.in_flight.values()):
+            self._finish_failed(request)
 
     # Actions
 
     def _send(self, send: api.Send) -> None:
-        ticket, now = self.tickets.get(send.request), self.clock()
-        number = ticket.attempts if ticket is not None else 0
-        upload = ticket.asked.upload if ticket is not None else None
+        request, now = self.in_flight.get(send.request_id), self.clock()
+        attempt = request.attempts if request is not None else 0
+        upload = request.parsed.upload if request is not None else None
         if (
-            ticket is None
-            or ticket.client is None
-            or now >= ticket.deadline
+            request is None
+            or request.client is None
+            or now >= request.deadline
             or send.timeout < 0.0
-            or number >= self.settings.max_attempts
+            or attempt >= self.settings.max_attempts
             or upload is not None
-            and upload.held is None
+            and upload.buffered is None
         ):
             return self.post(
                 api.Outcome(
-                    send.request,
-                    number,
+                    send.request_id,
+                    attempt,
                     send.backend,
-                    api.Status.MOOT,
+                    api.Status.NOT_SENT,
                     0.0,
-                    ticket is None or ticket.client is None,
+                    request is None or request.client is None,
                 )
             )
-        ticket.attempts += 1
-        until = min(ticket.deadline, now + send.timeout) if send.timeout else ticket.deadline
-        asked, passing = ticket.asked, Passing(self, ticket, number, send.backend, now)
+        request.attempts += 1
+        wait_until = min(request.deadline, now + send.timeout) if send.timeout else request.deadline
+        parsed, stream = request.parsed, StreamedAnswer(self, request, attempt, send.backend, now)
 
         def done(status: api.Status, answer: Answer | None) -> None:
-            if passing.timer is not None:
-                passing.timer.cancel()
-            ticket.out.pop(number, None)
-            latency = self.clock() - passing.sent_at
-            if ticket.passing is passing:
-                latency = passing.latency
+            if stream.timer is not None:
+                stream.timer.cancel()
+            request.exchanges.pop(attempt, None)
+            latency = self.clock() - stream.sent_at
+            if request.stream is stream:
+                latency = stream.latency
                 if status is api.Status.OK:
-                    self._finish(ticket, self.figures.answered, lambda client: client.finish())
+                    self._finish(request, self.metrics.answered, lambda client: client.finish())
                 else:
-                    self._finish_failed(ticket)
+                    self._finish_failed(request)
             elif status is api.Status.OK:
-                self._finish(ticket, self.figures.answered, lambda client: client.served(answer))
-            self._forget(ticket)
+                self._finish(request, self.metrics.answered, lambda client: client.send_success(answer))
+            self._remove_if_done(request)
             self.post(
                 api.Outcome(
-                    send.request,
-                    number,
+                    send.request_id,
+                    attempt,
                     send.backend,
                     status,
                     latency,
-                    ticket.client is None,
-                    report=self._report(answer or passing.head),
-                    is_held=upload is None or upload.held is not None,
+                    request.client is None,
+                    report=self._report(answer or stream.head),
+                    can_resend=upload is None or upload.buffered is not None,
                 )
             )
 
         def sent() -> None:
-            self.figures.sends[asked.cls] += 1
+            self.metrics.sends[parsed.cls] += 1
             if upload is not None:
-                passing.sent_at = self.clock()  # until now the client took its time, not the backend
+                # The time that the client took for its upload is not the backend's latency.
+                stream.sent_at = self.clock()
 
         def render() -> bytes:
-            return asked.render(until - self.clock() if until < inf else asked.time_left)
+            return parsed.render(wait_until - self.clock() if wait_until < inf else parsed.time_left)
 
-        exchange = Exchange(render, done, sent, upload, passing)
-        ticket.out[number] = exchange
-        if until < ticket.deadline:  # else the request's own timer ends it
-            passing.timer = self.loop.call_later(until - now, exchange.give_up, api.Status.TIMEOUT)
+        exchange = Exchange(render, done, sent, upload, stream)
+        request.exchanges[attempt] = exchange
+        if wait_until < request.deadline:  # otherwise the timer of the request applies
+            stream.timer = self.loop.call_later(wait_until - now, exchange.give_up, api.Status.TIMEOUT)
         self.backends.begin(exchange, send.backend)
 
     def _report(self, answer: Answer | None) -> list[float]:
         if answer is None or self.settings.report_via != "answers":
             return []
-        told = next((value for name, value in answer.headers if name == b"x-pressure"), None)
-        return load_report(told, self.settings.report_fields) if told is not None else []
+        report = next((value for name, value in answer.headers if name == b"x-pressure"), None)
+        return parse_load_report(report, self.settings.report_fields) if report is not None else []
 
     def _refuse(self, refuse: api.Refuse) -> None:
-        if (ticket := self.tickets.get(refuse.request)) is not None:
-            self._finish(ticket, self.figures.deferred, lambda client: client.refused(refuse.retry_after))
+        if (request := self.in_flight.get(refuse.request_id)) is not None:
+            self._finish(
+                request, self.metrics.deferred, lambda client: client.send_refusal(refuse.retry_after)
+            )
 
     def _fail(self, fail: api.Fail) -> None:
-        if (ticket := self.tickets.get(fail.request)) is not None:
-            self._finish_failed(ticket)
+        if (request := self.in_flight.get(fail.request_id)) is not None:
+            self._finish_failed(request)
 
     def _cancel(self, cancel: api.CancelAttempt) -> None:
-        ticket = self.tickets.get(cancel.request)
-        if ticket is not None and (exchange := ticket.out.get(cancel.attempt)) is not None:
+        request = self.in_flight.get(cancel.request_id)
+        if request is not None and (exchange := request.exchanges.get(cancel.attempt)) is not None:
             exchange.give_up(api.Status.CANCELLED)
 
     def _set_timer(self, timer: api.SetTimer) -> None:
-        self.loop.call_later(timer.delay, self._ring, self.clock() + timer.delay, timer.token)
+        self.loop.call_later(timer.delay, self._fire_timer, self.clock() + timer.delay, timer.token)
 
-    def _ring(self, at: float, token: int) -> None:
-        if (left := at - self.clock()) > EARLY:  # the loop counts in whole milliseconds
-            self.loop.call_later(left, self._ring, at, token)
+    def _fire_timer(self, due_at: float, token: int) -> None:
+        # The event loop has a resolution of one millisecond.
+        if (remaining := due_at - self.clock()) > TIMER_TOLERANCE_S:
+            self.loop.call_later(remaining, self._fire_timer, due_at, token)
         else:
             self.post(api.TimerDue(token))
 
@@ -429,7 +443,7 @@
         def done(status: api.Status, answer: Answer | None) -> None:
             timer.cancel()
             report = (
-                load_report(answer.body, self.settings.report_fields)
+                parse_load_report(answer.body, self.settings.report_fields)
                 if (status is api.Status.OK and self.settings.report_via != "none")
                 else []
             )
@@ -439,7 +453,7 @@
         timer = self.loop.call_later(self.backends.connect_timeout, exchange.give_up, api.Status.TIMEOUT)
         self.backends.begin(exchange, probe.backend)
 
-    def _count(self, count: api.Count) -> None:
+    def _count(self, count: api.CounterAdd) -> None:
         if self.counter is not None:
-            return self.counter.call(count.name, count.amount, count.forget_after, self.post)
-        self.post(api.CounterReply(count.name, api.Status.CONNECT_FAILED, 0.0, 0.0))
+            return self.counter.call(count.key, count.amount, count.ttl, self.post)
+        self.post(api.CounterReply(count.key, api.Status.CONNECT_FAILED, 0.0, 0.0))
--- a/fennelpoint/net/notice.py
+++ b/fennelpoint/net/notice.py
@@ -1,4 +1,4 @@
-"""The log of the ingress: complaints come seldom enough to read, and writing them never holds up the loop."""
+"""Logging of the ingress: rate-limited warnings, and a handler that never blocks the event loop."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from logging.handlers import QueueHandler, QueueListener
 from queue import Full, Queue
 
-EVERY = 1.0  # s between complaints of one part; what comes sooner is only counted
-WAITING = 1000  # lines that may wait for a slow reader; what comes on top is dropped
+WARNING_INTERVAL_S = 1.0  # between two warnings of one component; warnings in between are only counted
+MAX_QUEUED_RECORDS = 1000  # records waiting for a slow log reader; further ones are dropped
 
 log = logging.getLogger("fennelpoint")
-_next: dict[str, float] = {}
-_untold: dict[str, int] = {}
+_next_warning_at: dict[str, float] = {}
+_suppressed: dict[str, int] = {}
 
 
-def complain(part: str, text: str, *args: object) -> None:
-    """Warn of something amiss with a part of the ingress, at most once in a while."""
+def warn_rate_limited(component: str, text: str, *args: object) -> None:
+    """Log a warning, at most one per component and interval; the next one tells how many were suppressed."""
     now = time.monotonic()
-    if now < _next.get(part, now):
-        _untold[part] = _untold.get(part, 0) + 1
+    if now < _next_warning_at.get(component, now):
+        _suppressed[component] = _suppressed.get(component, 0) + 1
         return
-    _next[part] = now + EVERY
-    untold = _untold.pop(part, 0)
-    more = f" ({untold} more before this)" if untold else ""
-    log.warning("%s: %s%s", part, text % args if args else text, more)
+    _next_warning_at[component] = now + WARNING_INTERVAL_S
+    suppressed = _suppressed.pop(component, 0)
+    suffix = f" ({suppressed} more before this)" if suppressed else ""
+    log.warning("%s: %s%s", component, text % args if args else text, suffix)
 
 
-class _Waiting(QueueHandler):
-    """Puts lines in a queue, and drops them where it is full: nothing here may wait."""
+class _DroppingQueueHandler(QueueHandler):
+    """Puts records in a queue and drops them when it is full, so that logging never blocks."""
 
     def enqueue(self, record: logging.LogRecord) -> None:
         try:
@@ -39,11 +39,12 @@
 
 
 def in_background(handler: logging.Handler) -> logging.Handler:
-    """The same handler, called from a thread of its own: a pipe that nobody reads blocks that one alone."""
-    records: Queue = Queue(WAITING)
+    """Run `handler` in a thread of its own, so that a blocked log pipe does not block the event loop."""
+    records: Queue = Queue(MAX_QUEUED_RECORDS)
     listener = QueueListener(records, handler)
     listener.start()
     atexit.register(listener.stop)
-    waiting = _Waiting(records)
-    waiting.setFormatter(logging.Formatter("%(message)s"))  # the rest is the handler's own
-    return waiting
+    queue_handler = _DroppingQueueHandler(records)
+    # The listener's handler applies its own format.
+    queue_handler.setFormatter(logging.Formatter("%(message)s"))
+    return queue_handler
--- a/fennelpoint/net/operators.py
+++ b/fennelpoint/net/operators.py
@@ -1,6 +1,6 @@
-"""The second address, for operators only: one call for each connection, answered at once.
+"""Management API for operators on a separate address: one call per connection.
 
-Sockets and syntax only: what a call does is up to the `Calls` it is given.
+Handles sockets and HTTP only; the calls themselves are implemented by an `OperatorCalls` object.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 from fennelpoint.net import figures
 from fennelpoint.net.notice import log
 
-MOST_CALLERS = 16  # connections at a time; those that say nothing stay for seconds
-CALL_TIMEOUT = 2.0  # s for a call to come whole, and for its caller to leave after the answer
-MOST_CALL = 16 * 1024  # bytes of a call
-SERVERS = "/v1/menu-servers/"
+MAX_CALLERS = 16  # connections at a time; silent ones stay open until the call timeout
+CALL_TIMEOUT_S = 2.0  # for a call to arrive completely, and for the caller to close after the answer
+MAX_CALL_BYTES = 16 * 1024
+SERVERS_PATH = "/v1/menu-servers/"
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -33,8 +33,8 @@
 Reply = tuple[int, str]
 
 
-class Calls(Protocol):
-    """What operators may ask for; each says whether it was done."""
+class OperatorCalls(Protocol):
+    """Calls that operators can make; commands return whether they were carried out."""
 
     def takes_clients(self) -> bool: ...
     def metrics(self) -> bytes: ...
@@ -44,31 +44,31 @@
     def activate(self) -> bool: ...
 
 
-class Caller(asyncio.Protocol):
-    """One operator's connection: a call, its answer, the end."""
+class OperatorConnection(asyncio.Protocol):
+    """Connection of an operator: one call and its answer."""
 
-    def __init__(self, operators: Operators) -> None:
+    def __init__(self, operators: OperatorServer) -> None:
         self.operators = operators
         self.parser = httptools.HttpRequestParser(self)
         self.transport: asyncio.Transport | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.url, self.size = b"", 0
+        self.url, self.received_bytes = b"", 0
         self.answered = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
-        self.timer = self.operators.loop.call_later(CALL_TIMEOUT, self._late)
-        self.operators.stand(self)
+        self.timer = self.operators.loop.call_later(CALL_TIMEOUT_S, self._time_out)
+        self.operators.add_caller(self)
 
     def data_received(self, data: bytes) -> None:
         if self.answered:
-            return  # one call for each connection
-        self.size += len(data)
+            return  # only one call per connection
+        self.received_bytes += len(data)
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.answer(400, "it can't be read\n")
-        if self.size > MOST_CALL:
+        if self.received_bytes > MAX_CALL_BYTES:
             self.answer(413, "it has no end\n")
 
     def on_url(self, url: bytes) -> None:
@@ -83,7 +83,7 @@
             self.operators.serve(self, self.parser.get_method().decode(), self.url)
 
     def answer(self, status: int, text: str | bytes, fields: str = "") -> None:
-        """The one answer; our side is closed after it, and the connection when the caller has left."""
+        """Send the answer, once. The write side is closed after it; the caller closes the connection."""
         if self.answered:
             return
         self.answered = True
@@ -95,65 +95,67 @@
         )
         self.transport.write_eof()
 
-    def _late(self) -> None:
-        if not self.answered and self.size:
+    def _time_out(self) -> None:
+        if not self.answered and self.received_bytes:
             self.answer(408, "it has not come whole in time\n")
         self.transport.close()
 
     def eof_received(self) -> bool:
-        """The caller has said all it will: nothing more is owed where the answer is written."""
+        """Close when the caller has closed its side; a written answer is still delivered."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
         self.timer.cancel()
         self.operators.callers.pop(self, None)
         self.answered = True
-        self.parser = None  # parser and protocol hold each other, and collections are rare
+        self.parser = None  # breaks the reference cycle between parser and protocol
 
 
-class Operators:
-    """The listening socket of the second address and its callers, the oldest first."""
+class OperatorServer:
+    """Listens on the management address and serves calls; `callers` holds the oldest first."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, calls: Calls) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, calls: OperatorCalls) -> None:
         self.loop, self.calls = loop, calls
-        self.callers: dict[Caller, None] = {}
+        self.callers: dict[OperatorConnection, None] = {}
         self.listener: asyncio.Server | None = None
-        self.fixed = {
+        self.fixed_calls = {
             "/v1/readyz": ("GET", self._readyz),
             "/v1/metrics": ("GET", self._metrics),
-            "/v1/ingress/drain": ("POST", lambda: self._order(calls.drain(), "drain")),
-            "/v1/ingress/activate": ("POST", lambda: self._order(calls.activate(), "activate")),
+            "/v1/ingress/drain": ("POST", lambda: self._report_order(calls.drain(), "drain")),
+            "/v1/ingress/activate": ("POST", lambda: self._report_order(calls.activate(), "activate")),
         }
-        self.of_servers = {"suspend": calls.suspend, "resume": calls.resume}
+        self.server_calls = {"suspend": calls.suspend, "resume": calls.resume}
 
     async def listen(self, address: tuple[str, int]) -> None:
         self.listener = await self.loop.create_server(
-            lambda: Caller(self), *address, backlog=128, reuse_address=True
+            lambda: OperatorConnection(self), *address, backlog=128, reuse_address=True
         )
 
-    def stand(self, caller: Caller) -> None:
-        """Take one in; beyond the cap the oldest goes, as only those that say nothing stand for long."""
+    def add_caller(self, caller: OperatorConnection) -> None:
+        """Register a connection; above the limit the oldest is closed: only silent callers stay for long."""
         self.callers[caller] = None
-        if len(self.callers) > MOST_CALLERS:
+        if len(self.callers) > MAX_CALLERS:
             next(iter(self.callers)).transport.abort()
 
-    def serve(self, caller: Caller, method: str, url: bytes) -> None:
-        """Do what a whole call asks for, and answer it."""
+    def serve(self, caller: OperatorConnection, method: str, url: bytes) -> None:
+        """Route and answer a call."""
         path = url.partition(b"?")[0].decode("latin-1")
-        server, _, verb = path.removeprefix(SERVERS).rpartition("/")
+        server, _, verb = path.removeprefix(SERVERS_PATH).rpartition("/")
         try:
-            if path in self.fixed:
-                wanted, run = self.fixed[path]
-            elif path.startswith(SERVERS) and server and "/" not in server and verb in self.of_servers:
-                wanted, run = "POST", lambda: self._ban(verb, unquote(server))
+            if path in self.fixed_calls:
+                expected_method, run = self.fixed_calls[path]
+            elif path.startswith(SERVERS_PATH) and server and "/" not in server and verb in self.server_calls:
+                expected_method, run = "POST", lambda: self._ban(verb, unquote(server))
             else:
                 return caller.answer(404, "there is no such call\n")
-            if method != wanted:
-                return caller.answer(405, f"this call is a {wanted}\n", f"Allow: {wanted}\r\n")
+            if method != expected_method:
+                return caller.answer(
+                    405, f"this call is a {expected_method}\n", f"Allow: {expected_method}\r\n"
+                )
             caller.answer(*run())
         except Exception:
-            # Guards the ingress: a defect here costs the call at hand.
-            log.exception("an operator's call failed: %s %s", method, path)
+            # A failing call must not affect the ingress.
+            log.exception("operator call failed: %s %s", method, path)
             caller.answer(500, "it failed\n")
 
     def _readyz(self) -> Reply:
@@ -162,14 +164,14 @@
     def _metrics(self) -> tuple[int, bytes, str]:
         return 200, self.calls.metrics(), f"Content-Type: {figures.CONTENT_TYPE.decode()}\r\n"
 
-    def _order(self, done: bool, word: str) -> Reply:
-        log.info("operators: %s%s", word, "" if done else ", which can't be: it is stopping")
+    def _report_order(self, done: bool, order: str) -> Reply:
+        log.info("operators: %s%s", order, "" if done else ", rejected: the ingress is stopping")
         return (200, "done\n") if done else (409, "the ingress is stopping\n")
 
     def _ban(self, verb: str, server: str) -> Reply:
-        known = self.of_servers[verb](server)
-        log.info("operators: %s %s%s", verb, server, "" if known else ", which no list has named")
-        return (200, "done\n") if known else (404, "no list has named this menu server\n")
+        is_known = self.server_calls[verb](server)
+        log.info("operators: %s %s%s", verb, server, "" if is_known else ", rejected: unknown server")
+        return (200, "done\n") if is_known else (404, "no list has named this menu server\n")
 
     def close(self) -> None:
         if self.listener is not None:
--- a/fennelpoint/net/request_fields.py
+++ b/fennelpoint/net/request_fields.py
@@ -1,6 +1,6 @@
-"""A client's request as its fields: what is refused, what decides its route, and what goes on to a server.
+"""Header fields of requests: validation, fields used for routing, and fields forwarded to a backend.
 
-Used by the server of clients and by the readers that it asks, which know nothing of each other.
+Used by the HTTP server and by the request readers, which do not depend on each other.
 """
 
 from __future__ import annotations
@@ -11,50 +11,50 @@
 
 
 class BadRequest(ValueError):
-    """What is wrong with a request, with the status that says so."""
+    """The request is invalid; carries the status code of the answer."""
 
     def __init__(self, text: str, status: int = 400, headers: tuple[tuple[bytes, bytes], ...] = ()) -> None:
-        """`headers`: fields of the answer that refuses the request."""
+        """`headers`: header fields of the answer."""
         super().__init__(text)
         self.status, self.headers = status, headers
 
 
-def sort_fields(
-    first: bytes,
+def extract_fields(
+    request_line: bytes,
     headers: list[tuple[bytes, bytes]],
-    once: frozenset[bytes],
+    unique: frozenset[bytes],
     dropped: frozenset[bytes],
     kept: frozenset[bytes],
 ) -> tuple[dict[bytes, bytes], list[bytes]]:
-    """The fields that the routing goes by, and the lines that go on, the `first` one included.
+    """Split header fields into those used for routing and the header lines to forward, after `request_line`.
 
-    A field of `once` may be given once.  What is `dropped`, or named by `Connection`, does not go on, but for
-    what is `kept`.  Raises BadRequest.
+    A field of `unique` may occur once. Fields of `dropped`, and fields listed in `Connection` other than
+    those of `kept`, are not forwarded. Raises BadRequest.
     """
     found: dict[bytes, bytes] = {}
-    options: set[bytes] = set()  # fields that are for this connection only, by the client's word
-    lines = [first]
+    connection_options: set[bytes] = set()  # fields that `Connection` lists as hop-by-hop
+    lines = [request_line]
     for name, value in headers:
-        if name in once:
-            if name in found:  # which of them counts would be anybody's guess
+        if name in unique:
+            if name in found:  # ambiguous: recipients differ in which one they use
                 raise BadRequest(f"{name.decode()} is given twice")
             found[name] = value
         elif name == b"connection":
-            options.update(word.strip().lower() for word in value.split(b","))
+            connection_options.update(option.strip().lower() for option in value.split(b","))
         if name not in dropped:
             lines.append(name + b": " + value)
-    if options:
-        options -= kept
-        lines[1:] = [line for line in lines[1:] if line.partition(b":")[0] not in options]
+    if connection_options:
+        connection_options -= kept
+        lines[1:] = [line for line in lines[1:] if line.partition(b":")[0] not in connection_options]
     return found, lines
 
 
 class RequestReader(Protocol):
-    """Turns a request into what its host is asked."""
+    """Parses and validates requests for the host."""
 
-    ready_path: bytes | None  # answered by the server itself, None where there is no such path
+    ready_path: bytes | None  # readiness path that the server answers itself; None if there is none
 
     def read(
         self, method: bytes, url: bytes, headers: list[tuple[bytes, bytes]], body: bytes | Upload
     ) -> Any:
-        """The request for the host. Raises BadRequest with the status that refuses it."""
+        """Parse a request for the host. Raises BadRequest with the status code to answer."""
--- a/fennelpoint/net/server.py
+++ b/fennelpoint/net/server.py
@@ -1,8 +1,8 @@
-"""Client connections: reads requests, refuses what can't be trusted, writes each request's one answer.
+"""HTTP server for clients: parses and validates requests, and writes exactly one answer to each.
 
-Requests of one connection are served in turn.  Nothing that is malformed reaches a backend: the parser
-is strict, and what the routing goes by is checked here before the host hears of a request.  A body too large
-to hold goes on as it comes, and so does an answer.
+Requests of one connection are served in order. The parser is strict, and the fields used for routing are
+validated before the host sees a request, so nothing malformed reaches a backend. Bodies too large to buffer
+are streamed in both directions.
 """
 
 from __future__ import annotations
@@ -22,231 +22,238 @@
 
 from fennelpoint.net import flow
 from fennelpoint.net.backends import HOP_BY_HOP, Answer, UpstreamConnection
-from fennelpoint.net.flow import Upload, Waiting
+from fennelpoint.net.flow import Upload, WriteBufferAccount
 from fennelpoint.net.request_fields import BadRequest, RequestReader
 
 if TYPE_CHECKING:
-    from fennelpoint.net.host import Asked, Host
-
-MOST_HEAD = 16 * 1024  # bytes of request line and fields together
-MOST_TAKEN = 512 * 1024  # bytes of one request as it comes, beyond its body and that one's usual framing
-MOST_WAITING = 16  # requests written behind one another on one connection
-MOST_BEHIND = 64 * 1024  # bytes of their bodies
-WAITED_LEAST = 0.001  # s that a request has waited behind another before it is taken off its time
-MOST_UNREAD = 128 * 1024  # bytes of answers that a client leaves unread before it is served no more
-HEAD_TIMEOUT = 2.5  # s for a head to come whole, from the connect or its first byte; for a small body
-BODY_SPAN, BODY_LEAST = 2.0, 16 * 1024  # of a large body: in so many s, so many bytes
-IDLE_TIMEOUT = 5.0  # s that a connection may stand with nothing open
-LINGER = 0.5  # s to read on after an error, so that its answer is not lost with a reset
-LONG_LINGER = 3.0  # s after an answer that came before its request was whole
-MOST_DRAINED = 1024 * 1024  # bytes read and dropped meanwhile, of what is no request
-YOUNG = 0.25  # s that a new connection has to send its request before it may have to make room
-TURN_AWAY = 1.0  # s after a drain before unused connections are closed: the front turns away meanwhile
-DRAINED_IDLE = 0.5  # s that one has stood unused by then
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # as SO_LINGER
-
-REASONS = {status.value: status.phrase.encode() for status in HTTPStatus}
+    from fennelpoint.net.host import Host, ParsedRequest
+
+MAX_HEAD_BYTES = 16 * 1024  # request line and header fields together
+MAX_REQUEST_OVERHEAD_BYTES = 512 * 1024  # of one request, beyond its body and its framing
+MAX_PIPELINED_REQUESTS = 16  # waiting on one connection
+MAX_PIPELINED_BODY_BYTES = 64 * 1024  # of all pipelined requests together
+MIN_QUEUE_WAIT_S = 0.001  # a shorter wait in the pipeline is not deducted from the request's time
+MAX_UNSENT_BYTES = 128 * 1024  # unsent answer data at which a connection is not served further
+HEAD_TIMEOUT_S = 2.5  # for a head or a small body to arrive, from the connect or the first byte
+# Minimum progress of a large body per interval.
+BODY_PROGRESS_INTERVAL_S, MIN_BODY_PROGRESS_BYTES = 2.0, 16 * 1024
+IDLE_TIMEOUT_S = 5.0  # without an open request
+LINGER_S = 0.5  # to read on after an error: closing at once could reset the connection and lose the answer
+INCOMPLETE_LINGER_S = 3.0  # after an answer that was sent before the request had arrived completely
+MAX_DISCARDED_BYTES = 1024 * 1024  # while lingering after an error
+NEW_CONNECTION_GRACE_S = 0.25  # for a new connection to send its request before it may be evicted
+# After a drain, the load balancer has this long to redirect clients before unused connections are closed.
+DRAIN_CLOSE_DELAY_S = 1.0
+DRAIN_MIN_IDLE_S = 0.5  # minimum idle time of connections closed by a drain
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER
+
+REASON_PHRASES = {status.value: status.phrase.encode() for status in HTTPStatus}
 
 
 @dataclass(slots=True)
-class Bounds:
-    """What a client may send, and how long it may take over it."""
+class ClientLimits:
+    """Limits for requests of clients."""
 
-    head_bytes: int = MOST_HEAD
-    body_bytes: int | None = None  # none: what any body may have
-    head_time: float = HEAD_TIMEOUT  # s
-    idle_time: float = IDLE_TIMEOUT  # s
+    head_bytes: int = MAX_HEAD_BYTES
+    body_bytes: int | None = None  # None: the limit for any body
+    head_timeout_s: float = HEAD_TIMEOUT_S
+    idle_timeout_s: float = IDLE_TIMEOUT_S
 
 
 @dataclass(slots=True, eq=False)
-class Turn:
-    """What is to be answered in its turn: a request, a fault, or the path that asks whether we are ready."""
+class QueuedRequest:
+    """A request waiting for its turn, or an error or a readiness check to answer in its turn."""
 
-    what: Asked | BadRequest | bytes
-    keep: bool  # the connection stays after it
-    old: bool = False  # its client knows no chunks
-    since: float = 0.0  # when it was read; its time runs while it waits behind another
+    content: ParsedRequest | BadRequest | bytes
+    keep_alive: bool  # whether the connection stays open after the answer
+    is_http_1_0: bool = False  # the client does not support chunked encoding
+    queued_at: float = 0.0  # the request's time runs while it waits behind another
 
 
 class ClientConnection(asyncio.BufferedProtocol):
-    """One connection of a client or front."""
+    """Connection of a client, or of a load balancer in front of the ingress."""
 
     __slots__ = (
         "server",
         "budget",
         "transport",
         "parser",
-        "waiting",
-        "open",
-        "deaf",
-        "turn",
-        "since",
-        "head_size",
-        "taken",
-        "fresh",
-        "method_url",
+        "queue",
+        "open_request",
+        "is_input_closed",
+        "current",
+        "state_since",
+        "head_bytes",
+        "received_bytes",
+        "began_in_this_read",
+        "target",
         "headers",
         "length",
         "body",
-        "body_size",
+        "body_bytes",
         "upload",
         "uploading",
-        "expects",
+        "expects_continue",
         "in_head",
         "in_body",
-        "lost",
-        "choked",
-        "reading",
-        "place",
-        "patience",
+        "is_lost",
+        "is_write_paused",
+        "is_reading",
+        "state_list",
+        "linger_s",
         "source",
-        "passing",
-        "chunked",
-        "framed",
-        "moved",
-        "moved_size",
+        "write_account",
+        "is_chunked",
+        "has_framing",
+        "progress_at",
+        "progress_bytes",
         "__weakref__",
     )
 
     def __init__(self, server: Server) -> None:
-        """A connection that `server` has accepted."""
+        """`server`: the server that has accepted the connection."""
         self.server, self.budget = server, server.host.backends.budget
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.waiting: deque[Turn] = deque()
-        self.open: int | None = None  # the id of the request that is being served
-        self.deaf = False  # nothing more is read: an error was found, or the end announced
-        self.turn: Turn | None = None  # the request at hand
-        self.uploading: Turn | None = None  # the one whose large body is on its way
-        self.lost = False
-        self.choked = False  # the client does not read what it was sent
-        self.reading = True
-        self.source: UpstreamConnection | None = None  # of a large answer
-        self.passing: Waiting | None = None  # what waits here of it
-        self.chunked = False  # it goes out in chunks
-        self.framed = True  # its end is told apart from the connection's
-        self.moved, self.moved_size = 0.0, 0  # when a large body last got on, and how far
-        self.patience = LINGER  # s that it is read on once it is told that it is closed
-        self.place: dict[ClientConnection, None] | None = None  # the server's line that it stands in
-        self.since = time.monotonic()  # when it fell idle, or the request at hand began
+        self.queue: deque[QueuedRequest] = deque()
+        self.open_request: int | None = None  # id of the request being served
+        self.is_input_closed = False  # no further input is parsed, after an error or an announced close
+        self.current: QueuedRequest | None = None  # the request being served
+        self.uploading: QueuedRequest | None = None  # the request whose large body is arriving
+        self.is_lost = False
+        self.is_write_paused = False  # the client does not read its answers
+        self.is_reading = True
+        self.source: UpstreamConnection | None = None  # connection of the streamed answer
+        self.write_account: WriteBufferAccount | None = None  # of the streamed answer
+        self.is_chunked = False  # the streamed answer uses chunked encoding
+        self.has_framing = True  # the end of the answer does not depend on the close of the connection
+        # Time of the last progress of a large body, and its size at that time.
+        self.progress_at, self.progress_bytes = 0.0, 0
+        self.linger_s = LINGER_S  # time to read on after the final answer
+        # The list of the server that the connection is in, if any.
+        self.state_list: dict[ClientConnection, None] | None = None
+        self.state_since = time.monotonic()  # when it entered its list
         self.in_head = self.in_body = False
-        self._begin()
+        self._reset_request()
 
-    def _begin(self) -> None:
-        self.head_size = self.body_size = self.taken = 0
+    def _reset_request(self) -> None:
+        self.head_bytes = self.body_bytes = self.received_bytes = 0
         self.length: int | None = None
         self.upload: Upload | None = None
-        self.expects = False  # the client waits to be told to go on
-        self.method_url = b""
+        self.expects_continue = False  # the client waits for 100 Continue
+        self.target = b""
         self.headers: list[tuple[bytes, bytes]] = []
         self.body: list[bytes] = []
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Stand in line with those whose request is to come, and make room if there are too many."""
+        """Register the connection, and close another one if there are too many."""
         self.transport = transport
-        transport.set_write_buffer_limits(high=MOST_UNREAD)
+        transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
         self.server.connections.add(self)
-        self._stand(self.server.coming)
-        self.server.make_room()
-
-    def _stand(self, place: dict[ClientConnection, None] | None) -> None:
-        """Move to the end of the line for those in the same state: each is in the order of `since`."""
-        if self.place is not None:
-            self.place.pop(self, None)
-        self.place = place
-        if place is not None:
-            self.since = time.monotonic()
-            place[self] = None
+        self._move_to(self.server.receiving)
+        self.server.evict_excess()
+
+    def _move_to(self, state_list: dict[ClientConnection, None] | None) -> None:
+        """Move to the end of a list of the server; each list is ordered by `state_since`."""
+        if self.state_list is not None:
+            self.state_list.pop(self, None)
+        self.state_list = state_list
+        if state_list is not None:
+            self.state_since = time.monotonic()
+            state_list[self] = None
 
     def pause_writing(self) -> None:
-        """The client does not read what it was sent."""
-        self.choked = True
+        """The write buffer is full: the client does not read."""
+        self.is_write_paused = True
 
     def resume_writing(self) -> None:
-        """It reads again: serve on."""
-        self.choked = False
-        if self.passing is not None:
-            self._look()
-        self._next()
+        """The client reads again: continue serving."""
+        self.is_write_paused = False
+        if self.write_account is not None:
+            self._update_backpressure()
+        self._serve_next()
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Where the next bytes are read to; all connections share it."""
-        size = self.budget.piece()
+        """Return the read buffer, which all connections share."""
+        size = self.budget.read_size()
         if self.in_body and self.upload is None:
-            size = min(size, max(1, flow.HELD + 1 - self.body_size))  # no more of it is held
-        return self.budget.buffer[:size]
+            # A larger body is streamed.
+            size = min(size, max(1, flow.MAX_BUFFERED_BODY_BYTES + 1 - self.body_bytes))
+        return self.budget.read_buffer[:size]
 
     def buffer_updated(self, count: int) -> None:
-        """Bytes of the client have come."""
-        self.data_received(bytes(self.budget.buffer[:count]))
+        """Process data of the client."""
+        self.data_received(bytes(self.budget.read_buffer[:count]))
 
-    def read_on(self, on: bool) -> None:
-        """Whether there is room for more of the body."""
-        if self.reading != on and not self.lost:
-            self.reading = on
-            self._mark()
-            self.transport.resume_reading() if on else self.transport.pause_reading()
+    def set_reading(self, enabled: bool) -> None:
+        """Resume or pause reading the body."""
+        if self.is_reading != enabled and not self.is_lost:
+            self.is_reading = enabled
+            self._mark_progress()
+            self.transport.resume_reading() if enabled else self.transport.pause_reading()
 
-    def _mark(self) -> None:
-        """A large body gets on, or it is not its peer that it waits for."""
-        self.moved, self.moved_size = time.monotonic(), self.body_size
+    def _mark_progress(self) -> None:
+        """Record progress of a large body, or that the delay is not its peer's fault."""
+        self.progress_at, self.progress_bytes = time.monotonic(), self.body_bytes
 
     def data_received(self, data: bytes) -> None:
-        """Parse the bytes, and serve what is whole."""
-        if self.deaf:
-            self.taken += len(data)
+        """Parse data, and serve complete requests."""
+        if self.is_input_closed:
+            self.received_bytes += len(data)
             if (
-                self.taken > (MOST_DRAINED if self.patience == LINGER else flow.MOST_LARGE)
-                and self.place is self.server.leaving
+                self.received_bytes
+                > (MAX_DISCARDED_BYTES if self.linger_s == LINGER_S else flow.MAX_BODY_BYTES)
+                and self.state_list is self.server.lingering
             ):
-                self.transport.abort()  # the answer is written; the rest is not worth the reading
+                self.transport.abort()  # the answer is written; further input is not worth reading
             return
-        self.fresh = False
+        self.began_in_this_read = False
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade as upgrade:
-            # Only this protocol is spoken here, and whoever offers another has to do with that.
-            if not self.deaf:
+            # Upgrades are not supported and are ignored.
+            if not self.is_input_closed:
                 self.parser = httptools.HttpRequestParser(self)
                 return self.data_received(data[upgrade.args[0] :])
         except httptools.HttpParserError as error:
-            self._fault(BadRequest(f"it can't be read: {error}"))
-        if (self.in_head or self.in_body) and not self.fresh:  # a fresh one began within these bytes
-            # Guards the memory: a field or trailer without an end is gathered by the parser, unseen here.
-            self.taken += len(data)
-            if self.in_head and self.taken > self.server.bounds.head_bytes:
-                self._fault(BadRequest("the head is too long", 431))
-            elif self.taken > MOST_TAKEN + flow.FRAMING * self.body_size:
-                self._fault(BadRequest("it has no end", 413))
-        if (self.in_head or self.in_body) and self.place is self.server.idle:
-            self._stand(self.server.coming)  # its time to come whole runs from now
-        self._next()
-
-    # What the parser reads.  A fault found here ends the reading, but not before earlier requests' turn.
+            self._reject(BadRequest(f"it can't be read: {error}"))
+        if (self.in_head or self.in_body) and not self.began_in_this_read:
+            # The parser buffers endless fields and trailers without telling, so its input is limited. Data in
+            # which the request began is not counted: some of it may belong to the previous request.
+            self.received_bytes += len(data)
+            if self.in_head and self.received_bytes > self.server.limits.head_bytes:
+                self._reject(BadRequest("the head is too long", 431))
+            elif self.received_bytes > MAX_REQUEST_OVERHEAD_BYTES + flow.MAX_FRAMING_FACTOR * self.body_bytes:
+                self._reject(BadRequest("it has no end", 413))
+        if (self.in_head or self.in_body) and self.state_list is self.server.idle:
+            self._move_to(self.server.receiving)  # the time limit for the request starts now
+        self._serve_next()
+
+    # Parser callbacks. An error found here ends parsing, but is answered after the earlier requests.
 
     def on_message_begin(self) -> None:
-        """A request begins."""
-        self._begin()
-        self.in_head = self.fresh = True
+        """Begin a request."""
+        self._reset_request()
+        self.in_head = self.began_in_this_read = True
 
     def on_url(self, url: bytes) -> None:
-        """Keep a part of the target."""
-        self.method_url += url
+        """Store a part of the request target."""
+        self.target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Keep a field of the head."""
-        if self.in_body or self.deaf:
-            return  # a trailer: too late to count
-        self.head_size += len(name) + len(value)
+        """Store a header field."""
+        if self.in_body or self.is_input_closed:
+            return  # trailers are ignored
+        self.head_bytes += len(name) + len(value)
         self.headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check how the body is framed, and whether it may be so large."""
+        """Check the framing and the size of the body."""
         self.in_head, self.in_body = False, True
-        if self.deaf:
+        if self.is_input_closed:
             return
-        if self.head_size + len(self.method_url) > self.server.bounds.head_bytes:
-            return self._fault(BadRequest("the head is too long", 431))
+        if self.head_bytes + len(self.target) > self.server.limits.head_bytes:
+            return self._reject(BadRequest("the head is too long", 431))
         length = coding = None
         for name, value in self.headers:
             if name == b"content-length":
@@ -254,431 +261,445 @@
             elif name == b"transfer-encoding":
                 coding = value
             elif name == b"expect" and value.lower() == b"100-continue":
-                self.expects = self.parser.get_http_version() == "1.1"
+                self.expects_continue = self.parser.get_http_version() == "1.1"
         if (coding is not None or length is not None) and self.parser.should_upgrade():
-            # Guards the body: the parser would take none, and what follows for another protocol's bytes.
-            return self._fault(BadRequest("its body comes with the wish for another protocol"))
+            # The parser would skip the body and treat it as data of the other protocol.
+            return self._reject(BadRequest("its body comes with the wish for another protocol"))
         if coding is not None and (
             length is not None or coding.lower() != b"chunked" or self.parser.get_http_version() != "1.1"
         ):
-            # Guards against a second request hidden in a body whose end others see elsewhere.
-            return self._fault(BadRequest("its framing is ambiguous"))
+            # Prevents request smuggling: recipients may disagree on where the body ends.
+            return self._reject(BadRequest("its framing is ambiguous"))
         if length is not None and (not length.isdigit() or len(length) > 18):
-            return self._fault(BadRequest("its length is none"))
+            return self._reject(BadRequest("its length is none"))
         self.length = int(length) if length is not None else None
-        if self.length is not None and self.length > self.server.most_body:
-            return self._fault(BadRequest("its body is too large", 413))
-        if self.place is self.server.coming:
-            self._stand(self.server.coming)  # its body has a time of its own
-        self._continue()
-
-    def _continue(self) -> None:
-        """Tell a client that waits for it to send its body, once no other answer is due before."""
-        if self.expects and self.in_body and self.open is None and not (self.waiting or self.deaf):
-            self.expects = False
+        if self.length is not None and self.length > self.server.max_body_bytes:
+            return self._reject(BadRequest("its body is too large", 413))
+        if self.state_list is self.server.receiving:
+            self._move_to(self.server.receiving)  # the body has a time limit of its own
+        self._send_continue()
+
+    def _send_continue(self) -> None:
+        """Send 100 Continue if the client expects it and no earlier answer is outstanding."""
+        if (
+            self.expects_continue
+            and self.in_body
+            and self.open_request is None
+            and not (self.queue or self.is_input_closed)
+        ):
+            self.expects_continue = False
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        """Hold a part of the body, or pass it on where it is too large."""
-        if self.deaf:
+        """Buffer a part of the body, or stream it if it is large."""
+        if self.is_input_closed:
             return
-        self.body_size += len(body)
-        if self.body_size > self.server.most_body:
-            return self._fault(BadRequest("its body is too large", 413))
+        self.body_bytes += len(body)
+        if self.body_bytes > self.server.max_body_bytes:
+            return self._reject(BadRequest("its body is too large", 413))
         if self.upload is not None:
             return self.upload.feed(body)
         self.body.append(body)
-        if self.body_size > flow.HELD:
+        if self.body_bytes > flow.MAX_BUFFERED_BODY_BYTES:
             self._begin_upload()
 
     def _begin_upload(self) -> None:
-        """The body is too large to hold: it goes on as it comes."""
-        if self.budget.full:
-            return self._fault(BadRequest("there is no room for its body now", 503))
-        self.upload = Upload(self.budget, self.length, self.read_on, self.body)
+        """Start streaming a body that is too large to buffer."""
+        if self.budget.is_full:
+            return self._reject(BadRequest("there is no room for its body now", 503))
+        self.upload = Upload(self.budget, self.length, self.set_reading, self.body)
         self.body = []
         try:
-            asked = self.server.reader.read(
-                self.parser.get_method(), self.method_url, self.headers, self.upload
-            )
+            parsed = self.server.reader.read(self.parser.get_method(), self.target, self.headers, self.upload)
         except BadRequest as fault:
-            self.upload.drop()
-            self.read_on(True)
-            return self._fault(fault)
-        self.uploading = self._wait(Turn(asked, False, self._old()))
+            self.upload.discard_buffer()
+            self.set_reading(True)
+            return self._reject(fault)
+        self.uploading = self._enqueue(QueuedRequest(parsed, False, self._is_http_1_0()))
 
-    def _old(self) -> bool:
+    def _is_http_1_0(self) -> bool:
         return self.parser.get_http_version() == "1.0"
 
     def on_message_complete(self) -> None:
-        """The request is whole: it is served in its turn."""
+        """The request is complete: queue it."""
         self.in_body = False
-        if self.deaf:
+        if self.is_input_closed:
             return
-        keep, method = self.parser.should_keep_alive(), self.parser.get_method()
+        keep_alive, method = self.parser.should_keep_alive(), self.parser.get_method()
         if self.upload is not None:
-            turn, self.uploading = self.uploading, None
-            turn.keep = keep  # until now an answer would have been the last
-            self.server.flowing.discard(self)
-            self.upload.end()
-        elif self.method_url == self.server.reader.ready_path and method == b"GET":
-            self._wait(Turn(self.method_url, keep))
+            queued, self.uploading = self.uploading, None
+            # Until now, an answer would have closed the connection, as the body was incomplete.
+            queued.keep_alive = keep_alive
+            self.server.streaming.discard(self)
+            self.upload.feed_eof()
+        elif self.target == self.server.reader.ready_path and method == b"GET":
+            self._enqueue(QueuedRequest(self.target, keep_alive))
         else:
             try:
-                asked = self.server.reader.read(method, self.method_url, self.headers, b"".join(self.body))
+                parsed = self.server.reader.read(method, self.target, self.headers, b"".join(self.body))
             except BadRequest as fault:
-                return self._fault(fault)
-            self._wait(Turn(asked, keep, self._old()))
-
-    def _wait(self, turn: Turn) -> Turn:
-        """It is served in its turn."""
-        turn.since = time.monotonic()
-        self.waiting.append(turn)
-        if self.open is None and len(self.waiting) <= 1:
-            return turn  # the usual client: one at a time
-        behind = sum(len(t.what.body) for t in self.waiting if not isinstance(t.what, BadRequest | bytes))
-        if len(self.waiting) > MOST_WAITING or behind > MOST_BEHIND:
-            self.waiting.pop()
-            self._drop(turn)
-            self._fault(BadRequest("too many requests at once"))
-        return turn
-
-    def _fault(self, fault: BadRequest) -> None:
-        if self.deaf:
+                return self._reject(fault)
+            self._enqueue(QueuedRequest(parsed, keep_alive, self._is_http_1_0()))
+
+    def _enqueue(self, queued: QueuedRequest) -> QueuedRequest:
+        """Queue a request; too many pipelined requests are an error."""
+        queued.queued_at = time.monotonic()
+        self.queue.append(queued)
+        if self.open_request is None and len(self.queue) <= 1:
+            return queued  # the usual case: no pipelining
+        queued_bytes = sum(
+            len(waiting.content.body)
+            for waiting in self.queue
+            if not isinstance(waiting.content, BadRequest | bytes)
+        )
+        if len(self.queue) > MAX_PIPELINED_REQUESTS or queued_bytes > MAX_PIPELINED_BODY_BYTES:
+            self.queue.pop()
+            self._discard_body(queued)
+            self._reject(BadRequest("too many requests at once"))
+        return queued
+
+    def _reject(self, fault: BadRequest) -> None:
+        if self.is_input_closed:
             return
-        self.deaf = True
-        if (turn := self.uploading) is not None:
-            # Its request is no request: what a backend has of it is not whole, and will never be.
+        self.is_input_closed = True
+        if (queued := self.uploading) is not None:
+            # The request is aborted: a backend has received only a part of it.
             self.uploading = None
-            turn.what.upload.drop()
-            self.server.flowing.discard(self)
-            self.read_on(True)
-            if turn in self.waiting:
-                self.waiting.remove(turn)
-            elif turn is self.turn and self.open is not None:
-                request, self.open = self.open, None
-                self.server.host.gone(request)
-        self.waiting.append(Turn(fault, False))
+            queued.content.upload.discard_buffer()
+            self.server.streaming.discard(self)
+            self.set_reading(True)
+            if queued in self.queue:
+                self.queue.remove(queued)
+            elif queued is self.current and self.open_request is not None:
+                request_id, self.open_request = self.open_request, None
+                self.server.host.client_gone(request_id)
+        self.queue.append(QueuedRequest(fault, False))
 
     # Answers
 
-    def _next(self) -> None:
-        """Serve the next request, once the one before has its answer."""
-        while self.waiting and self.open is None and not (self.lost or self.choked):
-            self.turn = self.waiting.popleft()
-            what = self.turn.what
-            if isinstance(what, BadRequest):
-                self._write(what.status, what.headers, f"{what}\n".encode(), keep=False)
-            elif isinstance(what, bytes):
+    def _serve_next(self) -> None:
+        """Serve the next request, once the previous one is answered."""
+        while self.queue and self.open_request is None and not (self.is_lost or self.is_write_paused):
+            self.current = self.queue.popleft()
+            content = self.current.content
+            if isinstance(content, BadRequest):
+                self._write_answer(content.status, content.headers, f"{content}\n".encode(), keep_alive=False)
+            elif isinstance(content, bytes):
                 status, text = (200, b"ready\n") if self.server.ready else (503, b"not ready\n")
-                self._write(status, (), text, self.turn.keep)
-            elif not self._has_time(what, time.monotonic() - self.turn.since):
-                # It was never passed on, and won't be.
-                self._drop(self.turn)
-                self._write(503, (), b"its time was up before its turn\n", self.turn.keep)
-            elif self.server.host.is_open(what.txn):
-                # Guards against a second copy in another's name: an id is new with every request.
-                self.server.host.doubled(what)
-                self._write(409, (), b"this id is open\n", keep=False)
+                self._write_answer(status, (), text, self.current.keep_alive)
+            elif not self._subtract_wait(content, time.monotonic() - self.current.queued_at):
+                # It was never forwarded.
+                self._discard_body(self.current)
+                self._write_answer(503, (), b"its time was up before its turn\n", self.current.keep_alive)
+            elif self.server.host.is_open(content.txn):
+                # Request ids must be unique: this may be a duplicate sent by someone else.
+                self.server.host.report_duplicate(content)
+                self._write_answer(409, (), b"this id is open\n", keep_alive=False)
             else:
-                self._stand(None)
-                if self.turn is self.uploading:
-                    self.server.flowing.add(self)
-                    self._mark()
-                self.open = -1  # in case the answer comes before the id is known
-                request = self.server.host.admit(self, what)
-                self.open = request if self.open == -1 else self.open
-        self._continue()
+                self._move_to(None)
+                if self.current is self.uploading:
+                    self.server.streaming.add(self)
+                    self._mark_progress()
+                self.open_request = -1  # the answer may come before `admit` returns
+                request_id = self.server.host.admit(self, content)
+                self.open_request = request_id if self.open_request == -1 else self.open_request
+        self._send_continue()
 
     @staticmethod
-    def _has_time(asked: Asked, waited: float) -> bool:
-        """Take off the seconds that a request waited behind others; whether some of its time is left."""
-        if waited >= WAITED_LEAST:
-            asked.time_left -= waited
-        return asked.time_left > 0.0
-
-    def answered(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        """The answer, as it is to go out."""
-        self._answer(status, headers, body)
-
-    def served(self, answer: Answer) -> None:
-        """Answer with a backend's success."""
-        self._answer(200, [f for f in answer.headers if f[0] not in HOP_BY_HOP], answer.body)
-
-    def refused(self, retry_after: float) -> None:
-        """Answer that it has not run, and when to come back (s; 0: not told)."""
-        advice = [(b"retry-after", b"%.3f" % retry_after)] if retry_after > 0.0 else []
-        self._answer(503, advice, b"refused: trying again is harmless\n")
-
-    def failed(self) -> None:
-        """Answer that it may have run, with no good answer."""
-        self._answer(502, [], b"failed\n")
-
-    def _answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
-        self.open = None
-        if not self.lost:
-            self._write(status, headers, body, self.turn.keep)
-            self._then()
-
-    def _then(self) -> None:
-        if self.waiting:
-            # Not at once: a line of requests that are refused in turn would nest ever deeper.
-            self.server.loop.call_soon(self._next)
-        self._continue()
-
-    # A large answer, as it comes.
+    def _subtract_wait(parsed: ParsedRequest, waited_s: float) -> bool:
+        """Deduct the waiting time in the pipeline; returns whether any time is left."""
+        if waited_s >= MIN_QUEUE_WAIT_S:
+            parsed.time_left -= waited_s
+        return parsed.time_left > 0.0
+
+    def send_answer(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        """Send an answer."""
+        self._answer_current(status, headers, body)
+
+    def send_success(self, answer: Answer) -> None:
+        """Forward a backend's successful answer."""
+        self._answer_current(
+            200, [field for field in answer.headers if field[0] not in HOP_BY_HOP], answer.body
+        )
+
+    def send_refusal(self, retry_after: float) -> None:
+        """Answer that the request has not run; `retry_after` in seconds, 0 for none."""
+        headers = [(b"retry-after", b"%.3f" % retry_after)] if retry_after > 0.0 else []
+        self._answer_current(503, headers, b"refused: trying again is harmless\n")
+
+    def send_failure(self) -> None:
+        """Answer that the request failed and may have run."""
+        self._answer_current(502, [], b"failed\n")
+
+    def _answer_current(self, status: int, headers: list[tuple[bytes, bytes]], body: bytes) -> None:
+        self.open_request = None
+        if not self.is_lost:
+            self._write_answer(status, headers, body, self.current.keep_alive)
+            self._continue_serving()
+
+    def _continue_serving(self) -> None:
+        if self.queue:
+            # Not directly: many refused requests in a row would recurse deeply.
+            self.server.loop.call_soon(self._serve_next)
+        self._send_continue()
+
+    # Streamed answers
 
     def begin(self, answer: Answer, length: int | None, source: UpstreamConnection) -> None:
-        """Write the head of a large answer, and what there is of its body."""
-        self.source, self.passing = source, Waiting(self.budget, self.transport)
-        self.chunked = length is None and not self.turn.old
-        self.framed = self.chunked or length is not None
-        if self._ends_here() or not self.framed:
-            self.turn.keep = False  # where no length can be told, the end is the connection's
-        lines = [b"HTTP/1.1 %d %b" % (answer.status, REASONS.get(answer.status, b"Answer"))]
+        """Send the head of a streamed answer and the first part of its body."""
+        self.source, self.write_account = source, WriteBufferAccount(self.budget, self.transport)
+        self.is_chunked = length is None and not self.current.is_http_1_0
+        self.has_framing = self.is_chunked or length is not None
+        if self._is_last_answer() or not self.has_framing:
+            self.current.keep_alive = False  # without known length, the close ends the answer
+        lines = [b"HTTP/1.1 %d %b" % (answer.status, REASON_PHRASES.get(answer.status, b"Answer"))]
         lines += [name + b": " + value for name, value in answer.headers if name not in HOP_BY_HOP]
-        if self.chunked:
+        if self.is_chunked:
             lines.append(b"transfer-encoding: chunked")
         elif length is not None:
             lines.append(b"content-length: %d" % length)
-        if not self.turn.keep:
+        if not self.current.keep_alive:
             lines.append(b"connection: close")
-        self.server.flowing.add(self)
-        self._mark()
-        self.transport.set_write_buffer_limits(high=0)  # what waits is counted to the byte
+        self.server.streaming.add(self)
+        self._mark_progress()
+        self.transport.set_write_buffer_limits(high=0)  # the write buffer is charged exactly
         self.transport.write(b"\r\n".join(lines) + b"\r\n\r\n")
-        self.piece(answer.body)
+        self.write_body(answer.body)
 
-    def piece(self, data: bytes) -> None:
-        """Write a part of a large answer."""
-        if not self.lost:
-            self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.chunked else data)
-            self._look()
+    def write_body(self, data: bytes) -> None:
+        """Write a part of a streamed answer."""
+        if not self.is_lost:
+            self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if self.is_chunked else data)
+            self._update_backpressure()
 
-    def _look(self) -> None:
-        """Read on from the backend where little waits here."""
-        before, waits = self.passing.size, self.passing.look()
-        if waits < before or not self.choked:
-            self._mark()
-        self.source.read_on(waits <= self.budget.mark() or not self.choked)
+    def _update_backpressure(self) -> None:
+        """Resume or pause reading from the backend by the size of the write buffer."""
+        previous_size, size = self.write_account.size, self.write_account.update()
+        if size < previous_size or not self.is_write_paused:
+            self._mark_progress()
+        self.source.set_reading(size <= self.budget.high_water_mark() or not self.is_write_paused)
 
     def finish(self) -> None:
-        """A large answer is whole."""
-        if not self.lost:
-            if self.chunked:
+        """End a streamed answer."""
+        if not self.is_lost:
+            if self.is_chunked:
                 self.transport.write(b"0\r\n\r\n")
-            keep = self.turn.keep and not self._ends_here() and not self.deaf
-            self._leave_answer()
-            self._settle(keep)
-            self._then()
-
-    def broken(self) -> None:
-        """The rest of the answer won't come: the client sees that it ends too soon."""
-        if not self.lost:
-            self._leave_answer()
-            if not self.framed:
-                # A close alone might be the end of it: only a reset tells that it is not.
+            keep_alive = self.current.keep_alive and not self._is_last_answer() and not self.is_input_closed
+            self._end_stream()
+            self._await_next_or_close(keep_alive)
+            self._continue_serving()
+
+    def abort(self) -> None:
+        """Abort a streamed answer, so that the client can tell that it is incomplete."""
+        if not self.is_lost:
+            self._end_stream()
+            if not self.has_framing:
+                # A normal close would look like the end of the answer; a reset does not.
                 self.transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
                 )
                 return self.transport.abort()
-            self.deaf = True
-            self._drop_waiting()
-            self._stand(self.server.leaving)
+            self.is_input_closed = True
+            self._discard_queue()
+            self._move_to(self.server.lingering)
             self.transport.close()
 
-    def _leave_answer(self) -> None:
-        self.open = None
-        if self.passing is not None:
-            self.passing.end()
-            self.passing = self.source = None
-            self.server.flowing.discard(self)
-            self.transport.set_write_buffer_limits(high=MOST_UNREAD)
-
-    def _write(self, status: int, headers, body: bytes, keep: bool) -> None:
-        keep = keep and not self._ends_here()
-        lines = [b"HTTP/1.1 %d %b" % (status, REASONS.get(status, b"Answer"))]
+    def _end_stream(self) -> None:
+        self.open_request = None
+        if self.write_account is not None:
+            self.write_account.release()
+            self.write_account = self.source = None
+            self.server.streaming.discard(self)
+            self.transport.set_write_buffer_limits(high=MAX_UNSENT_BYTES)
+
+    def _write_answer(self, status: int, headers, body: bytes, keep_alive: bool) -> None:
+        keep_alive = keep_alive and not self._is_last_answer()
+        lines = [b"HTTP/1.1 %d %b" % (status, REASON_PHRASES.get(status, b"Answer"))]
         lines += [name + b": " + value for name, value in headers]
         lines.append(b"content-length: %d" % len(body))
-        if not keep:
+        if not keep_alive:
             lines.append(b"connection: close")
         self.transport.write(b"\r\n".join(lines) + b"\r\n\r\n" + body)
-        self._settle(keep)
+        self._await_next_or_close(keep_alive)
 
-    def _ends_here(self) -> bool:
-        """Whether the server drains and each request that was read here has its answer with this one."""
-        return self.server.draining and not self.waiting
+    def _is_last_answer(self) -> bool:
+        """Whether the server is draining and this is the answer to the last request received."""
+        return self.server.draining and not self.queue
 
-    def _settle(self, keep: bool) -> None:
-        """An answer is written: wait for the next request, or leave."""
-        if keep:
-            self._stand(self.server.coming if self.in_head or self.in_body else self.server.idle)
+    def _await_next_or_close(self, keep_alive: bool) -> None:
+        """After an answer: wait for the next request, or shut down."""
+        if keep_alive:
+            self._move_to(self.server.receiving if self.in_head or self.in_body else self.server.idle)
         else:
-            self._end()
+            self._shut_down()
 
-    def _end(self) -> None:
-        """Close after what is written; what still comes in is read and dropped for a while.
+    def _shut_down(self) -> None:
+        """Close after the pending data is written; further input is read and discarded for a while.
 
-        Guards the answer: closing with unread bytes would reset the connection and take it along.
+        Closing with unread input would reset the connection, and the client could lose the answer.
         """
-        self.deaf, self.taken = True, 0
-        if self.uploading is not None:  # what it still sends is dropped
-            self.uploading, self.patience = None, LONG_LINGER
-            self.server.flowing.discard(self)
-        self.read_on(True)
-        self._drop_waiting()
+        self.is_input_closed, self.received_bytes = True, 0
+        if self.uploading is not None:  # the rest of the upload is discarded
+            self.uploading, self.linger_s = None, INCOMPLETE_LINGER_S
+            self.server.streaming.discard(self)
+        self.set_reading(True)
+        self._discard_queue()
         self.headers, self.body = [], []
-        self._stand(self.server.leaving)
+        self._move_to(self.server.lingering)
         if self.transport.can_write_eof():
             self.transport.write_eof()
 
-    def _drop_waiting(self) -> None:
-        """Nothing more is served here; what is at hand, the host drops."""
-        for turn in self.waiting:
-            self._drop(turn)
-        self.waiting.clear()
+    def _discard_queue(self) -> None:
+        """Discard the queued requests; the host handles the one being served."""
+        for queued in self.queue:
+            self._discard_body(queued)
+        self.queue.clear()
 
     @staticmethod
-    def _drop(turn: Turn) -> None:
-        """Hold nothing of its body, which counts for the memory of all."""
-        if not isinstance(turn.what, BadRequest | bytes) and turn.what.upload is not None:
-            turn.what.upload.drop()
+    def _discard_body(queued: QueuedRequest) -> None:
+        """Release the buffered body of a request."""
+        if not isinstance(queued.content, BadRequest | bytes) and queued.content.upload is not None:
+            queued.content.upload.discard_buffer()
 
     def eof_received(self) -> bool:
-        """The client has closed its side: gone, and owed nothing more."""
+        """Close when the client has closed its side."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The client has left: drop what waits, and tell the host."""
-        self.lost = self.deaf = True
+        """Clean up, and tell the host that the client has left."""
+        self.is_lost = self.is_input_closed = True
         self.server.connections.discard(self)
-        self.server.flowing.discard(self)
-        self._stand(None)
-        self._drop_waiting()
-        if self.passing is not None:
-            self.passing.end()
-            self.passing = self.source = None
-        if self.open is not None and self.open > 0:
-            self.server.host.gone(self.open)
-        self.open = None
-        # Guards the memory: parser and protocol hold each other, and collections are rare.
+        self.server.streaming.discard(self)
+        self._move_to(None)
+        self._discard_queue()
+        if self.write_account is not None:
+            self.write_account.release()
+            self.write_account = self.source = None
+        if self.open_request is not None and self.open_request > 0:
+            self.server.host.client_gone(self.open_request)
+        self.open_request = None
+        # Breaks the reference cycle between parser and protocol.
         self.parser = None
 
-    # Upkeep
+    # Maintenance
 
-    def unread(self) -> bool:
-        """Whether something has come that the loop has not read yet: closing now would lose it."""
+    def has_unread_bytes(self) -> bool:
+        """Whether input has arrived that the event loop has not read yet; closing now would lose it."""
         poll = select.poll()
         poll.register(self.transport.get_extra_info("socket").fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def overdue(self) -> None:
-        """A request that doesn't come whole is told off; nobody waits for one that never began."""
-        if self.place is self.server.leaving and time.monotonic() - self.since < self.patience:
+    def time_out(self) -> None:
+        """Time out: answer 408 to an incomplete request, close a connection without one."""
+        if self.state_list is self.server.lingering and time.monotonic() - self.state_since < self.linger_s:
             return
-        if self.choked or self.deaf:
-            self.transport.abort()  # it does not read, so there is no telling it
+        if self.is_write_paused or self.is_input_closed:
+            self.transport.abort()  # the client does not read, so no answer can be sent
         elif not (self.in_head or self.in_body):
             self.transport.close()
         else:
-            self._fault(BadRequest("it has not come whole in time", 408))
-            self._next()
-
-    def check(self, now: float) -> None:
-        """A large body that does not get on: its peer is given up, unless it is we who don't read."""
-        if self.passing is not None:
-            self._look()
-            if now - self.moved > flow.STALLED:
+            self._reject(BadRequest("it has not come whole in time", 408))
+            self._serve_next()
+
+    def check_progress(self, now: float) -> None:
+        """Give up a large body that makes no progress, unless reading is paused on this side."""
+        if self.write_account is not None:
+            self._update_backpressure()
+            if now - self.progress_at > flow.STREAM_STALL_TIMEOUT_S:
                 self.transport.abort()
         elif self.uploading is not None:
-            if not self.reading or self.body_size - self.moved_size >= BODY_LEAST:
-                self._mark()
-            elif now - self.moved > BODY_SPAN:
-                self._fault(BadRequest("it has not come whole in time", 408))
-                self._next()
+            if not self.is_reading or self.body_bytes - self.progress_bytes >= MIN_BODY_PROGRESS_BYTES:
+                self._mark_progress()
+            elif now - self.progress_at > BODY_PROGRESS_INTERVAL_S:
+                self._reject(BadRequest("it has not come whole in time", 408))
+                self._serve_next()
 
 
 class Server:
-    """The listening socket and its connections."""
+    """Listening socket and client connections."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         host: Host,
-        most: int,
+        max_connections: int,
         reader: RequestReader,
-        bounds: Bounds | None = None,
+        limits: ClientLimits | None = None,
     ) -> None:
-        """`most`: connections at a time; `reader` turns requests into what `host` is asked."""
-        self.loop, self.host, self.most = loop, host, most
-        self.reader, self.bounds = reader, bounds or Bounds()
+        """`max_connections`: open at a time; `reader` parses requests for `host`."""
+        self.loop, self.host, self.max_connections = loop, host, max_connections
+        self.reader, self.limits = reader, limits or ClientLimits()
         self.connections: set[ClientConnection] = set()
-        # Those without a request that is open, in three lines, the oldest first; the others stand in none.
-        self.coming: dict[ClientConnection, None] = {}  # new, or a request has begun to come
-        self.idle: dict[ClientConnection, None] = {}  # answered, and kept
-        self.leaving: dict[ClientConnection, None] = {}  # told that they are closed
-        self.flowing: set[ClientConnection] = set()  # with a large body on its way
+        # Connections without an open request are in one of these lists, the oldest first.
+        # New connections, and those with a request arriving:
+        self.receiving: dict[ClientConnection, None] = {}
+        self.idle: dict[ClientConnection, None] = {}  # waiting for the next request
+        # Final answer sent, reading on until the client closes:
+        self.lingering: dict[ClientConnection, None] = {}
+        self.streaming: set[ClientConnection] = set()  # with a large body in progress
         self.stopping = False  # the process is about to end
-        self.drained_at: float | None = None  # when operators sent the clients away
+        self.drained_at: float | None = None  # when operators drained the ingress
         self.listener: asyncio.Server | None = None
 
     @property
-    def most_body(self) -> int:
-        """The most bytes that a request's body may have."""
-        return self.bounds.body_bytes or flow.MOST_LARGE
+    def max_body_bytes(self) -> int:
+        """Size limit for request bodies."""
+        return self.limits.body_bytes or flow.MAX_BODY_BYTES
 
     @property
     def draining(self) -> bool:
-        """Whether each answer is the last of its connection."""
+        """Whether each answer closes its connection."""
         return self.stopping or self.drained_at is not None
 
     @property
     def ready(self) -> bool:
-        """Whether the front may send clients here."""
+        """Whether the load balancer may send clients here."""
         return self.listener is not None and self.host.ready and not self.draining
 
-    async def listen(self, where: tuple[str, int] | socket.socket) -> None:
-        """Accept at an address, or on a socket that listens already."""
-        at = (
-            {"sock": where}
-            if isinstance(where, socket.socket)
-            else {"host": where[0], "port": where[1], "reuse_address": True}
+    async def listen(self, address_or_socket: tuple[str, int] | socket.socket) -> None:
+        """Accept connections at an address or on a listening socket."""
+        arguments = (
+            {"sock": address_or_socket}
+            if isinstance(address_or_socket, socket.socket)
+            else {"host": address_or_socket[0], "port": address_or_socket[1], "reuse_address": True}
+        )
+        self.listener = await self.loop.create_server(
+            lambda: ClientConnection(self), backlog=1024, **arguments
         )
-        self.listener = await self.loop.create_server(lambda: ClientConnection(self), backlog=1024, **at)
 
-    def make_room(self) -> None:
-        """Close one connection when there are too many: one that is owed nothing, the oldest of its kind.
+    def evict_excess(self) -> None:
+        """Close one connection if there are too many, the oldest of a kind that has no open request.
 
-        Those that say nothing go before those that are kept, as they come by hundreds; one just opened has
-        a moment to send its request.
+        Silent connections are closed before kept-alive ones, as they may come in masses; a new connection
+        gets some time to send its request.
         """
-        if len(self.connections) <= self.most:
+        if len(self.connections) <= self.max_connections:
             return
-        oldest = next(iter(self.coming))
-        if self.leaving:
-            next(iter(self.leaving)).transport.abort()
-        elif oldest.since < time.monotonic() - YOUNG or not self.idle:
+        oldest = next(iter(self.receiving))
+        if self.lingering:
+            next(iter(self.lingering)).transport.abort()
+        elif oldest.state_since < time.monotonic() - NEW_CONNECTION_GRACE_S or not self.idle:
             oldest.transport.abort()
         else:
             next(iter(self.idle)).transport.close()
 
     def sweep(self) -> None:
-        """Give up connections that have taken too long; to be called about twice a second."""
+        """Time out connections; to be called about twice a second."""
         now = time.monotonic()
-        for connection in list(self.flowing):
-            connection.check(now)
-        for line, most in (
-            (self.coming, self.bounds.head_time),
-            (self.idle, self.bounds.idle_time),
-            (self.leaving, LINGER),
+        for connection in list(self.streaming):
+            connection.check_progress(now)
+        for group, limit_s in (
+            (self.receiving, self.limits.head_timeout_s),
+            (self.idle, self.limits.idle_timeout_s),
+            (self.lingering, LINGER_S),
         ):
-            for connection in list(takewhile(lambda c: c.since < now - most, line)):  # noqa: B023
-                connection.overdue()
-        if self.drained_at is not None and now - self.drained_at >= TURN_AWAY:
-            self.close_unused(now - DRAINED_IDLE)
+            for connection in list(takewhile(lambda each: each.state_since < now - limit_s, group)):  # noqa: B023
+                connection.time_out()
+        if self.drained_at is not None and now - self.drained_at >= DRAIN_CLOSE_DELAY_S:
+            self.close_unused(now - DRAIN_MIN_IDLE_S)
 
     def drain(self) -> None:
-        """Send the clients away; what is open is finished, and `activate` undoes it."""
+        """Ask clients to leave; open requests are finished. Can be undone by `activate`."""
         if self.drained_at is None:
             self.drained_at = time.monotonic()
 
@@ -686,11 +707,11 @@
         """Undo `drain`."""
         self.drained_at = None
 
-    def close_unused(self, before: float) -> None:
-        """Close the connections without a request that have stood since then or longer."""
-        for line in (self.idle, self.coming):
-            for connection in list(takewhile(lambda c: c.since < before, line)):
-                if not (connection.in_head or connection.in_body or connection.unread()):
+    def close_unused(self, unused_since: float) -> None:
+        """Close connections without a request that have been unused since `unused_since`."""
+        for connections in (self.idle, self.receiving):
+            for connection in list(takewhile(lambda each: each.state_since < unused_since, connections)):
+                if not (connection.in_head or connection.in_body or connection.has_unread_bytes()):
                     connection.transport.close()
 
     def stop_listening(self) -> None:
--- a/fennelpoint/quota.py
+++ b/fennelpoint/quota.py
@@ -1,4 +1,4 @@
-"""Customers' quotas: the buckets of their slices, and the counter by which ingresses share each quota."""
+"""Customers' quotas: the buckets of their shares, and the counter by which ingresses share each quota."""
 
 from __future__ import annotations
 
@@ -6,253 +6,329 @@
 from random import Random
 
 from fennelpoint import interface as api
-from fennelpoint.state import Customer, Try
-from fennelpoint.upkeep import fill, forget, new_total
-from fennelpoint.window import LEARN, TARGET
+from fennelpoint.state import Customer, Task
+from fennelpoint.upkeep import fill_buckets, forget_idle, record_total
+from fennelpoint.window import LEARNING_RATE, MAX_PRESSURE
 
-COUNT_PERIOD = 1.0  # s; a counter call has a price
-SILENT_AFTER, FORGET_COUNT = 1.0, 60.0  # s: the counter is silent; a count's longest life
-BACK_OFF, BACK_OFF_MOST = 0.25, 8.0  # s of pause after a lost call, half of the first; at most
-SHORT_FOR, READ_LEAST = 6.0, 0.15  # s after units were missing; s between two reads
-READ_PART, LOW_PART = 0.25, 0.1  # of the s in which a store fills, between reads: while short; when low
-OTHERS, DEBT, REPAY = 1.5, 0.1, 0.5  # what others may take over the expected; of the burst; paid at a read
-LOW, KEPT = 0.5, 0.35  # of what a read granted: read anew below; of the even part of a burst, kept at a read
-SPARED = 1 << 40  # over all keys; a key and this is the counter's name for what was asked and not taken
-ASKED_HALF, SPARSE = 2.0, 10.0  # s: asks count half in a share; to fill one request: past it each try asks
-WINDOW, CROWDED = 1.0, 0.6  # burst spans that its asks are counted over; of the time-out: stood in line
-SPARE_ASKS = 4.0  # times as soon as first tries, repeats and what costs nothing are asked less
-ASK_GAIN, ASK_EASE, ASK_LOSS, LEAST_ASKING = 0.05, 0.9, 0.6, 0.1  # asking share: quick, crowded, none; least
-KEPT_BACK = 0.5  # of the ceiling: beyond quotas nothing is sent past this
-FORGET, SWEEP = 15.0, 2  # s after which an idle customer is forgotten, and how many are looked at a try
+COUNT_PERIOD_S = 1.0  # between a customer's counter calls, each of which costs something
+SILENT_AFTER_S, COUNT_TTL_S = 1.0, 60.0
+BACKOFF_S, MAX_BACKOFF_S = 0.25, 8.0  # half of the first pause after a failed counter call; the longest
+SHORTAGE_S, MIN_READ_S = 6.0, 0.15  # for which a lack of units counts; between two counter calls
+# Share of the time in which a full bucket fills, between two calls: during a shortage; at a low level.
+SHORTAGE_READ_SHARE, LOW_READ_SHARE = 0.25, 0.1
+# Factor on what others are expected to take; largest debt, of the burst; share of it repaid at a total.
+OTHERS_MARGIN, MAX_DEBT, DEBT_REPAYMENT = 1.5, 0.1, 0.5
+# Share of the granted level below which a call is due early; of the even share of a burst, kept at a total.
+LOW_LEVEL, KEPT_LEVEL = 0.5, 0.35
+UNTAKEN = 1 << 40  # above all keys; added to a customer's key for the counter of its untaken units
+DEMAND_HALF_LIFE_S, SPARSE_S = 2.0, 10.0  # a customer is sparse if one request takes longer to fill
+# Window of a sparse customer, in times that its full bucket takes to fill; share of the timeout from which a
+# counter's reply is slow.
+SPARSE_WINDOW, SLOW_REPLY = 1.0, 0.6
+MINOR_FACTOR = 4.0  # how much faster checks of minor requests are reduced: retries, and without excess cost
+# Changes of the share of checks after a quick, a slow and no reply; its least value.
+CHECK_GAIN, CHECK_SLOW, CHECK_LOSS, MIN_CHECK_SHARE = 0.05, 0.9, 0.6, 0.1
+CEILING_RESERVE = 0.5  # share of the ceiling that requests beyond the quota leave free
+FORGET_AFTER_S, FORGET_CHECKS = 15.0, 2  # for an idle customer; customers checked at each request
 
 
 class Quotas:
-    """The customers and their buckets at one ingress.
+    """The customers and their buckets at one ingress."""
 
-    Counter calls to be made are returned, and their replies are given to `counted`, `spared` and `answered`.
-    """
+    # Methods return the counter calls to make, whose replies go to `on_total`, `on_untaken_total` and
+    # `on_check_reply`.
 
     def __init__(self, settings: api.Settings, random: Random, now: float) -> None:
         self.settings, self.random = settings, random
-        self.customers: dict[int, Customer] = {}  # the longest unseen first
-        self.heard_at = -inf  # when the counter last answered a sparse try
-        self.asking = 1.0  # share of sparse tries that ask
-        # That a sparse try has room: a customer's first one here for a while, another one, a repeat.
-        self.odds = [[1.0, 1.0, 0.3] for _ in settings.plans]
-        self.began = now  # its parts of ceilings are its own from then on
-        self.part = 1.0  # of this ingress's allowances; the rest is with another process of it
+        self.customers: dict[int, Customer] = {}  # by time of their last request, the oldest first
+        self.replied_at = -inf  # when the counter last answered a check
+        self.check_share = 1.0  # share of sparse customers' requests that are checked
+        # By plan and `Task.kind`: chance that a sparse customer's request has room.
+        self.room_odds = [[1.0, 1.0, 0.3] for _ in settings.plans]
+        self.began_at = now  # ceilings fill from then on
+        self.process_share = 1.0  # the rest of this ingress's limits belongs to another process of it
 
-    def take_part(self, part: float, now: float) -> None:
-        """Share the allowances with another process as if each customer's set were so much wider.
+    def set_process_share(self, share: float, now: float) -> None:
+        """Share the limits with another process as if each customer's spread grew by that factor."""
+        # Levels shrink with the share but do not grow with it: the other process may have used the units.
+        factor, self.process_share, self.began_at = self.process_share / share, share, now
+        for customer in self.customers.values():
+            self.fill(customer, now)
+            customer.spread, customer.share = customer.spread * factor, min(1.0, customer.share / factor)
+            if factor > 1.0:
+                customer.level, customer.ceiling, customer.granted_level = (
+                    customer.level / factor,
+                    customer.ceiling / factor,
+                    customer.granted_level / factor,
+                )
 
-        What was saved up shrinks with the part, and does not grow with it: the other one may have used it.
-        """
-        wider, self.part, self.began = self.part / part, part, now
-        for c in self.customers.values():
-            self.fill(c, now)
-            c.width, c.share = c.width * wider, min(1.0, c.share / wider)
-            if wider > 1.0:
-                c.level, c.ceiling, c.granted = c.level / wider, c.ceiling / wider, c.granted / wider
-
-    def customer(self, ask: api.Request, now: float) -> Customer:
-        plan, whole = self.settings.plans[ask.plan], max(1.0, ask.width)
-        width = whole / self.part
-        if (c := self.customers.pop(ask.customer, None)) is None:
-            c = Customer(
-                ask.customer,
-                ask.plan,
-                width,
-                1.0 / width,
-                max(plan.burst / width, ask.units),
-                store=plan.burst,
-                filled=now,
+    def customer_of(self, request: api.Request, now: float) -> Customer:
+        """Return the customer of a request that has come, known or new."""
+        plan, ingresses = self.settings.plans[request.plan], max(1.0, request.spread)
+        spread = ingresses / self.process_share
+        if (customer := self.customers.pop(request.customer, None)) is None:
+            customer = Customer(
+                request.customer,
+                request.plan,
+                spread,
+                1.0 / spread,
+                max(plan.burst / spread, request.units),
+                shared_level=plan.burst,
+                filled_at=now,
                 total_at=now,
-                count_at=now + self.random.uniform(0.3, 1.0) * COUNT_PERIOD,
+                count_at=now + self.random.uniform(0.3, 1.0) * COUNT_PERIOD_S,
+            )
+            # Filled only for the time in which this process surely used none of it: neither a restart nor a
+            # customer that was forgotten fills the ceiling at once.
+            customer.ceiling = (
+                min(plan.ceiling_burst, plan.ceiling_rate * min(now - self.began_at, FORGET_AFTER_S)) / spread
             )
-            # What its part gave while no more than this process can have used it: guards the ceiling after a
-            # restart, which does not fill it, and where a customer was forgotten for a while.
-            c.ceiling = min(plan.ceiling_burst, plan.ceiling_rate * min(now - self.began, FORGET)) / width
-            if self.settings.has_counter and 0.0 < plan.rate * SPARSE < self.settings.most_units * whole:
-                c.window = min(FORGET_COUNT, WINDOW * plan.burst / plan.rate)
-        c.met = now - c.seen < c.window
-        self.customers[ask.customer], c.seen = c, now
-        forget(self.customers, SWEEP, now - FORGET)
-        return c
+            if self.settings.has_counter and 0.0 < plan.rate * SPARSE_S < self.settings.max_units * ingresses:
+                customer.window = min(COUNT_TTL_S, SPARSE_WINDOW * plan.burst / plan.rate)
+        customer.seen = now - customer.last_request_at < customer.window
+        self.customers[request.customer], customer.last_request_at = customer, now
+        forget_idle(self.customers, FORGET_CHECKS, now - FORGET_AFTER_S)
+        return customer
 
-    def fill(self, c: Customer, now: float) -> None:
-        plan, most = self.settings.plans[c.plan], self.settings.most_units
-        fill(c, plan, max(plan.burst * c.share, min(plan.burst, most)), max(c.cap or 0.0, most), now)
+    def fill(self, customer: Customer, now: float) -> None:
+        """Bring a customer's buckets up to date."""
+        plan, max_units = self.settings.plans[customer.plan], self.settings.max_units
+        fill_buckets(
+            customer,
+            plan,
+            max(plan.burst * customer.share, min(plan.burst, max_units)),
+            max(customer.cap or 0.0, max_units),
+            now,
+        )
 
-    def rate_here(self, c: Customer) -> float:
-        """Units a second of its quota here."""
-        return self.settings.plans[c.plan].rate * c.share
+    def own_rate(self, customer: Customer) -> float:
+        """Return the units a second of the customer's quota here."""
+        return self.settings.plans[customer.plan].rate * customer.share
 
-    def room(self, t: Try, pressed: bool, now: float) -> bool | None:
-        """Whether an uncharged try would be inside its quota now; None where it may not be sent at all."""
-        c, units, plan = t.customer, t.ask.units, self.settings.plans[t.ask.plan]
-        self.fill(c, now)
-        if (plan.ceiling_rate and c.ceiling < units) or (
-            c.cap is not None and c.cap_level < min(units, max(c.cap, self.settings.most_units))
+    def check_quota(self, task: Task, is_congested: bool, now: float) -> bool | None:
+        """Return whether an uncharged request is within its quota now; None if it may not be sent at all."""
+        customer, units, plan = task.customer, task.request.units, self.settings.plans[task.request.plan]
+        self.fill(customer, now)
+        if (plan.ceiling_rate and customer.ceiling < units) or (
+            customer.cap is not None
+            and customer.cap_level < min(units, max(customer.cap, self.settings.max_units))
         ):
             return None
-        room = not plan.rate or (c.level >= units if t.inside is None else t.inside)
-        inside = room and not (plan.open_limit and c.open >= max(1, round(plan.open_limit * c.share)))
-        if not inside and (plan.over_worth <= 0.0 or pressed):
-            c.short_at = now
+        has_units = not plan.rate or (customer.level >= units if task.in_quota is None else task.in_quota)
+        in_quota = has_units and not (
+            plan.concurrency_limit
+            and customer.attempts >= max(1, round(plan.concurrency_limit * customer.share))
+        )
+        if not in_quota and (plan.excess_worth <= 0.0 or is_congested):
+            customer.short_at = now
             return None
-        # Guards the room inside the quota: what is worth little used the ceiling up where attempts out
-        # were at their limit, and the next ones inside had none left.
-        # Of a part that holds hardly two requests nothing is kept: whether a try is inside can't be told
-        # there, and what is refused is mostly that.
-        part = plan.ceiling_burst / c.width
-        kept = min(KEPT_BACK * part, max(0.0, part - 2.0 * units))
-        if not inside and plan.ceiling_rate and c.ceiling < units + kept:
+        # Requests beyond the quota leave a reserve of the ceiling to those within it, which wait for the
+        # concurrency limit. A part of hardly two requests has no reserve: whether a request is within the
+        # quota can't be known there, and most of those refused would be.
+        own_ceiling = plan.ceiling_burst / customer.spread
+        reserve = min(CEILING_RESERVE * own_ceiling, max(0.0, own_ceiling - 2.0 * units))
+        if not in_quota and plan.ceiling_rate and customer.ceiling < units + reserve:
             return None
-        return inside
+        return in_quota
 
-    def charge(self, t: Try, inside: bool) -> None:
-        """A try is sent for the first time."""
-        c, units = t.customer, t.ask.units
-        c.ceiling, c.cap_level = c.ceiling - units, c.cap_level - units
-        c.level -= min(c.level, units) if inside and self.settings.plans[c.plan].rate else 0.0
-        c.fresh, c.own = c.fresh + units * inside, c.own + units * inside
-        c.spared += units * (not inside)
+    def charge(self, task: Task, in_quota: bool) -> None:
+        """Take the units of a request that is sent for the first time."""
+        customer, units = task.customer, task.request.units
+        customer.ceiling, customer.cap_level = customer.ceiling - units, customer.cap_level - units
+        customer.level -= (
+            min(customer.level, units) if in_quota and self.settings.plans[customer.plan].rate else 0.0
+        )
+        customer.taken, customer.own = customer.taken + units * in_quota, customer.own + units * in_quota
+        customer.untaken += units * (not in_quota)
 
-    def wait(self, t: Try) -> float:
-        """Seconds until the bucket holds its units and those that wait before it; may be below 0."""
-        c, plan = t.customer, self.settings.plans[t.ask.plan]
-        need = t.ask.units + c.held
-        rate = plan.rate * max(c.share, 0.01) if t.inside is None and plan.rate else inf
-        wait = (need - c.level) / rate
-        return max(wait, (need - c.ceiling) * c.width / plan.ceiling_rate) if plan.ceiling_rate else wait
+    def wait_for_units(self, task: Task) -> float:
+        """Return the seconds until the buckets hold its units and those held before it; may be negative."""
+        customer, plan = task.customer, self.settings.plans[task.request.plan]
+        needed = task.request.units + customer.held
+        rate = plan.rate * max(customer.share, 0.01) if task.in_quota is None and plan.rate else inf
+        wait = (needed - customer.level) / rate
+        return (
+            max(wait, (needed - customer.ceiling) * customer.spread / plan.ceiling_rate)
+            if plan.ceiling_rate
+            else wait
+        )
 
-    def due(self, t: Try) -> float:
-        """When its bucket, filled by time alone, can hold its units; -inf where nothing hangs on that."""
-        c, plan = t.customer, self.settings.plans[t.ask.plan]
-        if t.charged or t.inside is not None or not plan.rate or plan.over_worth > 0.0:
+    def units_due_at(self, task: Task) -> float:
+        """Return when its bucket, filled by time alone, can hold its units; -inf if it needs none of them."""
+        customer, plan = task.customer, self.settings.plans[task.request.plan]
+        if task.is_charged or task.in_quota is not None or not plan.rate or plan.excess_worth > 0.0:
             return -inf
-        return c.filled + (t.ask.units - c.level) / (plan.rate * max(c.share, 0.01))
-
-    def count(self, c: Customer, now: float) -> list[api.Action]:
-        """Tell the counter what was taken from the quota, once a period, and learn what all ingresses took.
+        return customer.filled_at + (task.request.units - customer.level) / (
+            plan.rate * max(customer.share, 0.01)
+        )
 
-        What is refused takes nothing: told as taken, it emptied a store that no one had used, at every
-        ingress, for all who ask for about their quota.  It is told to a name of its own, as the shares go by
-        all that is asked, and only while the customer is short here.  Then, and once half of what a read
-        granted is gone, the next read does not wait for the period.  This covers retries, floods and sudden
-        crowds of one customer alike.  It would hurt where many customers are short at once and the counter
-        can't bear three calls for one.
-        """
-        if not self.settings.has_counter or c.calling is not None:
+    def count(self, customer: Customer, now: float) -> list[api.Action]:
+        """Add the units taken to the counter, once a period, to learn what all ingresses took."""
+        # During a shortage, and once half of the granted level is used, the next call comes earlier: this
+        # covers retries, floods and sudden bursts of a customer. It does not suit sites where many customers
+        # are short at once and the counter can't bear three calls in place of one.
+        #
+        # Untaken units have a counter of their own, used only during a shortage, as the shares depend on all
+        # demand. Counted as taken, they would empty a bucket that nobody used.
+        if not self.settings.has_counter or customer.count is not None:
             return []
-        plan, period = self.settings.plans[c.plan], COUNT_PERIOD
-        fills = plan.burst / plan.rate if plan.rate else inf
-        low = c.level < LOW * c.granted and not c.fails
-        if now < (min(c.count_at, c.total_at + max(READ_LEAST, LOW_PART * fills)) if low else c.count_at):
+        plan, period = self.settings.plans[customer.plan], COUNT_PERIOD_S
+        fill_time = plan.burst / plan.rate if plan.rate else inf
+        is_low = customer.level < LOW_LEVEL * customer.granted_level and not customer.errors
+        if now < (
+            min(customer.count_at, customer.total_at + max(MIN_READ_S, LOW_READ_SHARE * fill_time))
+            if is_low
+            else customer.count_at
+        ):
             return []
-        if short := plan.rate > 0.0 and now - c.short_at < SHORT_FOR:
-            period = min(period, max(READ_LEAST, READ_PART * fills))
-        c.calling, c.fresh, c.count_at = c.fresh, 0.0, now + period
-        calls = [api.Count(c.key, c.calling, FORGET_COUNT)]
-        if short and c.sparing is None and now >= c.spare_at:
-            c.sparing, c.spared, c.spare_at = c.spared, 0.0, now + 2.0 * COUNT_PERIOD
-            calls.append(api.Count(c.key + SPARED, c.sparing, FORGET_COUNT))
-        elif not short:
-            c.spared, c.spared_total = 0.0, None
+        if is_short := plan.rate > 0.0 and now - customer.short_at < SHORTAGE_S:
+            period = min(period, max(MIN_READ_S, SHORTAGE_READ_SHARE * fill_time))
+        customer.count, customer.taken, customer.count_at = customer.taken, 0.0, now + period
+        calls = [api.CounterAdd(customer.key, customer.count, COUNT_TTL_S)]
+        if is_short and customer.untaken_count is None and now >= customer.untaken_at:
+            customer.untaken_count, customer.untaken, customer.untaken_at = (
+                customer.untaken,
+                0.0,
+                now + 2.0 * COUNT_PERIOD_S,
+            )
+            calls.append(api.CounterAdd(customer.key + UNTAKEN, customer.untaken_count, COUNT_TTL_S))
+        elif not is_short:
+            customer.untaken, customer.untaken_total = 0.0, None
         return calls
 
-    def counted(self, c: Customer, reply: api.CounterReply, ok: bool, now: float) -> None:
-        """Go on by what all ingresses took, or by the even share while the counter is silent."""
-        added, c.calling, c.fails = c.calling or 0.0, None, 0 if ok else c.fails + 1
+    def on_total(self, customer: Customer, reply: api.CounterReply, ok: bool, now: float) -> None:
+        """Update share and level by what all ingresses took; use the even share while the counter fails."""
+        added, customer.count, customer.errors = customer.count or 0.0, None, 0 if ok else customer.errors + 1
         if not ok:
-            c.count_at = now + self.random.uniform(0.5, 1.0) * min(BACK_OFF_MOST, BACK_OFF * 2**c.fails)
-            c.fresh += added if reply.status is not api.Status.TIMEOUT else 0.0  # it may have been added
-            if now - c.total_at > SILENT_AFTER:  # the even share while the counter is silent
-                c.share, c.ours, c.alls, c.spans = 1.0 / c.width, 0.0, 0.0, 0.0
+            customer.count_at = now + self.random.uniform(0.5, 1.0) * min(
+                MAX_BACKOFF_S, BACKOFF_S * 2**customer.errors
+            )
+            # After a timeout the units may have been added.
+            customer.taken += added if reply.status is not api.Status.TIMEOUT else 0.0
+            if now - customer.total_at > SILENT_AFTER_S:
+                customer.share, customer.own_demand, customer.demand, customer.demand_span = (
+                    1.0 / customer.spread,
+                    0.0,
+                    0.0,
+                    0.0,
+                )
             return
-        counted = c.total is not None
-        plan, (own, everyone, span) = self.settings.plans[c.plan], new_total(c, reply.total, added, now)
-        self.fill(c, now)
-        if everyone is None:  # the first total, or the counter lost its count
-            # Guards against a store that looks full after an outage: what the others took can't be seen then.
-            everyone = own / max(c.share, 1.0 / c.width) if counted else min(reply.total, own * c.width)
-            c.share, c.ours, c.alls, c.spans = 1.0 / c.width, 0.0, 0.0, 0.0
+        had_total = customer.last_total is not None
+        plan, (own, everyone, span) = (
+            self.settings.plans[customer.plan],
+            record_total(customer, reply.total, added, now),
+        )
+        self.fill(customer, now)
+        if everyone is None:  # the first total, or the counter was reset
+            # An estimate: guards against a shared bucket that looks full after an outage of the counter.
+            everyone = (
+                own / max(customer.share, 1.0 / customer.spread)
+                if had_total
+                else min(reply.total, own * customer.spread)
+            )
+            customer.share, customer.own_demand, customer.demand, customer.demand_span = (
+                1.0 / customer.spread,
+                0.0,
+                0.0,
+                0.0,
+            )
         else:
-            keep, spared = 0.5 ** (span / ASKED_HALF), c.sparing or 0.0
-            c.ours, c.alls = c.ours * keep + own + spared, c.alls * keep + everyone + spared
-            c.spans = c.spans * keep + span
-            self._share(c)
-        # Filled first, then used: guards against counting what a full store let run over while it was idle.
-        c.store = max(-DEBT * plan.burst, min(plan.burst, c.store + plan.rate * span) - everyone)
-        # Guards against stores that are small beside a request: each ingress kept one, which made up a burst.
-        kept = min(c.level, self.settings.most_units, KEPT * plan.burst / c.width)
-        kept += min(0.0, c.store) * c.share * REPAY
-        c.granted = c.level = max(0.0, kept, self._slice(c))
+            decay, untaken = 0.5 ** (span / DEMAND_HALF_LIFE_S), customer.untaken_count or 0.0
+            customer.own_demand, customer.demand = (
+                customer.own_demand * decay + own + untaken,
+                customer.demand * decay + everyone + untaken,
+            )
+            customer.demand_span = customer.demand_span * decay + span
+            self._update_share(customer)
+        # Filled first, then used: what overflowed a full bucket while the customer was idle does not count.
+        customer.shared_level = max(
+            -MAX_DEBT * plan.burst, min(plan.burst, customer.shared_level + plan.rate * span) - everyone
+        )
+        # Bounded: else small levels that all ingresses keep could add up to a burst.
+        kept = min(customer.level, self.settings.max_units, KEPT_LEVEL * plan.burst / customer.spread)
+        kept += min(0.0, customer.shared_level) * customer.share * DEBT_REPAYMENT
+        customer.granted_level = customer.level = max(0.0, kept, self._grant(customer))
 
-    def spared(self, reply: api.CounterReply, ok: bool) -> None:
-        """What was asked everywhere and not taken counts for the shares."""
-        if (c := self.customers.get(reply.name - SPARED)) is None or c.sparing is None:
+    def on_untaken_total(self, reply: api.CounterReply, ok: bool) -> None:
+        """Count the untaken units of all ingresses as demand."""
+        if (customer := self.customers.get(reply.key - UNTAKEN)) is None or customer.untaken_count is None:
             return
-        added, c.sparing = c.sparing, None
+        added, customer.untaken_count = customer.untaken_count, None
         if not ok:
-            c.spared += added if reply.status is not api.Status.TIMEOUT else 0.0
+            customer.untaken += added if reply.status is not api.Status.TIMEOUT else 0.0
             return
-        before, c.spared_total = c.spared_total, reply.total
-        if c.spans and before is not None and reply.total >= before:
-            c.alls += max(0.0, reply.total - before - added)
-            self._share(c)
+        before, customer.untaken_total = customer.untaken_total, reply.total
+        if customer.demand_span and before is not None and reply.total >= before:
+            customer.demand += max(0.0, reply.total - before - added)
+            self._update_share(customer)
 
-    def _share(self, c: Customer) -> None:
-        """The larger of the even share of what is not asked for, and of the own part of what is."""
-        rate = self.settings.plans[c.plan].rate
-        unused = max(0.0, 1.0 - c.alls / c.spans / rate) / c.width if rate else 0.0
-        c.share = max(unused, c.ours / c.alls if c.alls else 1.0 / c.width)
+    def _update_share(self, customer: Customer) -> None:
+        # Set the share to the own part of the demand, or to the even share of the unused quota if larger.
+        rate = self.settings.plans[customer.plan].rate
+        unused = (
+            max(0.0, 1.0 - customer.demand / customer.demand_span / rate) / customer.spread if rate else 0.0
+        )
+        customer.share = max(
+            unused, customer.own_demand / customer.demand if customer.demand else 1.0 / customer.spread
+        )
 
-    def _slice(self, c: Customer) -> float:
-        """What may be taken of the store until the next read: the share, or what others hardly need."""
-        if not c.spans:
-            return c.store * c.share
-        span = max(READ_LEAST, c.count_at - c.total_at)  # the total may have come late
-        return max(c.store * c.share, c.store - OTHERS * (c.alls - c.ours) / c.spans * span)
+    def _grant(self, customer: Customer) -> float:
+        # Return the units to use until the next total: the share, or what others will hardly need.
+        if not customer.demand_span:
+            return customer.shared_level * customer.share
+        # At least the shortest interval, as the total may have come late.
+        span = max(MIN_READ_S, customer.count_at - customer.total_at)
+        return max(
+            customer.shared_level * customer.share,
+            customer.shared_level
+            - OTHERS_MARGIN * (customer.demand - customer.own_demand) / customer.demand_span * span,
+        )
 
-    def ask(self, t: Try, now: float) -> list[api.Action]:
-        """The call that a sparse customer's try waits for; none where it goes by the odds.
-
-        A counter in trouble is asked less.
-        """
-        plan = self.settings.plans[t.ask.plan]
-        spare = t.ask.is_repeat or plan.over_cost <= 0.0  # needs the answer less: few of these have room
-        asked = max(0.0, 1.0 - SPARE_ASKS * (1.0 - self.asking)) if spare else self.asking
-        if self.random.random() >= asked:
+    def check(self, task: Task, now: float) -> list[api.Action]:
+        """Return the counter call that a sparse customer's request waits for; none if it goes by the odds."""
+        # The slower the counter, the fewer requests are checked.
+        plan = self.settings.plans[task.request.plan]
+        is_minor = task.request.is_retry or plan.excess_cost <= 0.0  # few of these have room
+        chance = max(0.0, 1.0 - MINOR_FACTOR * (1.0 - self.check_share)) if is_minor else self.check_share
+        if self.random.random() >= chance:
             return []
-        t.customer.asking.append((t, amount := t.ask.units / self.asking))  # for those unasked too
-        t.not_before = now + 2 * self.settings.counter_timeout  # should the answer never come
-        return [api.Count(t.customer.key, amount, t.customer.window)]
+        # Counts for those that are not checked, too.
+        task.customer.checks.append((task, amount := task.request.units / self.check_share))
+        task.earliest = now + 2 * self.settings.counter_timeout  # if no reply comes
+        return [api.CounterAdd(task.customer.key, amount, task.customer.window)]
 
-    def guess(self, t: Try, pressure: float, now: float) -> None:
-        """Whether an unasked try is inside; left open where the even share has to tell."""
-        odds, cost = self._odds(t, now), self.settings.plans[t.ask.plan].over_cost
+    def guess_quota(self, task: Task, pressure: float, now: float) -> None:
+        """Guess whether a request without a check is within the quota; undecided, it goes by the bucket."""
+        odds, cost = self._odds(task, now), self.settings.plans[task.request.plan].excess_cost
         if odds < (1.0 - odds) * cost:
-            t.inside = False
-        elif now - self.heard_at < SILENT_AFTER and odds - (1.0 - odds) * cost > pressure / TARGET:
-            t.inside = True  # else by the even share: what is crowded has no room for what may be beyond
+            task.in_quota = False
+        elif now - self.replied_at < SILENT_AFTER_S and odds - (1.0 - odds) * cost > pressure / MAX_PRESSURE:
+            # Never under high pressure: no capacity is left then for requests that may be beyond quotas.
+            task.in_quota = True
 
-    def _odds(self, t: Try, now: float) -> float:
-        """That an unasked try is inside: by what its customer was last told, and as that fades, its plan."""
-        c, odds = t.customer, self.odds[t.ask.plan][t.kind]
-        if c.told is not None:
-            odds += (c.told - odds) * 0.5 ** ((now - c.told_at) / c.window)
+    def _odds(self, task: Task, now: float) -> float:
+        # Return the chance of room: by its customer's last reply, which fades, and its plan's.
+        customer, odds = task.customer, self.room_odds[task.request.plan][task.kind]
+        if customer.had_room is not None:
+            odds += (customer.had_room - odds) * 0.5 ** ((now - customer.had_room_at) / customer.window)
         return odds
 
-    def answered(self, c: Customer, reply: api.CounterReply, ok: bool, now: float) -> Try:
-        """The sparse customer's try that this answers: inside if the window had room when it was asked."""
-        t, amount = c.asking.pop(0)
-        quick = ok and reply.latency <= CROWDED * self.settings.counter_timeout
-        asking = self.asking + ASK_GAIN if quick else self.asking * (ASK_EASE if ok else ASK_LOSS)
-        self.asking = min(1.0, max(LEAST_ASKING, asking))
-        t.inside = reply.total - amount < self.settings.plans[c.plan].rate * c.window if ok else None
+    def on_check_reply(self, customer: Customer, reply: api.CounterReply, ok: bool, now: float) -> Task:
+        """Return the request that was checked; it is within the quota if the window had room for it."""
+        task, amount = customer.checks.pop(0)
+        quick = ok and reply.latency <= SLOW_REPLY * self.settings.counter_timeout
+        share = (
+            self.check_share + CHECK_GAIN if quick else self.check_share * (CHECK_SLOW if ok else CHECK_LOSS)
+        )
+        self.check_share = min(1.0, max(MIN_CHECK_SHARE, share))
+        task.in_quota = (
+            reply.total - amount < self.settings.plans[customer.plan].rate * customer.window if ok else None
+        )
         if ok:
-            c.told, c.told_at, self.heard_at = t.inside, now, now
-            self.odds[c.plan][t.kind] += LEARN / 2 * (t.inside - self.odds[c.plan][t.kind])
-        c.level = 0.0 if t.inside is False else c.level  # to go by while the counter is silent
-        return t
+            customer.had_room, customer.had_room_at, self.replied_at = task.in_quota, now, now
+            self.room_odds[customer.plan][task.kind] += (
+                LEARNING_RATE / 2 * (task.in_quota - self.room_odds[customer.plan][task.kind])
+            )
+        # For requests decided by the bucket while the counter is silent.
+        customer.level = 0.0 if task.in_quota is False else customer.level
+        return task
