--- a/fennelpoint/regions.py
+++ b/fennelpoint/regions.py
@@ -1,8 +1,6 @@
-"""The design's regulator: flows placed in regions, cut in steps while one fails, given room back after.
-
-A flow is whatever shares the back end and has a quota: a customer, a tenant.  Time comes in periods, and
-nothing here knows of requests, of backends or of a clock.
-"""
+"""The paper's regulator: places flows in regions, cuts some in steps while one fails, gives capacity back."""
+# A flow is whatever shares the back end and has a quota, such as a customer or a tenant. Time passes in
+# periods; this module knows nothing of requests, backends or clocks.
 
 from __future__ import annotations
 
@@ -11,32 +9,34 @@
 from math import inf
 from typing import Generic, TypeVar
 
-PERIOD = 0.5  # s; short against bursts of seconds
-STEPS, STEP = 3, 0.05  # m, and the share of the rate sent that one constant step takes off
-MOST_CUT, RETURN = 2.0, 2.0  # most steps taken off one flow at a time; steps given back: no idle room
-CONFIDENT, FULL_STEP, CHANGE = 2.0, 3.0, 2.0  # 1 / S_p (1 / aims) trusted; most steps it is worth; the 2x
-FIT_MEMORY, FIT_LEAST = 0.98, 2.0  # past's weight a period (about 25 s); points that a line must pass
-RATE_MEMORY, IDLE_RATE = 0.7, 0.05  # past's weight in averages, a period; units a second that count as none
-REGIONS = (("meet", "failed"), ("lucky", "exceeded"))  # within quota or over it; within aim or over it
+PERIOD_S = 0.5
+STEPS_PER_CUT, STEP_FRACTION = 3, 0.05  # m; share of the rate sent that one constant step takes off
+MAX_STEPS_PER_FLOW, RETURN_STEPS = 2.0, 2.0  # steps taken off one flow at a time; steps given back at a time
+# Least 1 / S_p (in 1 / latency ratio) at which steps grow with it; largest such growth; factor by which a
+# rate or the latency may change before a cut is reconsidered.
+MIN_CONFIDENCE, MAX_STEP_SCALE, MAX_CHANGE = 2.0, 3.0, 2.0
+FIT_MEMORY, MIN_FIT_POINTS = 0.98, 2.0  # weight of the past, a period; points that a fit must exceed
+MEMORY, IDLE_RATE = 0.7, 0.05  # weight of the past in averages, a period; units a second of an idle flow
+REGIONS = (("meet", "failed"), ("lucky", "exceeded"))  # [over its quota][over its latency target]
 
 
 @dataclass(slots=True, eq=False)
 class Flow:
-    """What the regulator knows of one flow; flows are sorted by their keys where their worth is the same."""
+    """The regulator's state of one flow; flows of the same worth are ordered by their keys."""
 
     key: int | str
     _: KW_ONLY
-    seen: float = -1e9  # when it last asked
-    sent: float = 0.0  # units this period
+    last_request_at: float = -1e9
+    sent_units: float = 0.0  # in this period
     rate: float = 0.0  # average units a second sent
-    ratio: float = 0.0  # average latency over aim
-    ratios: list[float] = field(default_factory=list)  # latencies over aim this period
+    ratio: float = 0.0  # average latency over its target
+    ratios: list[float] = field(default_factory=list)  # in this period
     worth: float = 0.0
     cap: float | None = None  # units a second while it is cut
     cap_level: float = 0.0  # units that the cut lets through now
 
     def fill_cap(self, depth: float, span: float) -> None:
-        """Let `span` seconds fill what the cut lets through, up to `depth` units."""
+        """Add what the cut lets through in `span` seconds, up to `depth` units."""
         if self.cap is not None:
             self.cap_level = min(depth, self.cap_level + self.cap * span)
 
@@ -46,144 +46,160 @@
 
 @dataclass(slots=True, eq=False)
 class Cut:
-    """A decision: what each step takes off whom, and how things stood when it was made."""
+    """A decision: what each step takes off which flow, and the state in which it was made."""
 
-    takes: list[tuple[Flow, float]]
-    worst: float
+    reductions: list[tuple[Flow, float]]
+    worst_ratio: float
     rates: dict[int | str, float]
     lucky: set[int | str]
-    predicted: float
-    steps: int = 0
+    predicted_ratio: float
+    steps_taken: int = 0
 
 
 class Fit:
-    """Running least squares of latency against rate sent, in which the past fades."""
+    """Least squares fit of latency against the rate sent, with exponentially fading weights."""
 
     def __init__(self) -> None:
-        self.n = self.x = self.y = self.xx = self.xy = self.yy = 0.0
+        self.weight = self.sum_x = self.sum_y = self.sum_xx = self.sum_xy = self.sum_yy = 0.0
 
     def add(self, x: float, y: float, memory: float) -> None:
-        """One more point; `memory` is the weight of those before."""
-        for name, value in (("n", 1.0), ("x", x), ("y", y), ("xx", x * x), ("xy", x * y), ("yy", y * y)):
+        """Add a point; `memory` is the factor on the weight of all earlier points."""
+        for name, value in (
+            ("weight", 1.0),
+            ("sum_x", x),
+            ("sum_y", y),
+            ("sum_xx", x * x),
+            ("sum_xy", x * y),
+            ("sum_yy", y * y),
+        ):
             setattr(self, name, getattr(self, name) * memory + value)
 
-    def at(self, x: float) -> tuple[float, float]:
-        """The latency predicted there and its 1 / S_p (paper 4.4); 0 for too few or equal points."""
-        n = max(self.n, 1e-9)
-        mean, spread = self.x / n, self.xx - self.x * self.x / n
-        slope = (self.xy - self.y * mean) / spread if spread > 1e-9 else 0.0
-        residue = max(1e-9, self.yy - self.y * self.y / n - slope * slope * spread)
-        if n <= FIT_LEAST or spread <= 1e-9:
-            return self.y / n + slope * (x - mean), 0.0
-        error = residue / (n - 2.0) * (1.0 + 1.0 / n + (x - mean) ** 2 / spread)
-        return self.y / n + slope * (x - mean), error**-0.5
+    def predict(self, x: float) -> tuple[float, float]:
+        """Return the predicted latency and its 1 / S_p (paper 4.4); 0 for too few or equal points."""
+        weight = max(self.weight, 1e-9)
+        mean, spread = self.sum_x / weight, self.sum_xx - self.sum_x * self.sum_x / weight
+        slope = (self.sum_xy - self.sum_y * mean) / spread if spread > 1e-9 else 0.0
+        residue = max(1e-9, self.sum_yy - self.sum_y * self.sum_y / weight - slope * slope * spread)
+        if weight <= MIN_FIT_POINTS or spread <= 1e-9:
+            return self.sum_y / weight + slope * (x - mean), 0.0
+        error = residue / (weight - 2.0) * (1.0 + 1.0 / weight + (x - mean) ** 2 / spread)
+        return self.sum_y / weight + slope * (x - mean), error**-0.5
 
 
 class Regulator(Generic[FlowType]):
-    """Cuts flows while one that keeps its quota misses its aim.
+    """Cuts flows while a flow within its quota misses its latency target."""
 
-    `quota` gives a flow's units a second here (inf: no limit).  `may_cut` takes the failed flows and those
-    that meet both quota and aim, and gives the ones of the latter that may be cut, in their order.
-    `kept` gives the units a second that a flow keeps, however long it is cut.
-    """
+    # `quota` returns a flow's units a second here (inf: no limit). `may_cut` takes the failed flows and those
+    # that meet both quota and target, and returns the latter that may be cut, in the order to cut them.
+    # `min_rate` returns the units a second that a flow keeps, however long it is cut.
 
     def __init__(
         self,
         quota: Callable[[FlowType], float],
         may_cut: Callable[[list[FlowType], list[FlowType]], list[FlowType]],
-        kept: Callable[[FlowType], float] = lambda flow: 0.0,
+        min_rate: Callable[[FlowType], float] = lambda flow: 0.0,
     ) -> None:
-        self.quota, self.may_cut, self.kept = quota, may_cut, kept
-        self.active: dict[int | str, FlowType] = {}  # those that the period looks at
-        self.fit, self.work = Fit(), 0.0
+        self.quota, self.may_cut, self.min_rate = quota, may_cut, min_rate
+        self.active: dict[int | str, FlowType] = {}  # flows to look at when the period ends
+        self.fit, self.sent_work = Fit(), 0.0
         self.cut: Cut | None = None
-        self.pressed = False  # whether one fails
+        self.has_failed = False  # whether any flow failed in the last period
 
-    def sent(self, flow: FlowType, units: float, work: float) -> None:
-        """Units of a flow were sent (0 for a further attempt), with that much work for the back end."""
-        flow.sent += units
-        self.work += work
+    def record_sent(self, flow: FlowType, units: float, work: float) -> None:
+        """Count units sent (0 for a retry) that mean this much work for the back end."""
+        flow.sent_units += units
+        self.sent_work += work
         self.active[flow.key] = flow
 
-    def answered(self, flow: FlowType, ratio: float) -> None:
-        """An answer came after `ratio` of its aim."""
+    def record_answer(self, flow: FlowType, ratio: float) -> None:
+        """Count an answer whose latency was `ratio` times its target."""
         flow.ratios.append(ratio)
         self.active[flow.key] = flow
 
-    def rest(self, before: float) -> None:
-        """Look no more at flows that are idle, nor at cut ones that have not asked since `before`."""
-        for c in [c for c in self.active.values() if c.cap is not None and c.seen < before]:
-            c.cap = None  # guards the memory: one that is cut is not forgotten, and this one is gone
-        self.active = {k: c for k, c in self.active.items() if c.cap is not None or c.rate > IDLE_RATE}
+    def drop_idle(self, before: float) -> None:
+        """Drop flows that are idle; those that are cut only if their last request came before `before`."""
+        for flow in [
+            flow for flow in self.active.values() if flow.cap is not None and flow.last_request_at < before
+        ]:
+            flow.cap = None  # bounds the memory: flows that are cut are not dropped
+        self.active = {
+            key: flow for key, flow in self.active.items() if flow.cap is not None or flow.rate > IDLE_RATE
+        }
 
     def regulate(self, span: float) -> None:
-        """End a period of `span` seconds: place the flows, take a step of the cut while one fails, else
-        give room back."""
-        rate, self.work, ratios = self.work / span, 0.0, []
+        """End a period of `span` seconds: place the flows, then cut by a step or give capacity back."""
+        # A step of the cut is taken while a flow fails; else capacity is given back.
+        rate, self.sent_work, ratios = self.sent_work / span, 0.0, []
         regions: dict[str, list[FlowType]] = {name: [] for pair in REGIONS for name in pair}
-        for c in sorted(self.active.values(), key=lambda c: (c.worth, c.key)):
-            if c.ratios:
-                c.ratio = RATE_MEMORY * c.ratio + (1 - RATE_MEMORY) * sum(c.ratios) / len(c.ratios)
-            c.rate = RATE_MEMORY * c.rate + (1 - RATE_MEMORY) * c.sent / span
-            if c.ratios or c.sent:
-                over = c.rate > self.quota(c) + 1e-9
-                regions[REGIONS[over][c.ratio > 1.0]].append(c)
-            ratios += c.ratios
-            c.ratios, c.sent = [], 0.0
-        seen = sum(ratios) / len(ratios) if ratios else 0.0
+        for flow in sorted(self.active.values(), key=lambda flow: (flow.worth, flow.key)):
+            if flow.ratios:
+                flow.ratio = MEMORY * flow.ratio + (1 - MEMORY) * sum(flow.ratios) / len(flow.ratios)
+            flow.rate = MEMORY * flow.rate + (1 - MEMORY) * flow.sent_units / span
+            if flow.ratios or flow.sent_units:
+                over = flow.rate > self.quota(flow) + 1e-9
+                regions[REGIONS[over][flow.ratio > 1.0]].append(flow)
+            ratios += flow.ratios
+            flow.ratios, flow.sent_units = [], 0.0
+        mean = sum(ratios) / len(ratios) if ratios else 0.0
         # Steps scale with the confidence in the fit when it is high enough; else they are constant.
-        step = STEP * min(FULL_STEP, max(1.0, self.fit.at(rate)[1] / CONFIDENT))
-        worst = max((c.ratio for c in regions["failed"]), default=0.0)
-        self.pressed = bool(regions["failed"])
-        if not self.pressed:
+        step = STEP_FRACTION * min(MAX_STEP_SCALE, max(1.0, self.fit.predict(rate)[1] / MIN_CONFIDENCE))
+        worst = max((flow.ratio for flow in regions["failed"]), default=0.0)
+        self.has_failed = bool(regions["failed"])
+        if not self.has_failed:
             self.cut = None
-            self._return(step)
-        elif self.cut is None or (self.cut.steps + 1 >= STEPS and self._afresh(regions, worst, seen)):
+            self._give_back(step)
+        elif self.cut is None or (
+            self.cut.steps_taken + 1 >= STEPS_PER_CUT and self._must_decide_anew(regions, worst, mean)
+        ):
             self.cut = self._decide(regions, worst, rate, step)
         else:
-            self.cut.steps += 1
-        for c, amount in self.cut.takes if self.cut else ():
-            c.cap = max(self.kept(c), (c.rate if c.cap is None else min(c.cap, c.rate)) - amount)
-        self.fit.add(rate, seen, FIT_MEMORY) if ratios else None
-
-    def _afresh(self, regions: dict[str, list[FlowType]], worst: float, seen: float) -> bool:
-        """The paper's four reasons to leave a decision after m steps."""
-        cut, active = self.cut, [c for group in regions.values() for c in group]
-        changes = [(c.rate, cut.rates[c.key]) for c in active if c.key in cut.rates] + [(seen, cut.predicted)]
+            self.cut.steps_taken += 1
+        for flow, amount in self.cut.reductions if self.cut else ():
+            flow.cap = max(
+                self.min_rate(flow), (flow.rate if flow.cap is None else min(flow.cap, flow.rate)) - amount
+            )
+        self.fit.add(rate, mean, FIT_MEMORY) if ratios else None
+
+    def _must_decide_anew(self, regions: dict[str, list[FlowType]], worst: float, mean: float) -> bool:
+        # Whether one of the paper's four reasons to drop a decision after m steps holds.
+        cut, active = self.cut, [flow for group in regions.values() for flow in group]
+        changes = [(flow.rate, cut.rates[flow.key]) for flow in active if flow.key in cut.rates] + [
+            (mean, cut.predicted_ratio)
+        ]
         return (
-            worst > cut.worst
-            or any(c.key not in cut.lucky for c in regions["lucky"])
-            or any(not 1 / CHANGE <= (a + 0.01) / (b + 0.01) <= CHANGE for a, b in changes)
+            worst > cut.worst_ratio
+            or any(flow.key not in cut.lucky for flow in regions["lucky"])
+            or any(not 1 / MAX_CHANGE <= (a + 0.01) / (b + 0.01) <= MAX_CHANGE for a, b in changes)
         )
 
     def _decide(self, regions: dict[str, list[FlowType]], worst: float, rate: float, step: float) -> Cut:
-        """Whom to cut: lucky, then exceeded, then meet as far as may be; the least worth first."""
-        missing, takes = step * sum(c.rate for c in self.active.values()), []
+        # Choose the flows to cut: lucky, then exceeded, then meet where allowed; the least worth first.
+        missing, reductions = step * sum(flow.rate for flow in self.active.values()), []
         meet = self.may_cut(regions["failed"], regions["meet"])
-        for c in regions["lucky"] + regions["exceeded"] + meet:
-            take = min(missing, MOST_CUT * step * c.rate)
-            missing -= take
-            takes.append((c, take))
+        for flow in regions["lucky"] + regions["exceeded"] + meet:
+            reduction = min(missing, MAX_STEPS_PER_FLOW * step * flow.rate)
+            missing -= reduction
+            reductions.append((flow, reduction))
             if missing <= 0.0:
                 break
         return Cut(
-            takes,
+            reductions,
             worst,
-            {c.key: c.rate for c in self.active.values()},
-            {c.key for c in regions["lucky"]},
-            self.fit.at(rate * (1.0 - step))[0],
+            {flow.key: flow.rate for flow in self.active.values()},
+            {flow.key for flow in regions["lucky"]},
+            self.fit.predict(rate * (1.0 - step))[0],
         )
 
-    def _return(self, step: float) -> None:
-        """Give unused room back by worth; no rate falls below its average."""
-        cut = [c for c in self.active.values() if c.cap is not None]
-        # One without a limit has all its room back once it may send what all do.
-        most = {c.key: self.quota(c) for c in cut}
-        if inf in most.values():
-            total = max(1.0, sum(c.rate for c in self.active.values()))
-            most = {key: total if quota == inf else quota for key, quota in most.items()}
-        room = RETURN * step * sum(most.values())
-        for c in sorted(cut, key=lambda c: (-c.worth, c.key)):
-            give = min(room, MOST_CUT * RETURN * step * most[c.key])
-            c.cap, room = max(c.cap, c.rate) + give, room - give
-            c.cap = c.cap if c.cap < most[c.key] else None
+    def _give_back(self, step: float) -> None:
+        # Give unused capacity back by worth; no flow's cap stays below its average rate.
+        cut = [flow for flow in self.active.values() if flow.cap is not None]
+        # A flow without a limit is no longer cut once its cap is the rate of all flows together.
+        limits = {flow.key: self.quota(flow) for flow in cut}
+        if inf in limits.values():
+            total = max(1.0, sum(flow.rate for flow in self.active.values()))
+            limits = {key: total if quota == inf else quota for key, quota in limits.items()}
+        available = RETURN_STEPS * step * sum(limits.values())
+        for flow in sorted(cut, key=lambda flow: (-flow.worth, flow.key)):
+            amount = min(available, MAX_STEPS_PER_FLOW * RETURN_STEPS * step * limits[flow.key])
+            flow.cap, available = max(flow.cap, flow.rate) + amount, available - amount
+            flow.cap = flow.cap if flow.cap < limits[flow.key] else None
--- a/fennelpoint/upkeep.py
+++ b/fennelpoint/upkeep.py
@@ -1,7 +1,4 @@
-"""Bookkeeping that decides nothing: timers, the waiting line, the fleet as the roster tells it.
-
-`control.py` says what is due, what waits and what is sent; these classes only keep the records straight.
-"""
+"""Bookkeeping without decisions: timers, requests without an answer, and the fleet as the roster lists it."""
 
 from __future__ import annotations
 
@@ -10,211 +7,238 @@
 from random import Random
 
 from fennelpoint import interface as api
-from fennelpoint.state import Backend, Customer, Try
+from fennelpoint.state import Backend, Customer, Task
 
-MOST_NAMED = 10_000  # ids of backends that are remembered after they are gone
+MAX_KNOWN_IDS = 10_000  # of backends, also of those that are gone
 
 
 class Timers:
-    """One timer for each token: the soonest that was asked for; those that it replaced are stale."""
+    """One timer for each token, the earliest that was asked for; the timers that it replaced are stale."""
 
     def __init__(self, tick: float) -> None:
         self.tick = tick
-        self.at: dict[int, float] = {}
+        self.due_at: dict[int, float] = {}
 
-    def wake(self, token: int, at: float, now: float) -> list[api.Action]:
-        """The timer to set so that the token is due by then; none if one is due sooner."""
-        if at >= self.at.get(token, inf):
+    def set(self, token: int, at: float, now: float) -> list[api.Action]:
+        """Return the timer to set so that the token is due by then; none if one is due earlier."""
+        if at >= self.due_at.get(token, inf):
             return []
-        self.at[token] = at
+        self.due_at[token] = at
         return [api.SetTimer(max(at - now, self.tick), token)]
 
-    def due(self, token: int, now: float) -> bool:
-        """Whether a timer that rings is not a stale one."""
-        if now < self.at.get(token, inf) - self.tick:
+    def fire(self, token: int, now: float) -> bool:
+        """Clear a token's timer; False if the timer that fired is stale."""
+        if now < self.due_at.get(token, inf) - self.tick:
             return False
-        del self.at[token]
+        del self.due_at[token]
         return True
 
 
-class Line:
-    """The open tries, those among them that wait, and the units that each customer has waiting."""
+class RequestTable:
+    """The open requests, those among them that are held, and the units that each customer has held."""
 
     def __init__(self) -> None:
-        self.open: dict[int, Try] = {}
-        self.held: dict[int, Try] = {}
+        self.open: dict[int, Task] = {}
+        self.held: dict[int, Task] = {}
 
-    def hold(self, t: Try) -> None:
-        if t.ask.request not in self.held:
-            self.held[t.ask.request] = t
-            t.customer.held += t.ask.units
+    def hold(self, task: Task) -> None:
+        if task.request.request_id not in self.held:
+            self.held[task.request.request_id] = task
+            task.customer.held += task.request.units
 
-    def release(self, t: Try) -> bool:
-        """Whether it was waiting."""
-        if self.held.pop(t.ask.request, None) is None:
+    def release(self, task: Task) -> bool:
+        """Hold the request no longer; False if it was not held."""
+        if self.held.pop(task.request.request_id, None) is None:
             return False
-        t.customer.held = max(0.0, t.customer.held - t.ask.units)
+        task.customer.held = max(0.0, task.customer.held - task.request.units)
         return True
 
-    def end(self, request: int) -> None:
-        if (t := self.open.pop(request, None)) is not None:
-            self.release(t)
+    def end(self, request_id: int) -> None:
+        if (task := self.open.pop(request_id, None)) is not None:
+            self.release(task)
 
-    def by_worth(self) -> list[Try]:
-        return sorted(self.held.values(), key=lambda t: (-t.worth, t.ask.request))
+    def held_by_worth(self) -> list[Task]:
+        return sorted(self.held.values(), key=lambda task: (-task.worth, task.request.request_id))
 
 
 class Fleet:
-    """The backends that the roster names, with what is out at them."""
-
-    def __init__(self, me: int, ingresses: int) -> None:
-        self.me, self.ingresses = me, ingresses
-        self.known: dict[object, Backend] = {}
-        self.ready: list[Backend] = []  # those that something may be sent to, in an order of our own
-        self.busy: dict[object, Backend] = {}  # those with attempts out
-        self.out = 0  # attempts out at all of them
-        self.probing: dict[object, list[Try]] = {}  # tries that wait for a backend's own word
-        self.named: dict[object, None] = {}  # ids of all lists so far, the last named last
-        self.withdrawn: dict[object, float] = {}  # ids that operators took out, in the list or not, and when
-        self.restored: dict[object, float] = {}  # and when they put one back
-
-    def follow(self, roster: api.Roster, now: float) -> None:
-        """Take in a list or its changes; a start that was not known is a new backend."""
+    """The backends that the roster lists, with the attempts in flight at them."""
+
+    def __init__(self, ingress_index: int, ingresses: int) -> None:
+        self.ingress_index, self.ingresses = ingress_index, ingresses
+        self.backends: dict[object, Backend] = {}
+        self.ready: list[Backend] = []  # usable ones, in this ingress's order of preference
+        self.busy: dict[object, Backend] = {}  # those with attempts in flight
+        self.in_flight = 0  # attempts at all of them
+        self.probing: dict[object, list[Task]] = {}  # requests that wait for a backend's probe
+        self.known_ids: dict[object, None] = {}  # of all lists so far, the last listed last
+        # By id of backends that operators took out, listed or not.
+        self.withdrawn_at: dict[object, float] = {}
+        self.restored_at: dict[object, float] = {}  # by id of backends that operators put back
+
+    def apply_roster(self, roster: api.Roster, now: float) -> None:
+        """Apply a list or its changes; a backend with another start time is a new one."""
         if roster.kind is not api.RosterKind.CHANGES:
-            named = {e.backend for e in roster.entries}
-            for key, b in self.known.items():
-                b.entry.state = b.entry.state if key in named else api.BackendState.GONE
-        for e in roster.entries:
-            self.named.pop(e.backend, None)
-            self.named[e.backend] = None
-            old = self.known.get(e.backend)
-            if old is None or (e.state is api.BackendState.READY and e.started_at != old.entry.started_at):
-                new = self.known[e.backend] = Backend(
-                    e,
-                    place(e.backend, self.me, self.ingresses),
+            listed = {entry.backend for entry in roster.entries}
+            for key, backend in self.backends.items():
+                backend.entry.state = backend.entry.state if key in listed else api.BackendState.GONE
+        for entry in roster.entries:
+            self.known_ids.pop(entry.backend, None)
+            self.known_ids[entry.backend] = None
+            old = self.backends.get(entry.backend)
+            if old is None or (
+                entry.state is api.BackendState.READY and entry.started_at != old.entry.started_at
+            ):
+                new = self.backends[entry.backend] = Backend(
+                    entry,
+                    rank_for(entry.backend, self.ingress_index, self.ingresses),
                     now,
-                    withdrawn=e.backend in self.withdrawn,
-                    restored_at=self.restored.get(e.backend, 0.0),
+                    withdrawn=entry.backend in self.withdrawn_at,
+                    restored_at=self.restored_at.get(entry.backend, 0.0),
                 )
-                if old is not None:  # what was out there before its restart may still be answered
-                    new.rank, new.out, new.load = old.rank, old.out, old.load
-                    self.busy.update({e.backend: new} if new.out else {})
+                if old is not None:  # attempts from before the restart may still be answered
+                    new.rank, new.attempts, new.work_in_flight = old.rank, old.attempts, old.work_in_flight
+                    self.busy.update({entry.backend: new} if new.attempts else {})
             else:
-                old.entry = e
-        for b in [b for b in self.known.values() if b.entry.state is api.BackendState.GONE and not b.out]:
-            del self.known[b.entry.backend]
-        for name in list(islice(self.named, max(0, len(self.named) - MOST_NAMED))):
-            if name not in self.known and name not in self.withdrawn:
-                del self.named[name]
-                self.restored.pop(name, None)
-        self._arrange()
-
-    def _arrange(self) -> None:
-        self.ready = sorted((b for b in self.known.values() if b.usable), key=lambda b: b.rank)
+                old.entry = entry
+        for backend in [
+            backend
+            for backend in self.backends.values()
+            if backend.entry.state is api.BackendState.GONE and not backend.attempts
+        ]:
+            del self.backends[backend.entry.backend]
+        for name in list(islice(self.known_ids, max(0, len(self.known_ids) - MAX_KNOWN_IDS))):
+            if name not in self.backends and name not in self.withdrawn_at:
+                del self.known_ids[name]
+                self.restored_at.pop(name, None)
+        self._sort_ready()
+
+    def _sort_ready(self) -> None:
+        self.ready = sorted(
+            (backend for backend in self.backends.values() if backend.usable),
+            key=lambda backend: backend.rank,
+        )
 
     def withdraw(self, name: object, now: float) -> None:
-        self.withdrawn.setdefault(name, now)
-        if (b := self.known.get(name)) is not None:
-            b.withdrawn = True
-            self._arrange()
+        self.withdrawn_at.setdefault(name, now)
+        if (backend := self.backends.get(name)) is not None:
+            backend.withdrawn = True
+            self._sort_ready()
 
     def restore(self, name: object, now: float) -> None:
-        """Back in use, with nothing held against it; one that was not out stays as it is.
-
-        It counts as started now, unless the list has told of a start since it was taken out.
-        """
-        if (since := self.withdrawn.pop(name, None)) is None:
+        """Put a withdrawn backend back in use and forget its failures; others stay as they are."""
+        # It counts as started now, unless the roster has listed a start since it was withdrawn.
+        if (since := self.withdrawn_at.pop(name, None)) is None:
             return
-        b = self.known.get(name)
-        self.restored[name] = now if b is None or b.entry.started_at <= since else b.entry.started_at
-        if b is not None:
-            b.withdrawn, b.restored_at = False, self.restored[name]
-            b.rest_until, b.fails, b.slow = 0.0, 0, 1.0
-            self._arrange()
+        backend = self.backends.get(name)
+        self.restored_at[name] = (
+            now if backend is None or backend.entry.started_at <= since else backend.entry.started_at
+        )
+        if backend is not None:
+            backend.withdrawn, backend.restored_at = False, self.restored_at[name]
+            backend.paused_until, backend.failures, backend.slowness = 0.0, 0, 1.0
+            self._sort_ready()
 
     def listed(self) -> list[Backend]:
-        return [b for b in self.known.values() if b.entry.state is not api.BackendState.GONE]
-
-    def send(self, b: Backend, t: Try, work: float, aim: float, now: float) -> None:
-        b.out[t.ask.request] = (work, now, aim, t.customer)
-        b.load, self.busy[b.entry.backend] = b.load + work, b
-        t.customer.open += 1
-        self.out += 1
-
-    def begin(self, b: Backend, request: int) -> None:
-        """Its large answer goes out: the backend's work is done, while the customer has it open still."""
-        work, sent, aim, customer = b.out[request]
-        if sent < inf:
-            b.out[request] = (0.0, inf, aim, customer)
-            b.load = max(0.0, b.load - work)
-            self.out -= 1
-
-    def restart(self, b: Backend, request: int, now: float) -> None:
-        """Its request has only now come whole: it is as old as that."""
-        work, _, aim, customer = b.out[request]
-        b.out[request] = (work, now, aim, customer)
-
-    def answer(self, b: Backend, request: int) -> None:
-        """An attempt is not out any more, also where the client has left meanwhile."""
-        work, sent, _, customer = b.out.pop(request)
-        customer.open -= 1
-        self.out -= sent < inf
-        b.load = max(0.0, b.load - work) if b.out else 0.0
-        if not b.out:
-            self.busy.pop(b.entry.backend, None)
-
-    def probed(self, backend: object) -> list[Try]:
-        """The tries for which this was the last probe to be answered."""
-        tries = self.probing.pop(backend, ())
-        return [t for t in tries if t.picked and all(b.entry.backend not in self.probing for b in t.picked)]
-
-    def ages(self, now: float) -> list[float]:
-        """How long each attempt is out, over its class's aim."""
         return [
-            (now - sent) / aim for b in self.busy.values() for _, sent, aim, _ in b.out.values() if sent < inf
+            backend for backend in self.backends.values() if backend.entry.state is not api.BackendState.GONE
         ]
 
+    def add_attempt(self, backend: Backend, task: Task, work: float, target: float, now: float) -> None:
+        backend.attempts[task.request.request_id] = (work, now, target, task.customer)
+        backend.work_in_flight, self.busy[backend.entry.backend] = backend.work_in_flight + work, backend
+        task.customer.attempts += 1
+        self.in_flight += 1
+
+    def start_streaming(self, backend: Backend, request_id: int) -> None:
+        """Count an attempt whose answer is being streamed as open for the customer only."""
+        work, sent_at, target, customer = backend.attempts[request_id]
+        if sent_at < inf:
+            backend.attempts[request_id] = (0.0, inf, target, customer)
+            backend.work_in_flight = max(0.0, backend.work_in_flight - work)
+            self.in_flight -= 1
+
+    def restart_attempt(self, backend: Backend, request_id: int, now: float) -> None:
+        """Count an attempt as sent now, as its request's body has only now come whole."""
+        work, _, target, customer = backend.attempts[request_id]
+        backend.attempts[request_id] = (work, now, target, customer)
+
+    def remove_attempt(self, backend: Backend, request_id: int) -> None:
+        """Remove an attempt that ended, also where the client has left meanwhile."""
+        work, sent_at, _, customer = backend.attempts.pop(request_id)
+        customer.attempts -= 1
+        self.in_flight -= sent_at < inf
+        backend.work_in_flight = max(0.0, backend.work_in_flight - work) if backend.attempts else 0.0
+        if not backend.attempts:
+            self.busy.pop(backend.entry.backend, None)
+
+    def take_probed(self, backend_id: object) -> list[Task]:
+        """Return the requests for which this was the last outstanding probe."""
+        waiting = self.probing.pop(backend_id, ())
+        return [
+            task
+            for task in waiting
+            if task.probed and all(backend.entry.backend not in self.probing for backend in task.probed)
+        ]
 
-def fill(c: Customer, plan: api.Plan, depth: float, cap_depth: float, now: float) -> None:
-    """Bring a customer's buckets up to now: its slice, its part of the ceiling, its cut."""
-    span, c.filled = now - c.filled, now
-    c.level = min(max(depth, c.level), c.level + plan.rate * c.share * span)
-    c.ceiling = min(plan.ceiling_burst / c.width, c.ceiling + plan.ceiling_rate / c.width * span)
-    c.fill_cap(cap_depth, span)
-
-
-def place(backend: object, me: int, ingresses: int) -> float:
-    """Our place in this backend's order of the ingresses, which is the same at all of them.
-
-    Where each ingress uses the backends that place it first, all have nearly as many ingresses, and keep them
-    over restarts and as other backends come and go.  What is behind the point parts those of one place.
-    """
-    order = Random(f"{backend}")
-    return order.sample(range(ingresses), ingresses)[me % ingresses] + Random(f"{backend} {me}").random()
-
-
-def same_group(backends: list[Backend], entry: api.BackendEntry | None, part: str) -> list[Backend]:
-    """Those of the same zone or cell; none where that is not known."""
-    return [b for b in backends if entry is not None and getattr(b.entry, part) == getattr(entry, part)]
-
-
-def new_total(c: Customer, total: float, added: float, now: float) -> tuple[float, float | None, float]:
-    """What was taken here and everywhere since the last total, and how long ago that was.
-
-    Everywhere it is not known where there is no last total to compare with: at the first one, or when the
-    counter has lost its count.
-    """
-    span, before = now - c.total_at, c.total
-    own, c.own, c.total, c.total_at = c.own - c.fresh, c.fresh, total, now
-    compares = span > 0.0 and before is not None and total - before >= added - 0.01
-    return own, max(total - before, own) if compares else None, span
+    def age_ratios(self, now: float) -> list[float]:
+        """Return the age of each attempt in flight over its class's latency target."""
+        return [
+            (now - sent_at) / target
+            for backend in self.busy.values()
+            for _, sent_at, target, _ in backend.attempts.values()
+            if sent_at < inf
+        ]
 
 
-def forget(customers: dict[int, Customer], most: int, before: float) -> None:
-    """Drop customers that nothing was heard of since then, looking at the longest unseen ones only."""
-    for c in list(islice(customers.values(), most)):
-        if c.seen >= before:
+def fill_buckets(customer: Customer, plan: api.Plan, depth: float, cap_depth: float, now: float) -> None:
+    """Bring a customer's buckets up to date: its share of the quota, its part of the ceiling, its cut."""
+    span, customer.filled_at = now - customer.filled_at, now
+    customer.level = min(max(depth, customer.level), customer.level + plan.rate * customer.share * span)
+    customer.ceiling = min(
+        plan.ceiling_burst / customer.spread, customer.ceiling + plan.ceiling_rate / customer.spread * span
+    )
+    customer.fill_cap(cap_depth, span)
+
+
+def rank_for(backend: object, index: int, ingresses: int) -> float:
+    """Return an ingress's rank in a backend's order of the ingresses, which all ingresses compute alike."""
+    # As each ingress prefers the backends that rank it first, all backends have about as many ingresses, and
+    # keep them over restarts and while other backends come and go. The fraction decides between equal ranks.
+    draw = Random(f"{backend}")
+    return draw.sample(range(ingresses), ingresses)[index % ingresses] + Random(f"{backend} {index}").random()
+
+
+def same_scope(backends: list[Backend], entry: api.BackendEntry | None, name: str) -> list[Backend]:
+    """Return the backends of the same zone or cell; none where that is not known."""
+    return [
+        backend
+        for backend in backends
+        if entry is not None and getattr(backend.entry, name) == getattr(entry, name)
+    ]
+
+
+def record_total(
+    customer: Customer, total: float, added: float, now: float
+) -> tuple[float, float | None, float]:
+    """Return the units taken here and everywhere since the last total, and the seconds since then."""
+    # Everywhere is None without a last total to compare with: at the first one, or after the counter's reset.
+    span, before = now - customer.total_at, customer.last_total
+    own, customer.own, customer.last_total, customer.total_at = (
+        customer.own - customer.taken,
+        customer.taken,
+        total,
+        now,
+    )
+    comparable = span > 0.0 and before is not None and total - before >= added - 0.01
+    return own, max(total - before, own) if comparable else None, span
+
+
+def forget_idle(customers: dict[int, Customer], max_checked: int, before: float) -> None:
+    """Drop customers whose last request came before `before`; checks the first ones of `customers` only."""
+    for customer in list(islice(customers.values(), max_checked)):
+        if customer.last_request_at >= before:
             return
-        del customers[c.key]
-        if c.open or c.held or c.cap is not None:
-            customers[c.key] = c  # to the end: guards the memory, as it would hide all those behind it
+        del customers[customer.key]
+        if customer.attempts or customer.held or customer.cap is not None:
+            customers[customer.key] = customer  # to the end, so that those behind it are checked next
--- a/tests/crowseam/golden_samples.py
+++ b/tests/crowseam/golden_samples.py
@@ -1,9 +1,9 @@
-"""Writes the golden files of `test_golden`: what an earlier version put on the wire, on disk and on a page.
+"""Writes the golden files of `test_golden`: samples of messages, stored data, files and metrics pages.
 
     python3 -m tests.crowseam.golden_samples
 
-Run it only when a format is meant to change, and then raise `PROTOCOL_VERSION` where processes of the version
-before would misread it.
+Run it only if a format is meant to change, and raise `PROTOCOL_VERSION` if processes of the previous version would
+misread it.
 """
 
 from __future__ import annotations
@@ -58,7 +58,7 @@
 
 
 def sample(kind: inspect.Type, depth: int = 0) -> Any:
-    """A value of this type that no default is equal to."""
+    """Return a value of this type that differs from every default."""
     match kind:
         case inspect.StructType(cls=cls, fields=fields):
             return cls(**{field.name: sample(field.type, depth + number) for number, field in enumerate(fields, 1)})
@@ -92,17 +92,17 @@
 
 
 def message_types() -> dict[str, inspect.StructType]:
-    """The types of messages between processes by their tags on the wire."""
+    """Return the types of messages between processes by tag."""
     return {kind.tag: kind for kind in inspect.type_info(messages.Message).types}
 
 
 def encoded_messages() -> dict[str, str]:
-    """By tag, an encoded message of each type, in hexadecimal."""
+    """Return an encoded message of each type by tag, in hexadecimal."""
     return {tag: codec.encode(sample(kind)).hex() for tag, kind in message_types().items()}
 
 
 def stored_records() -> list[Any]:
-    """A record, note and member of each kind."""
+    """Return a record of each kind, with notes and members."""
     voters = [consensus.Voter("genesis/10.1.0.5:8407", "10.1.0.5:8407"), consensus.Voter("0a", "10.2.0.5:8407")]
     entries = {kind.tag: kind.cls for kind in inspect.type_info(consensus.Entry).types}
     change, noop = entries["change"], entries["nothing"]
@@ -123,7 +123,7 @@
 
 
 def stored_operation() -> dict[str, str]:
-    """The row of a keyed operation on disk: its key, and its value in hexadecimal."""
+    """Return the stored row of a keyed operation: its key, and its value in hexadecimal."""
     stored = sample(inspect.type_info(operation_records.StoredRecord))
     record = operation_records.OperationRecord(stored.claim, 0.0, 0.0)
     record.state, record.answer = stored.state, stored.answer
@@ -131,12 +131,12 @@
 
 
 def configuration(ver: int, parent: int) -> bytes:
-    """The body of a configuration."""
+    """Return the body of a configuration."""
     return test_controller.config(ver, parent, f"/loans/{ver}/")
 
 
 def state_bytes() -> bytes:
-    """The snapshot of a state machine that remembers changes of both kinds."""
+    """Return the snapshot of a state machine that has changes of both kinds, recent and earlier."""
     machine = state_machine.ConfigurationStateMachine(max_recent=1, max_earlier=1)
     for slot, (ver, parent) in enumerate(((1, 0), (2, 1), (3, 2)), 1):
         change = parse_change("PUT", configuration(ver, parent))
@@ -145,10 +145,13 @@
 
 
 def control_answers() -> list[dict[str, Any]]:
-    """The calls that a system answered, with the status, fields and body of each answer."""
+    """Return control calls to a simulated system with the status and body of each answer."""
     system = test_controller.System(1)
-    told = []
-    with mock.patch.object(Link, "unreadable", 0), simulated_environment(system.world, lambda event, **fields: None):
+    answers = []
+    with (
+        mock.patch.object(Link, "unreadable_messages", 0),
+        simulated_environment(system.world, lambda event, **fields: None),
+    ):
         system.world.run(2.0)
         steps = [("PUT", "/-/config", configuration(1, 0)), ("PUT", "/-/config", configuration(3, 2))]
         steps += [("PUT", "/-/config", b"{"), ("PATCH", "/-/config", b'{"ver":"00000002","parent":"00000001"}')]
@@ -158,7 +161,7 @@
         gets = [call.path for call in TABLE if call.method == "GET" and not call.path.endswith("/")]
         steps += [("GET", path, b"") for path in gets if path != "/-/operations"]
         steps += [("GET", "/-/retiring/sv1", b""), ("POST", "/-/config", b""), ("GET", "/-/nothing", b"")]
-        # Last, as answers tell ages, which what comes between would change.
+        # Last, because the answers contain ages, which depend on the calls before.
         steps += [("GET", f"/-/operations{rest}", b"") for rest in ("", "/00", "/none")]
         for method, path, body in steps:
             if path == "/-/metrics":
@@ -166,8 +169,8 @@
             system.call("r1", method, path, body)
             system.world.run(system.world.now + 1.5)
             answer = system.answers["r1"]
-            told.append({"method": method, "path": path, "body": body.decode()} | _answered(answer))
-    return told
+            answers.append({"method": method, "path": path, "body": body.decode()} | _answered(answer))
+    return answers
 
 
 def _answered(answer: Any) -> dict[str, Any]:
@@ -177,9 +180,12 @@
 
 
 def metrics_page() -> str:
-    """What a controller exports, after a few calls."""
+    """Return the metrics page of a controller after a few calls."""
     system = test_controller.System(1)
-    with mock.patch.object(Link, "unreadable", 0), simulated_environment(system.world, lambda event, **fields: None):
+    with (
+        mock.patch.object(Link, "unreadable_messages", 0),
+        simulated_environment(system.world, lambda event, **fields: None),
+    ):
         system.world.run(2.0)
         system.call("r1", "PUT", "/-/config", configuration(1, 0))
         system.world.run(4.0)
@@ -189,7 +195,7 @@
 
 
 def parsed_files() -> dict[str, Any]:
-    """The settings of a process and the deploy files as they are read, with the schemas of all files."""
+    """Return parsed settings, a parsed deploy file and the schemas of all files."""
     deploy = Path("deploy/system.toml").read_bytes()
     return {
         "settings": msgspec.to_builtins(parse(json.dumps(SETTINGS).encode())),
@@ -199,12 +205,12 @@
 
 
 def write_store(path: Path) -> None:
-    """A store with all `stored_records`."""
-    made = store.Store(path)
-    made.open()
+    """Create a store that contains all `stored_records`."""
+    new_store = store.Store(path)
+    new_store.open()
     for record in stored_records():
-        made.write([record])
-    made.close()
+        new_store.write([record])
+    new_store.close()
 
 
 def main() -> None:
--- a/tests/crowseam/test_check_by_hand.py
+++ b/tests/crowseam/test_check_by_hand.py
@@ -81,9 +81,7 @@
 
 
 _SEAT = "SeatTest"
-_ACTS_ONCE = Schedule(
-    test_controller_session, "ActTest", "test_a_version_is_acted_on_once_whatever_slot_it_comes_under"
-)
+_ACTS_ONCE = Schedule(test_controller_session, "ActTest", "test_a_version_is_applied_once_whatever_its_slot")
 _ANSWERED = Schedule(test_check_callers, "Tickets", "test_a_call_that_was_answered_waits_no_more")
 _WHO_ANSWERS = "test_only_who_counts_answers_and_both_know_of_the_same_change"
 
@@ -103,10 +101,10 @@
         quotas._NeverPartial,
     ),
     ("callers", "a connection closed where bytes come unasked"): Schedule(
-        test_dialect, "OtherBytes", "test_what_comes_unasked_on_an_unused_connection_closes_it"
+        test_dialect, "OtherBytes", "test_unsolicited_bytes_on_an_idle_connection_close_it"
     ),
     ("callers", "a connection looked at before it is used again"): Schedule(
-        test_dialect, "OtherBytes", "test_what_waits_there_unread_is_found_before_it_is_used_again"
+        test_dialect, "OtherBytes", "test_unread_bytes_are_noticed_before_a_connection_is_reused"
     ),
     ("callers", "a call taken off with its answer"): _ANSWERED,
     ("callers", "a second answer to a call dropped"): Schedule(
--- a/tests/crowseam/test_check_callers.py
+++ b/tests/crowseam/test_check_callers.py
@@ -53,7 +53,7 @@
     def _acts(self):
         self.size = 0
         self.world.later(0.2, lambda: self.ends[0].leave())
-        self.world.later(0.4, lambda: setattr(self, "held", len(self.daemon.gateway.tickets)))
+        self.world.later(0.4, lambda: setattr(self, "held", len(self.daemon.gateway.in_flight)))
         super()._acts()
 
 
@@ -110,11 +110,11 @@
 
 class Mutants(unittest.TestCase):
     def test_each_is_found_at_its_seed_and_taken_back(self):
-        before = ServerDialect.alien, UpstreamConnection._answered
+        before = ServerDialect.is_for_other_request, UpstreamConnection._finish_answer
         for mutant, violations in known("callers"):
             with self.subTest(mutant.guard):
                 self.assertTrue(violations)
-        self.assertEqual((ServerDialect.alien, UpstreamConnection._answered), before)
+        self.assertEqual((ServerDialect.is_for_other_request, UpstreamConnection._finish_answer), before)
 
     def test_what_is_never_found_says_why(self):
         for mutant in check.MUTANTS:
--- a/tests/crowseam/test_check_cutoff.py
+++ b/tests/crowseam/test_check_cutoff.py
@@ -142,16 +142,16 @@
         now, tried = 0.0, []
         with mock.patch.object(clock, "monotonic", lambda: now):
             while len(tried) < 6:
-                if (addr := controller_session._pick(now)) is not None:
+                if (addr := controller_session._pick_controller(now)) is not None:
                     tried.append(addr.partition(":")[0])
                     now += 1.1
-                    controller_session._in_vain(addr, 1.0)
+                    controller_session._record_failure(addr, 1.0)
                 now += 0.1
             self.assertEqual(sorted(tried[:2]), ["10.1.0.1", "10.1.0.2"])
             self.assertEqual(tried[2], "10.2.0.1")
             link = controller_session.link = mock.Mock(buffer=bytearray())
-            controller_session._heard(link, SessionHeartbeat(3, 0, True))
-            self.assertTrue(controller_session._pick(now + 9.0).startswith("10.1."))
+            controller_session._on_message(link, SessionHeartbeat(3, 0, True))
+            self.assertTrue(controller_session._pick_controller(now + 9.0).startswith("10.1."))
 
 
 class Check(unittest.TestCase):
--- a/tests/crowseam/test_check_membership.py
+++ b/tests/crowseam/test_check_membership.py
@@ -129,7 +129,7 @@
                 [Voter("f", "f")],
                 {"a"},
                 lambda addr: silence.get(addr, 0.0),
-                survive=2,
+                tolerated_failures=2,
                 timing=Timing(suspect_after_s=0.75, replace_after_s=1.2, evict_after_s=2.0),
             )
 
@@ -173,7 +173,7 @@
         effects = node.handle("d", wire.JoinRequest(Voter("d", "d"), 2), 1.11)
         self.assertIsNone(node._reconfiguration._wanted_voters())
         told = [e.message for e in effects if isinstance(e, Send) and e.addr == "d"]
-        self.assertEqual([(message.slot, message.last) for message in told], [(3, 7)])
+        self.assertEqual([(message.slot, message.last_slot) for message in told], [(3, 7)])
         node.handle("d", wire.JoinRequest(Voter("d", "d"), 3), 1.12)
         self.assertEqual(len(node._reconfiguration._wanted_voters()), 4)
 
--- a/tests/crowseam/test_check_orders.py
+++ b/tests/crowseam/test_check_orders.py
@@ -163,8 +163,8 @@
         settings = Settings("edge-1", "10.1.0.1", "z", (7660, 7675), ["10.1.0.1:8407"], Bind())
         session = ControllerSession(mock.Mock(), settings, Random(1), mock.Mock(), None, None, dict)
         session.link = link = mock.Mock()
-        session._heard(link, ConfigurationState(7, pack(order(1, 0).body)))
-        session._heard(link, ConfigurationStep(9, True, pack(order(3, 2).body)))
+        session._on_message(link, ConfigurationState(7, pack(order(1, 0).body)))
+        session._on_message(link, ConfigurationStep(9, True, pack(order(3, 2).body)))
         self.assertEqual((session.slot, session.config.ver, session.link), (7, 1, None))
 
 
--- a/tests/crowseam/test_configuration.py
+++ b/tests/crowseam/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: what is taken, what is refused and why, and which route a request falls to."""
+"""The configuration: validation, changes, and routing."""
 
 import json
 import unittest
@@ -8,7 +8,7 @@
 
 from crowseam.configuration.errors import ConfigurationError
 from crowseam.configuration.faults import faults
-from crowseam.configuration.model import EMPTY, Configuration, judge, parse_change
+from crowseam.configuration.model import EMPTY, Configuration, apply_change, parse_change
 from crowseam.configuration.routing import Table
 
 
@@ -49,8 +49,8 @@
     ).encode()
 
 
-def taken(current, method, body):
-    return judge(current, parse_change(method, body))
+def apply_body(current, method, body):
+    return apply_change(current, parse_change(method, body))
 
 
 BASE = Configuration.from_put(put(5, 0, svc("s"), svc("t"), route("r"), tenant("one", "k1", "k2", prio=1)))
@@ -59,16 +59,16 @@
 class Refusals(unittest.TestCase):
     def refused(self, status, field, current, method, body):
         with self.assertRaises(ConfigurationError) as caught:
-            taken(current, method, body)
+            apply_body(current, method, body)
         self.assertEqual((caught.exception.status, caught.exception.field), (status, field), str(caught.exception))
 
-    def test_each_kind_that_the_operators_pages_name_is_taken(self):
-        # An unknown one has the whole configuration refused, and nothing is served: docs/incidents/fault-short.md.
+    def test_each_documented_kind_of_route_is_accepted(self):
+        # With an unknown kind the whole configuration is rejected.
         for kind in ("safe", "unsafe", "idem"):
-            table = Table(taken(EMPTY, "PUT", put(1, 0, svc("s"), svc("t"), route("r", kind=kind))))
+            table = Table(apply_body(EMPTY, "PUT", put(1, 0, svc("s"), svc("t"), route("r", kind=kind))))
             self.assertEqual(table.routes["r"].kind, kind)
 
-    def test_each_fault_of_an_item_is_named_by_its_field(self):
+    def test_each_error_of_an_item_names_its_field(self):
         split = [{"svc": "s", "wt": 1}, {"svc": "t", "wt": -1}]
         cases = [
             (route("r", timeout="601s"), "objs[2].spec.timeout"),
@@ -97,7 +97,7 @@
                 self.refused(400, field, EMPTY, "PUT", put(7, 0, svc("s"), svc("t"), item))
                 self.assertIn(field, [fault.field for fault in faults(put(7, 0, svc("s"), svc("t"), item))])
 
-    def test_bodies_that_cannot_be_read_whole(self):
+    def test_bodies_that_cannot_be_parsed(self):
         whole = put(7, 0, svc("s"), route("r"))
         for body in (b"", b"[]", whole[:-1], whole + b"x", whole[:-1] + b',"note":"\xff"}', b"[" * 100000):
             with self.subTest(body=body[:40]):
@@ -113,21 +113,21 @@
         self.refused(412, "parent", BASE, "PUT", put(9, 4))
         self.refused(412, "parent", BASE, "PATCH", patch(9, 0))
         self.refused(405, "", BASE, "POST", put(9, 5))
-        # An operator may write the very first parent as a plain 0.
-        first = judge(EMPTY, parse_change("PUT", b'{"ver":"0000000C","parent":0,"objs":[]}'))
+        # The parent of the first configuration may be a plain 0.
+        first = apply_change(EMPTY, parse_change("PUT", b'{"ver":"0000000C","parent":0,"objs":[]}'))
         self.assertEqual((first.ver, first.dump()), (12, b'{"ver":"0000000C","parent":0,"objs":[]}'))
 
-    def test_a_patch_is_checked_as_the_whole_it_makes(self):
+    def test_a_patch_is_validated_with_its_result(self):
         self.refused(400, "routes.r.svc", BASE, "PATCH", patch(6, 5, svcs=["s"]))
         self.refused(400, "routes.q.svc", BASE, "PATCH", patch(6, 5, route("q", svc="u")))
         self.refused(400, "remove.svcs", BASE, "PATCH", patch(6, 5, svc("u"), svcs=["u"]))
         self.refused(400, "remove.things", BASE, "PATCH", patch(6, 5, things=["u"]))
-        moved = taken(BASE, "PATCH", patch(6, 5, svc("u"), route("r", svc="u"), svcs=["s"]))
-        self.assertEqual(sorted(moved.of("svcs")), ["t", "u"])
-        unchanged = taken(BASE, "PATCH", patch(6, 5, routes=["never"], tenants=["nor"]))
+        moved = apply_body(BASE, "PATCH", patch(6, 5, svc("u"), route("r", svc="u"), svcs=["s"]))
+        self.assertEqual(sorted(moved.items_of_kind("svcs")), ["t", "u"])
+        unchanged = apply_body(BASE, "PATCH", patch(6, 5, routes=["never"], tenants=["nor"]))
         self.assertEqual(unchanged.items, BASE.items)
 
-    def test_a_checker_sees_all_faults_at_once(self):
+    def test_faults_returns_all_errors(self):
         body = put(7, 0, svc("s", hc_path="none"), route("a", timeout="11m"), route("b", svc="x"), route("c"))
         self.assertEqual(
             [fault.field for fault in faults(body)], ["objs[0].spec.hc_path", "objs[1].spec.timeout", "routes.b.svc"]
@@ -136,23 +136,23 @@
 
 
 class Contents(unittest.TestCase):
-    def test_what_is_read_back_is_what_was_sent(self):
+    def test_a_configuration_is_read_back_as_sent(self):
         odd = route("r", note={"π": [1.0, 1e2, 10**30]}, timeout="2.5s") | {"labels": ["x"]}
         body = put(7, 0, odd, svc("s"), {"type": "limits", "meta": {}, "spec": {"hdr": "1s"}}, origin="hand")
-        config = taken(EMPTY, "PUT", body)
+        config = apply_body(EMPTY, "PUT", body)
         self.assertEqual(json.loads(config.dump()), json.loads(body))
-        # A snapshot is a dump; whoever starts from it goes on as the others do.
+        # A snapshot is a dump: changes have the same result after a restart from it.
         again = Configuration.from_put(config.dump())
         change = patch(9, 7, route("q"), route("r", svc="s"), svcs=["none"])
         self.assertEqual(again.patched(change).dump(), config.patched(change).dump())
         read = json.loads(config.patched(change).dump())
         self.assertEqual((read["ver"], read["parent"], read["origin"]), ("00000009", "00000007", "hand"))
         self.assertEqual([obj["meta"].get("name", "") for obj in read["objs"]], ["r", "s", "", "q"])
-        self.assertEqual(json.loads(config.dump()), json.loads(body), "the base has to stay as it was")
+        self.assertEqual(json.loads(config.dump()), json.loads(body), "the base must not change")
         self.assertEqual(Configuration.from_put(EMPTY.dump()).ver, 0)
         self.assertEqual(Configuration.from_change(config, False, change).dump(), config.patched(change).dump())
 
-    def test_the_same_change_is_known_again_and_no_other(self):
+    def test_a_repeated_change_has_the_same_digest_and_other_changes_have_not(self):
         body = put(7, 0, svc("s"), route("r"))
         loose = json.dumps(dict(reversed(json.loads(body).items())), indent=2).encode()
         digest = parse_change("PUT", body).digest
@@ -165,8 +165,8 @@
         ]
         self.assertEqual(len({digest, *(other.digest for other in others)}), 5)
 
-    def test_two_operators_on_one_parent(self):
-        # Each line is a moment; an operator sends `ver on parent`, and the outcome stands beneath.
+    def test_concurrent_changes_of_two_operators(self):
+        # Columns are operators; a line has what they send, `ver on parent`, and the next line the outcomes.
         timeline = """
             north       south
             6 on 5      .
@@ -189,11 +189,11 @@
                     continue
                 ver, parent = map(int, what.split(" on "))
                 try:
-                    current, got = taken(current, "PATCH", patch(ver, parent, route(f"r{ver}"))), "ok"
+                    current, got = apply_body(current, "PATCH", patch(ver, parent, route(f"r{ver}"))), "ok"
                 except ConfigurationError as error:
                     got = str(error.status)
                 self.assertEqual(got, expected, what)
-        self.assertEqual(sorted(current.of("routes")), ["r", "r6", "r7", "r9"])
+        self.assertEqual(sorted(current.items_of_kind("routes")), ["r", "r6", "r7", "r9"])
 
     @settings(max_examples=150, deadline=None, derandomize=True, database=None)
     @given(st.integers(0, 10**6), st.sampled_from([b"", b'"', b"\\ud800", b"\x00", b"\xc3", b"{", b"-1", b"]"]))
@@ -203,7 +203,7 @@
         damaged = body[:at] + piece + body[at + max(1, len(piece)) :]
         for method in ("PUT", "PATCH"):
             try:
-                config = taken(EMPTY, method, damaged)
+                config = apply_body(EMPTY, method, damaged)
                 Table(config)
                 Configuration.from_put(config.dump())
             except ConfigurationError as error:
@@ -212,7 +212,7 @@
 
 
 class Routing(unittest.TestCase):
-    def test_the_longest_prefix_of_the_host(self):
+    def test_the_longest_prefix_of_the_host_is_chosen(self):
         table = Table(
             Configuration.from_put(
                 put(
@@ -246,7 +246,7 @@
 
     @settings(max_examples=100, deadline=None, derandomize=True, database=None)
     @given(st.lists(st.text("ab/", max_size=6), unique=True, max_size=8), st.text("ab/?", max_size=10))
-    def test_against_trying_every_prefix(self, middles, path):
+    def test_routing_equals_a_search_of_all_prefixes(self, middles, path):
         prefixes = sorted({f"/{middle}/" for middle in middles})
         table = Table(Configuration.from_put(put(7, 0, svc("s"), *[route(p, p) for p in prefixes])))
         path = "/" + path
@@ -254,7 +254,7 @@
         found = table.route(b"h.example", path.encode())
         self.assertEqual(found and found.name, max(matching, key=len, default=None))
 
-    def test_what_a_route_says(self):
+    def test_fields_of_a_route(self):
         split = [{"svc": "s", "wt": 30}, {"svc": "t", "wt": 0}, {"svc": "u", "wt": 10}]
         table = Table(
             Configuration.from_put(
@@ -268,9 +268,9 @@
         )
         self.assertEqual(found.split, (("s", 30.0), ("u", 10.0)))
         self.assertEqual([found.pick(draw) for draw in (0.0, 0.74, 0.75, 0.999999999999)], ["s", "s", "u", "u"])
-        self.assertFalse(table.keyed)
+        self.assertFalse(table.requires_keys)
 
-    def test_keys_come_and_go_and_what_stays_is_kept(self):
+    def test_a_table_keeps_unchanged_objects_of_the_previous_one(self):
         first = Table(BASE)
         self.assertEqual((first.tenant("k1").name, first.tenant("k1").rate, first.tenant("no")), ("one", 0.0, None))
         change = patch(6, 5, tenant("one", "k2", rate_per_s=81, burst=5), tenant("two", "k3"), route("q", "/q/"))
@@ -280,15 +280,15 @@
         self.assertIsNone(second.tenant("k1"))
         self.assertEqual((second.tenant("k2").rate, second.tenant("k3").name), (81.0, "two"))
         self.assertIs(second.routes["r"], first.routes["r"])
-        self.assertIsNone(first.route(b"h.example", b"/q/"), "the table before stays as it was")
-        # The same things said again whole are no change to what is in use.
+        self.assertIsNone(first.route(b"h.example", b"/q/"), "the previous table must not change")
+        # An equal configuration changes nothing.
         third = Table(Configuration.from_put(config.dump()), second)
         self.assertEqual((third.changed, third.routes["r"]), (frozenset(), first.routes["r"]))
         gone = Table(config.patched(patch(7, 6, routes=["r"], tenants=["one", "two"])), second)
         self.assertIsNone(gone.route(b"h.example", b"/a/"))
-        self.assertEqual((gone.keyed, gone.keys), (False, {}))
+        self.assertEqual((gone.requires_keys, gone.keys), (False, {}))
 
-    def test_ties_fall_alike_in_whatever_order_they_were_sent(self):
+    def test_duplicates_are_resolved_independently_of_the_order(self):
         items = [route("b"), route("a"), tenant("y", "k"), tenant("x", "k")]
         for order in (items, items[::-1]):
             table = Table(Configuration.from_put(put(7, 0, svc("s"), *order)))
--- a/tests/crowseam/test_consensus.py
+++ b/tests/crowseam/test_consensus.py
@@ -1,4 +1,4 @@
-"""The agreement: timelines with one column a machine, the model check, and noise on the wire."""
+"""Consensus: scripted timelines with one column per machine, the model check, and malformed messages."""
 
 from __future__ import annotations
 
@@ -32,20 +32,27 @@
 
 
 class Timeline:
-    """Plays a drawn timeline: a row is a moment (seconds), a column a machine.
-
-    put V/P  an operator sends version V built on P      read     an operator reads
-    taken, stale, same, fresh, unclear: what the last of these came to by now; open: nothing yet;
-    settled: taken, or another was
-    start, crash, wipe (crash and lose the disk)         cut, join  this machine's links
-    jam, free  its disk refuses writes or takes them     votes, out  whether it is a voter by now
+    """Plays a timeline drawn as a table: one row per time (s), one column per machine.
+
+    Actions:
+    put V/P         an operator submits version V with parent P
+    read            an operator reads
+    start, crash    the machine starts or crashes; wipe: it crashes and loses its disk
+    cut, join       its links are cut or restored
+    jam, free       its disk fails all writes, or works again
+
+    Checks:
+    votes, out      the machine is a voter, or is not
+    open            the last put or read has no outcome yet
+    taken, stale, same, fresh, unclear   its outcome, see `OUTCOMES`
+    settled         the put was taken, stale or same
     """
 
     def __init__(self, drawing: str, seed: int = 1, timing: Timing | None = None, founders: int = 3) -> None:
         rows = [[cell.strip() for cell in line.split("|")] for line in drawing.strip().splitlines()]
         self.machines = rows[0][1:]
         self.world = World(seed, self.machines[:founders], timing=timing)
-        self.ticket: dict[str, str] = {}
+        self.request_ids: dict[str, str] = {}
         for moment, *cells in rows[1:]:
             self.world.run_until(float(moment))
             for machine, cell in zip(self.machines, cells, strict=True):
@@ -58,11 +65,11 @@
         match act:
             case "put":
                 ver, parent = map(int, details[0].split("/"))
-                self.ticket[machine] = f"{machine}@{moment}"
-                world.submit(machine, self.ticket[machine], Order(ver, parent))
+                self.request_ids[machine] = f"{machine}@{moment}"
+                world.submit(machine, self.request_ids[machine], Order(ver, parent))
             case "read":
-                self.ticket[machine] = f"{machine}@{moment}"
-                world.read(machine, self.ticket[machine])
+                self.request_ids[machine] = f"{machine}@{moment}"
+                world.read(machine, self.request_ids[machine])
             case "start":
                 world.start(machine)
             case "crash" | "wipe":
@@ -78,9 +85,9 @@
                 name = world.hosts[machine].disk.content.id
                 assert (Voter(name, machine) in voters) is (act == "votes"), (moment, machine, voters)
             case _:
-                self._expect(moment, machine, act, world.answers.get(self.ticket[machine]))
+                self._check_outcome(moment, machine, act, world.answers.get(self.request_ids[machine]))
 
-    def _expect(self, moment: float, machine: str, act: str, outcome: object) -> None:
+    def _check_outcome(self, moment: float, machine: str, act: str, outcome: object) -> None:
         where = f"{machine} at {moment}: {outcome}, not {act}"
         if act == "open":
             assert outcome is None, where
@@ -100,7 +107,7 @@
             1.05 |         | fresh | fresh
         """)
 
-    def test_of_two_that_race_one_is_taken_and_both_hear_at_once(self):
+    def test_of_two_concurrent_changes_one_is_chosen_and_both_are_answered(self):
         for seed in range(20):
             line = Timeline(
                 """
@@ -112,7 +119,7 @@
             )
             self.assertEqual(sorted(line.world.outcomes.items()), [("stale", 1), ("taken", 1)])
 
-    def test_only_the_greater_side_of_a_cut_takes_changes(self):
+    def test_only_the_majority_side_of_a_partition_accepts_changes(self):
         Timeline("""
             time | m0           | m1      | m2
             1.0  | cut          |         |
@@ -123,7 +130,7 @@
             3.0  | fresh        |         |
         """)
 
-    def test_what_a_dead_proposer_left_is_finished_by_the_others(self):
+    def test_a_ballot_of_a_crashed_proposer_is_finished_by_the_others(self):
         line = Timeline(
             """
             time  | m0           | m1   | m2
@@ -137,7 +144,7 @@
             self.assertEqual(line.world.hosts[machine].ledger.ver, 1)
         self.assertEqual(line.world.answers, {})
 
-    def test_the_same_change_sent_again_elsewhere_is_taken_once(self):
+    def test_a_change_retried_at_another_machine_is_chosen_once(self):
         line = Timeline("""
             time  | m0      | m1      | m2
             1.0   | put 1/0 |         |
@@ -148,7 +155,7 @@
         changes = [entry for entry in line.world.chosen.values() if isinstance(entry, ConfigurationEntry)]
         self.assertEqual(len(changes), 1)
 
-    def test_all_lose_power_after_an_acknowledgement(self):
+    def test_an_acknowledged_change_survives_a_crash_of_all(self):
         Timeline("""
             time | m0      | m1    | m2
             1.0  | put 1/0 |       |
@@ -159,7 +166,7 @@
             2.5  | fresh   | fresh | fresh
         """)
 
-    def test_one_loses_its_disk_and_the_others_power_after_an_acknowledgement(self):
+    def test_an_acknowledged_change_survives_a_lost_disk_and_a_crash_of_all(self):
         Timeline("""
             time | m0      | m1    | m2
             1.0  | put 1/0 |       |
@@ -171,7 +178,7 @@
             3.0  |         |       | taken
         """)
 
-    def test_a_wiped_machine_comes_back_under_a_new_name(self):
+    def test_a_machine_that_lost_its_disk_comes_back_under_a_new_id(self):
         line = Timeline("""
             time | m0      | m1   | m2
             1.0  | put 1/0 | wipe |
@@ -187,7 +194,7 @@
         self.assertEqual(len(names), 3)
         self.assertNotIn("genesis/m1", names)
 
-    def test_a_new_machine_takes_the_place_of_one_that_is_gone(self):
+    def test_a_new_machine_replaces_a_failed_one(self):
         line = Timeline("""
             time | m0   | m1      | m2 | m3
             1.0  | wipe |         |    |
@@ -198,7 +205,7 @@
             [v.addr for v in sorted(line.world.hosts["m1"].node.voters, key=lambda v: v.addr)], ["m1", "m2", "m3"]
         )
 
-    def test_a_further_machine_is_added_and_a_dead_one_struck_off_again(self):
+    def test_a_fourth_machine_is_added_and_a_failed_one_removed(self):
         Timeline("""
             time | m0    | m1 | m2   | m3
             1.0  |       |    |      | start
@@ -209,7 +216,7 @@
             5.9  |       |    |      | taken
         """)
 
-    def test_one_cut_off_comes_back_as_the_voter_it_was(self):
+    def test_a_removed_voter_comes_back_after_a_partition(self):
         Timeline("""
             time | m0    | m1   | m2   | m3
             1.0  |       |      |      | start
@@ -220,7 +227,7 @@
             7.6  |       |      | fresh |
         """)
 
-    def test_a_disk_that_refuses_acknowledges_nothing(self):
+    def test_a_machine_whose_disk_fails_acknowledges_nothing(self):
         Timeline("""
             time | m0      | m1      | m2
             1.0  | jam     |         |
@@ -238,7 +245,7 @@
             8.9  | fresh   |         |
         """)
 
-    def test_who_is_far_behind_gets_the_state_instead_of_the_log(self):
+    def test_a_machine_far_behind_gets_a_snapshot_instead_of_the_log(self):
         puts = "\n".join(f"{2 + n / 10} | put {n}/{n - 1} | |" for n in range(1, 21))
         line = Timeline(
             f"""
@@ -255,22 +262,22 @@
         self.assertLessEqual(len(line.world.hosts["m0"].node.entries_from(line.world.hosts["m0"].node.first_slot)), 8)
 
 
-class Policy(unittest.TestCase):
+class VoterSelection(unittest.TestCase):
     def test_one_change_at_a_time(self):
         a, b, c, d, new = (Voter(name, name) for name in ("a", "b", "c", "d", "new"))
-        reborn = Voter("a2", "a")
+        restarted = Voter("a2", "a")
         cases = [
             ("nothing to do", [a, b, c], [], {}, [], None),
             ("added", [a, b, c], [new], {}, [], [a, b, c, new]),
-            ("its old self goes", [a, b, c], [reborn], {}, [], [reborn, b, c]),
-            ("in place of the silent", [a, b, c], [new], {"c": 1.5}, [], [a, b, new]),
-            ("too few to strike off", [a, b, c], [], {"c": 9}, [], None),
-            ("struck off", [a, b, c, d], [], {"d": 9}, [], [a, b, c]),
-            ("not silent long enough", [a, b, c, d], [], {"d": 1.9}, [], None),
-            ("not added beside one in doubt", [a, b, c], [new], {"c": 1.0}, [], None),
+            ("its earlier incarnation is replaced", [a, b, c], [restarted], {}, [], [restarted, b, c]),
+            ("in place of one without contact", [a, b, c], [new], {"c": 1.5}, [], [a, b, new]),
+            ("too few to remove one", [a, b, c], [], {"c": 9}, [], None),
+            ("removed", [a, b, c, d], [], {"d": 9}, [], [a, b, c]),
+            ("not without contact for long enough", [a, b, c, d], [], {"d": 1.9}, [], None),
+            ("not added beside a suspected one", [a, b, c], [new], {"c": 1.0}, [], None),
             ("no majority", [a, b, c, d], [new], {"c": 9, "d": 9}, [], None),
-            ("one that resigns", [a, b, c, d], [], {}, ["b"], [a, c, d]),
-            ("in place of one that resigns", [a, b, c], [new], {}, ["b"], [a, c, new]),
+            ("one that leaves", [a, b, c, d], [], {}, ["b"], [a, c, d]),
+            ("in place of one that leaves", [a, b, c], [new], {}, ["b"], [a, c, new]),
             ("the last three stay", [a, b, c], [], {}, ["b"], None),
         ]
         for name, voters, joining, silent, leaving, wanted in cases:
@@ -280,7 +287,7 @@
         five = [a, b, c, d, new]
         self.assertIsNone(next_voters(five, [], [], lambda x: 9.0 * (x == "d"), 2, TIMING))
 
-    def test_voters_without_a_disk_give_way(self):
+    def test_voters_without_a_disk_are_replaced(self):
         for diskless in (["m1"], ["m0", "m1", "m2"]):
             world = World(5, ["m0", "m1", "m2"])
             for addr in diskless:
@@ -292,7 +299,7 @@
             wanted = {"m0", "m1", "m2"} - set(diskless) | set(newcomers)
             self.assertEqual({voter.addr for voter in world.hosts["m0"].node.voters}, wanted)
 
-    def test_one_without_a_disk_resigns_for_its_former_self(self):
+    def test_a_machine_without_a_disk_asks_to_remove_its_earlier_incarnation(self):
         world = World(5, ["m0", "m1", "m2"])
         world.start("m3")
         world.run_until(1.0)
@@ -320,7 +327,7 @@
         disk.write(assign_identity(durable, "a", ["a", "b", "c"], True, Random(1)))
         return Node(Voter(durable.id, "a"), durable, Ledger(), Random(2))
 
-    def test_what_could_not_be_written_goes_with_the_next_write(self):
+    def test_chosen_entries_that_could_not_be_written_go_with_the_next_write(self):
         node = self._node()
         entry = ConfigurationEntry("t", 1, 0, True, b"", "d")
         (lost,) = [e for e in node.handle("b", wire.ChosenEntries(1, [entry], 1), 1.0) if isinstance(e, Persist)]
@@ -338,7 +345,7 @@
         effects = node.handle("b", wire.Prepare(1, Ballot(9, "b")), 1.0)
         self.assertEqual([e.message for e in effects if isinstance(e, Send)], [wire.CatchUpRequest(1, True)])
 
-    def test_words_of_a_machine_under_another_name_do_not_count(self):
+    def test_promises_under_an_id_that_is_no_voter_do_not_count(self):
         node = self._node()
         node.submit("x", Order(1, 0).judge("t"), 1.0)
         ballot = node._proposer.round.ballot
@@ -346,7 +353,7 @@
             node.handle("b", wire.Promise(1, ballot, stranger), 1.01)
         self.assertIsInstance(node._proposer.round.message, wire.Prepare)
 
-    def test_after_a_freeze_nobody_is_struck_off(self):
+    def test_after_a_pause_of_the_process_no_voter_is_removed(self):
         world = World(1, ["m0", "m1", "m2"])
         world.start("m3")
         world.run_until(2.0)
@@ -356,10 +363,10 @@
 
 
 class StandStills(unittest.TestCase):
-    """What waited for a voter while it stood still is no proof that its sender is there."""
+    """Requests queued while a voter was paused do not prove that their senders are alive."""
 
-    def _late_newcomer(self, node_class: type[Node] = Node) -> World:
-        """m1 stands still while m0 and then a newcomer, m3, are lost for good."""
+    def _newcomer_during_pause(self, node_class: type[Node] = Node) -> World:
+        """m1 is paused while m0, and later the newcomer m3, lose their disks and do not come back."""
         world = World(1, ["m0", "m1", "m2"], node_class)
         world.run_until(0.2)
         world.freeze("m1")
@@ -373,8 +380,8 @@
         world.thaw("m1")
         return world
 
-    def _cut_short(self, node_class: type[Node] = Node) -> World:
-        """m1 stands still amid its change that puts m3 in the place of m0, and m3 is lost meanwhile."""
+    def _pause_during_change(self, node_class: type[Node] = Node) -> World:
+        """m1 is paused while it proposes to replace m0 with m3, and m3 fails in the meantime."""
         world = World(1, ["m0", "m1", "m2"], node_class)
         world.run_until(1.0)
         world.crash("m0", lose_disk=True)
@@ -388,33 +395,33 @@
         world.thaw("m1")
         return world
 
-    def _ever_voters(self, world: World) -> set[str]:
+    def _all_voters_so_far(self, world: World) -> set[str]:
         return {voter.addr for voters in world.voters.values() for voter in voters}
 
-    def test_who_asked_meanwhile_and_is_gone_is_not_let_in(self):
-        for play in (self._late_newcomer, self._cut_short):
+    def test_a_newcomer_that_asked_during_the_pause_and_failed_is_not_added(self):
+        for play in (self._newcomer_during_pause, self._pause_during_change):
             with self.subTest(play.__name__):
                 world = play()
                 world.run_until(world.now + 2.0)
-                self.assertNotIn("m3", self._ever_voters(world))
+                self.assertNotIn("m3", self._all_voters_so_far(world))
                 world.start("m4")
                 world.run_until(world.now + 4.0)
-                self.assertIn("m4", self._ever_voters(world))
+                self.assertIn("m4", self._all_voters_so_far(world))
                 world.submit("m1", "put", Order(1, 0))
                 world.run_until(world.now + 1.0)
                 self.assertIsInstance(world.answers["put"], Committed)
 
-    def test_it_is_without_the_guards(self):
+    def test_without_the_guards_such_a_newcomer_is_added(self):
         for play, node_class in (
-            (self._late_newcomer, node_with(ChangesUnproven)),
-            (self._cut_short, KeepsChangesOverStandStill),
+            (self._newcomer_during_pause, node_with(ChangesUnproven)),
+            (self._pause_during_change, KeepsChangesOverStandStill),
         ):
             with self.subTest(node_class.__name__):
                 world = play(node_class)
                 world.run_until(world.now + 2.0)
-                self.assertIn("m3", self._ever_voters(world))
+                self.assertIn("m3", self._all_voters_so_far(world))
 
-    def test_a_newcomer_that_hears_nobody_keeps_no_other_out(self):
+    def test_a_newcomer_that_receives_nothing_does_not_block_another(self):
         world = World(1, ["m0", "m1", "m2"])
         world.run_until(1.0)
         world.crash("m0", lose_disk=True)
@@ -423,13 +430,13 @@
         world.one_way.update({("m1", "m3"), ("m2", "m3")})
         world.start("m4")
         world.run_until(8.0)
-        self.assertNotIn("m3", self._ever_voters(world))
-        self.assertIn("m4", self._ever_voters(world))
+        self.assertNotIn("m3", self._all_voters_so_far(world))
+        self.assertIn("m4", self._all_voters_so_far(world))
 
 
 class Timers(unittest.TestCase):
-    def _voteless(self, node_class: type[Node] = Node) -> int:
-        """How many events it takes when m0 loses all that tells it the voters, and has a vote open."""
+    def _events_without_voters(self, node_class: type[Node] = Node) -> int:
+        """Count the events when m0 restarts with an open vote but without the records that name the voters."""
         world = World(1, ["m0", "m1", "m2"], node_class)
         world.run_until(1.0)
         disk = world.hosts["m0"].disk
@@ -442,29 +449,29 @@
         world.run_until(3.0)
         return world.events - before
 
-    def test_a_vote_of_one_that_lost_its_voters_is_no_timer(self):
-        self.assertLess(self._voteless(), 200)
+    def test_a_vote_of_a_node_that_knows_no_voters_sets_no_timer(self):
+        self.assertLess(self._events_without_voters(), 200)
 
-    def test_it_is_without_the_guard(self):
+    def test_without_the_guard_it_sets_a_timer(self):
         with self.assertRaises(Violation):
-            self._voteless(MindsVotesWithoutVoters)
+            self._events_without_voters(MindsVotesWithoutVoters)
 
 
-class Stateless(unittest.TestCase):
-    """A machine that lost its saved state, and not its vote at the first slot."""
+class MissingState(unittest.TestCase):
+    """A machine that lost its snapshot but not its vote at the first slot."""
 
-    def test_it_applies_nothing_before_it_has_a_state(self):
+    def test_it_applies_no_entry_before_it_has_a_state(self):
         ballot, entry = Ballot(1, "b~0"), ConfigurationEntry("t", 1, 0, True, b"", "d1")
         durable = DurableState(id="a", votes={1: SlotVote(ballot, ballot, entry)})
-        node = Node(Voter("a", "a"), durable, Ledger(), Random(1), contacts=["b"])
+        node = Node(Voter("a", "a"), durable, Ledger(), Random(1), bootstrap_addrs=["b"])
         node.tick(1.0)
         effects = node.handle("b", wire.ChosenBallot(1, ballot), 1.1)
         self.assertEqual([effect for effect in effects if isinstance(effect, NotifyApplied)], [])
         self.assertEqual(node.last_slot, 0)
 
 
-class Forgetful(Node):
-    """Votes for a ballot though it has promised a higher one."""
+class IgnoresPromises(Node):
+    """Votes for a ballot although it has promised a higher one."""
 
     def _dispatch(self, sender, message):
         if isinstance(message, wire.Accept) and (vote := self._acceptor.vote_at(message.slot)) is not None:
@@ -472,8 +479,8 @@
         return super()._dispatch(sender, message)
 
 
-class Hasty(Node):
-    """Says that it has voted before the disk does."""
+class SendsBeforeWriting(Node):
+    """Sends promises and votes before they are durable."""
 
     def _finish(self, effects):
         early = [send for each in effects if isinstance(each, Persist) for send in each.then]
@@ -481,8 +488,8 @@
         return super()._finish([*early, *late])
 
 
-class Credulous(Node):
-    """Takes what it knows for the newest."""
+class ReadsWithoutQuorum(Node):
+    """Completes requests without asking a quorum."""
 
     def _enqueue(self, request_id, build, now, timeout_s):
         effects = super()._enqueue(request_id, build, now, timeout_s)
@@ -503,9 +510,9 @@
         walk = explore(depth=6, timers=1, losses=1, crashes=1)
         self.assertEqual((walk.violations, walk.complete), ([], True))
 
-    def test_planted_faults_are_found(self):
-        self.assertTrue(explore(depth=8, timers=0, node_class=Forgetful).violations)
-        for faulty, seeds in ((Forgetful, 10), (Hasty, 60), (Credulous, 10)):
+    def test_injected_faults_are_found(self):
+        self.assertTrue(explore(depth=8, timers=0, node_class=IgnoresPromises).violations)
+        for faulty, seeds in ((IgnoresPromises, 10), (SendsBeforeWriting, 60), (ReadsWithoutQuorum, 10)):
             with self.subTest(faulty.__name__):
                 self.assertTrue(run(range(seeds), 30, faulty).violations)
 
@@ -558,8 +565,8 @@
         except ConsensusError:
             return
         node = Failures()._node()
-        node.machine.apply = lambda slot, entry: None
-        node.machine.restore = lambda state: None
+        node.state_machine.apply = lambda slot, entry: None
+        node.state_machine.restore = lambda state: None
         node.submit("x", lambda _: ENTRY, 1.0)
         try:
             node.handle("b", message, 1.01)
--- a/tests/crowseam/test_controller.py
+++ b/tests/crowseam/test_controller.py
@@ -18,7 +18,7 @@
 from crowseam import settings as settings_file
 from crowseam.configuration.model import Configuration
 from crowseam.gateway.controller_session import ControllerSession
-from crowseam.quotas.shards import KEYS
+from crowseam.quotas.shards import ROLE_KEYS
 from crowseam.simulator.actors import http_client
 from crowseam.simulator.memory_controller import MemoryController
 from crowseam.simulator.world.disk import DiskImage
@@ -150,7 +150,7 @@
         nows = {name: process.clock(self.world.now) for name, process in self.processes.items()}
         return {
             key
-            for key in KEYS
+            for key in ROLE_KEYS
             if any(each.role_leases.held_fencing_token(key, nows[name]) for name, each in self.controllers.items())
         }
 
@@ -227,9 +227,9 @@
         elif verb == "?usable":
             self.assertEqual(sorted(r.id for r in system.servers.values() if r.usable), args, line)
         elif verb == "?at":
-            self.assertEqual(system.controller_session.at, CTL[args[0]], line)
+            self.assertEqual(system.controller_session.controller_addr, CTL[args[0]], line)
         elif verb == "?ready":
-            self.assertTrue(system.controller_session.fresh, line)
+            self.assertTrue(system.controller_session.is_caught_up, line)
         else:
             raise ValueError(verb)
 
@@ -326,7 +326,7 @@
                 4.42 | start {third}
                 4.52 |
                 """)
-            self.assertEqual(system.held(), set(KEYS), first)
+            self.assertEqual(system.held(), set(ROLE_KEYS), first)
 
     def test_one_that_lost_its_disk_votes_again_under_a_new_id(self):
         system = self.play("""
@@ -432,7 +432,7 @@
             2    |        |    |    |    | ?at r1
             6    |        |    |    |    | ?at r1
             """)
-        self.assertEqual(system.controller_session.hop, 1)
+        self.assertEqual(system.controller_session.session_number, 1)
         with simulated_environment(system.world, lambda event, **fields: None):
             for name in CONTROLLERS:
                 system.world.enter(system.processes[name])
--- a/tests/crowseam/test_dialect.py
+++ b/tests/crowseam/test_dialect.py
@@ -1,4 +1,4 @@
-"""Answers of servers, as bytes fed to a connection with no socket under it."""
+"""Answers of servers, as bytes that are fed to a connection without a socket."""
 
 import os
 import random
@@ -6,11 +6,11 @@
 from types import SimpleNamespace
 from unittest import mock
 
-from crowseam.gateway.gateway import UNSAFE_IDLE
-from crowseam.gateway.http_dialect import ServerDialect, load_of
+from crowseam.gateway.gateway import UNSAFE_IDLE_RANGE_S
+from crowseam.gateway.http_dialect import ServerDialect, parse_server_load
 from fennelpoint.interface import BackendEntry, BackendState, Roster, RosterKind, Status
 from fennelpoint.net import backends, flow
-from fennelpoint.net.backends import Backends, Exchange
+from fennelpoint.net.backends import BackendPool, Exchange
 
 BODY = b"the server's bytes"
 CHUNKED = b"Transfer-Encoding: chunked\r\n"
@@ -29,7 +29,7 @@
 
 
 class Transport:
-    """What is written, and whether it is closed; `slow` leaves it in the buffer."""
+    """Records what is written and whether it is closed; with `slow`, writes stay in the buffer."""
 
     def __init__(self, fd, slow):
         self.fd, self.slow, self.written, self.closed, self.protocol = fd, slow, b"", False, None
@@ -61,7 +61,7 @@
 
 
 class Task:
-    """A connection on its way."""
+    """A connection that is being established."""
 
     def __init__(self, factory):
         self.factory, self.done = factory, None
@@ -80,7 +80,7 @@
 
 
 class Loop:
-    """Connections come up and timers go off when the test says so."""
+    """Connections are established and timers fire when the test says so."""
 
     def __init__(self):
         self.coming, self.timers = [], []
@@ -101,19 +101,19 @@
     def setUp(self):
         self.now = 100.0
         clock = SimpleNamespace(monotonic=lambda: self.now)
-        for patch in (mock.patch.object(backends, "time", clock), mock.patch.object(backends, "complain")):
+        for patch in (mock.patch.object(backends, "time", clock), mock.patch.object(backends, "warn_rate_limited")):
             patch.start()
             self.addCleanup(patch.stop)
-        self.said, self.say = os.pipe()  # stands for the socket where its readiness is looked at
-        self.addCleanup(os.close, self.said)
-        self.addCleanup(os.close, self.say)
+        self.ready_fd, self.ready_write_fd = os.pipe()  # stands in for the socket when its readiness is checked
+        self.addCleanup(os.close, self.ready_fd)
+        self.addCleanup(os.close, self.ready_write_fd)
         self.loop = Loop()
-        self.pool = Backends(self.loop, 4, 0.3, 8.0, 4.0, flow.Budget(128), ServerDialect())
+        self.pool = BackendPool(self.loop, 4, 0.3, 8.0, 4.0, flow.BufferBudget(128), ServerDialect())
         self.state(BackendState.READY)
         self.ended = []
 
     def state(self, state):
-        self.pool.follow(Roster(RosterKind.CHANGES, 0, [BackendEntry("s", state)]), {"s": ("10.0.0.1", 80)})
+        self.pool.apply_roster(Roster(RosterKind.CHANGES, 0, [BackendEntry("s", state)]), {"s": ("10.0.0.1", 80)})
 
     def begin(self, txn=b"one", unsafe=False, receiver=None, upload=None, silent=None):
         exchange = Exchange(
@@ -121,17 +121,17 @@
             lambda *ended: self.ended.append(ended),
             upload=upload,
             receiver=receiver,
-            echo=txn,
-            idle=UNSAFE_IDLE if unsafe else None,
-            silent=silent,
+            expected_id=txn,
+            idle_range_s=UNSAFE_IDLE_RANGE_S if unsafe else None,
+            on_stall=silent,
         )
         self.pool.begin(exchange, "s")
         return exchange
 
     def connect(self, slow=False):
-        """The connection asked for last comes up."""
+        """Establish the connection that was requested last."""
         task = self.loop.coming.pop()
-        transport = Transport(self.said, slow)
+        transport = Transport(self.ready_fd, slow)
         transport.protocol = connection = task.factory()
         connection.connection_made(transport)
         task.done(task)
@@ -144,12 +144,12 @@
             connection.get_buffer(-1)[: len(data)] = data
             connection.buffer_updated(len(data))
 
-    def asked(self, *pieces, **told):
-        """A request on a new connection, and what is answered."""
-        for old in list(self.pool.all):
+    def exchange(self, *pieces, **options):
+        """Send a request on a new connection, and feed its answer."""
+        for old in list(self.pool.connections):
             old.close()
             old.connection_lost(None)
-        self.begin(**told)
+        self.begin(**options)
         connection = self.connect()
         self.feed(connection, *pieces)
         return connection
@@ -170,7 +170,7 @@
 
 
 class Verdicts(Case):
-    def test_what_an_answer_proves(self):
+    def test_outcome_of_an_answer(self):
         def coded(status, fields=b""):
             return answer(status, fields=fields, seal=False, body=b"x")
 
@@ -196,10 +196,10 @@
         ]
         for data, status, body in cases:
             with self.subTest(data[:90]):
-                self.asked(*(data[at : at + 50_000] for at in range(0, len(data), 50_000)))
+                self.exchange(*(data[at : at + 50_000] for at in range(0, len(data), 50_000)))
                 self.assertEqual(self.outcome(), (status, body))
 
-    def test_an_answer_before_the_request_is_written_is_no_success(self):
+    def test_an_answer_before_the_request_is_written_is_not_a_success(self):
         for data, status in (
             (answer(), Status.RESET),
             (answer(500), Status.ERROR),
@@ -213,25 +213,25 @@
                 self.assertEqual(self.outcome()[0], status)
                 self.assertTrue(connection.transport.closed)
 
-    def test_an_answer_that_is_cut_off_proves_nothing(self):
+    def test_a_truncated_answer_is_a_reset(self):
         whole = answer()
         chunked = answer(framing=CHUNKED, body=b"5\r\nwhole\r\n0\r\n\r\n")
         for data in (whole, chunked, answer(500), answer(503, fields=b"X-Not-Run: 1\r\n")):
             for at in range(len(data)):
-                self.lose(self.asked(data[:at]))
+                self.lose(self.exchange(data[:at]))
                 self.assertEqual(self.outcome(), (Status.RESET, None), data[:at])
 
-    def test_one_that_stops_is_not_waited_for_until_the_deadline(self):
-        self.asked(answer()[:-1])
-        self.now += self.pool.stalled
+    def test_a_stalled_answer_fails_before_the_deadline(self):
+        self.exchange(answer()[:-1])
+        self.now += self.pool.answer_stall_timeout_s
         delay, call, args = self.loop.timers[-1]
         call(*args)
-        self.assertEqual((self.outcome(), delay), ((Status.ERROR, None), self.pool.stalled))
+        self.assertEqual((self.outcome(), delay), ((Status.ERROR, None), self.pool.answer_stall_timeout_s))
 
-    def test_one_that_falls_silent_is_told_of_and_still_taken_where_its_owner_decides(self):
+    def test_a_stalled_answer_is_reported_and_still_accepted_if_its_owner_decides(self):
         silent = mock.Mock()
-        connection = self.asked(answer()[:-1], silent=silent)
-        self.now += self.pool.stalled
+        connection = self.exchange(answer()[:-1], silent=silent)
+        self.now += self.pool.answer_stall_timeout_s
         _, call, args = self.loop.timers[-1]
         call(*args)
         silent.assert_called_once_with()
@@ -239,7 +239,7 @@
         self.feed(connection, answer()[-1:])
         self.assertEqual(self.outcome(), (Status.OK, BODY))
 
-    def test_what_was_never_written_whole_never_ran(self):
+    def test_a_request_that_was_not_written_completely_never_ran(self):
         self.begin()
         self.lose(self.connect(slow=True))
         self.assertEqual(self.outcome()[0], Status.CONNECT_FAILED)
@@ -253,7 +253,7 @@
         self.assertEqual((self.outcome()[0], connection.transport.closed), (Status.TIMEOUT, True))
 
     def test_load(self):
-        for told, load in (
+        for header, load in (
             (b"3,0,8", (3, 0, 8)),
             (b" 3 , 1 , 8 ", (3, 1, 8)),
             (b"3,0", None),
@@ -263,12 +263,12 @@
             (b"1,2,99999999999", None),
             (b"", None),
         ):
-            self.assertEqual(load_of(backends.Answer(200, [(b"x-server-load", told)], b"")), load, told)
-        self.assertIsNone(load_of(backends.Answer(200, [], b"")))
+            self.assertEqual(parse_server_load(backends.Answer(200, [(b"x-server-load", header)], b"")), load, header)
+        self.assertIsNone(parse_server_load(backends.Answer(200, [], b"")))
 
 
 class OtherBytes(Case):
-    def test_the_answer_to_a_request_that_was_over_is_skipped(self):
+    def test_the_answer_to_an_abandoned_request_is_skipped(self):
         chunked = answer(txn=b"old", framing=CHUNKED, body=b"3\r\nold\r\n0\r\n\r\n")
         for old in (
             answer(txn=b"old", body=b"old"),
@@ -279,11 +279,11 @@
         ):
             data = old + answer()
             for at in range(1, len(data), 3):
-                connection = self.asked(data[:at], data[at:])
+                connection = self.exchange(data[:at], data[at:])
                 self.assertEqual(self.outcome(), (Status.OK, BODY), (old, at))
-                self.assertTrue(connection.transport.closed)  # out of step once, it is not trusted again
+                self.assertTrue(connection.transport.closed)  # not reused after a mismatch
 
-    def test_one_that_names_nobody_counts_only_where_nobody_else_was_asked(self):
+    def test_an_answer_without_an_id_counts_only_on_an_unused_connection(self):
         for data, status in (
             (answer(500), Status.ERROR),
             (answer(421), Status.FULL),
@@ -291,54 +291,54 @@
         ):
             data = data.replace(b"X-Attempt-Id: one\r\n", b"")
             with self.subTest(data[:30]):
-                self.asked(data)
+                self.exchange(data)
                 self.assertEqual(self.outcome(), (status, BODY))
-                connection = self.asked(answer())
+                connection = self.exchange(answer())
                 self.outcome()
                 self.begin(b"two")
                 self.feed(connection, data)
                 self.assertEqual((self.outcome(), connection.transport.closed), ((Status.ERROR, None), True))
-                self.asked(answer(txn=b"old") + data)
+                self.exchange(answer(txn=b"old") + data)
                 self.assertEqual(self.outcome(), (Status.ERROR, None))
 
-    def test_one_that_names_two_counts_for_neither(self):
+    def test_an_answer_with_two_ids_or_seals_is_an_error(self):
         for data in (
             answer(fields=b"X-Attempt-Id: two\r\n"),
             answer(fields=b"X-Server-Seal: s.2\r\n"),
             answer(503, fields=b"X-Not-Run: 1\r\nX-Attempt-Id: two\r\n"),
         ):
-            self.asked(data)
+            self.exchange(data)
             self.assertEqual(self.outcome(), (Status.ERROR, None), data)
 
-    def test_a_failure_without_a_length_may_have_been_cut_off(self):
-        self.lose(self.asked(answer(500, framing=b"")))
+    def test_an_error_answer_without_a_length_may_be_truncated(self):
+        self.lose(self.exchange(answer(500, framing=b"")))
         self.assertEqual(self.outcome(), (Status.ERROR, None))
 
-    def test_one_that_never_comes_after_it_may_have_run(self):
-        self.lose(self.asked(answer(txn=b"old")))
+    def test_without_an_answer_of_its_own_a_request_may_have_run(self):
+        self.lose(self.exchange(answer(txn=b"old")))
         self.assertEqual(self.outcome(), (Status.RESET, None))
 
-    def test_what_follows_a_whole_answer_belongs_to_nobody(self):
+    def test_excess_bytes_after_an_answer_close_the_connection(self):
         for more in (b"x", answer(), answer(txn=b"two"), b"\r\n\r\nnoise", answer(500)[:20]):
-            connection = self.asked(answer() + more)
+            connection = self.exchange(answer() + more)
             self.assertEqual(self.outcome(), (Status.OK, BODY), more)
             self.assertEqual((self.kept, connection.transport.closed), (0, True))
 
-    def test_what_comes_unasked_on_an_unused_connection_closes_it(self):
-        connection = self.asked(answer())
+    def test_unsolicited_bytes_on_an_idle_connection_close_it(self):
+        connection = self.exchange(answer())
         self.outcome()
         self.assertEqual(self.kept, 1)
         self.feed(connection, answer(txn=b"two"))
         self.assertEqual((self.kept, connection.transport.closed), (0, True))
 
-    def test_what_waits_there_unread_is_found_before_it_is_used_again(self):
-        connection = self.asked(answer())
+    def test_unread_bytes_are_noticed_before_a_connection_is_reused(self):
+        connection = self.exchange(answer())
         self.outcome()
-        os.write(self.say, b"x")
+        os.write(self.ready_write_fd, b"x")
         self.begin()
         self.assertEqual((connection.transport.closed, len(self.loop.coming)), (True, 1))
 
-    def test_any_bytes_have_one_outcome_and_a_success_is_the_whole_body(self):
+    def test_random_bytes_have_one_outcome_and_a_success_has_the_whole_body(self):
         rng = random.Random(5)
         parts = [
             answer(),
@@ -361,24 +361,24 @@
                 size = rng.choice([1, 3, 40, 1000])
                 pieces.append(data[:size])
                 data = data[size:]
-            connection = self.asked(*pieces)
+            connection = self.exchange(*pieces)
             self.lose(connection)
             status, body = self.outcome()
             if status is Status.OK:
                 self.assertEqual(body, BODY)
-            self.assertEqual((len(self.pool.all), self.kept, self.pool.budget.used), (0, 0, 0))
+            self.assertEqual((len(self.pool.connections), self.kept, self.pool.budget.used), (0, 0, 0))
 
 
 class Large(Case):
-    def test_it_is_passed_on_as_it_comes_and_ends_as_it_ends(self):
+    def test_a_large_answer_is_streamed_and_its_end_is_the_outcome(self):
         body = bytes(range(256)) * 1000
         for cut, status in ((len(body), Status.OK), (len(body) - 1, Status.RESET)):
             with self.subTest(cut):
                 got = []
                 receiver = SimpleNamespace(
-                    begin=lambda told, length, source, got=got: got.append(told.body), piece=got.append
+                    begin=lambda head, length, source, got=got: got.append(head.body), write_body=got.append
                 )
-                connection = self.asked(receiver=receiver)
+                connection = self.exchange(receiver=receiver)
                 data = answer(body=body[:cut], framing=b"Content-Length: %d\r\n" % len(body))
                 self.feed(connection, *(data[at : at + 4096] for at in range(0, len(data), 4096)))
                 if status is not Status.OK:
@@ -387,51 +387,51 @@
                 self.assertEqual((self.outcome(), b"".join(got)), ((status, None), body[:cut]))
                 self.assertEqual(self.pool.budget.used, 0)
 
-    def test_one_that_falls_silent_is_given_up_unless_its_owner_decides(self):
+    def test_a_stalled_large_answer_is_given_up_unless_its_owner_decides(self):
         body = bytes(200_000)
         for silent, ended in ((None, [(Status.ERROR, None)]), (mock.Mock(), [])):
             self.ended.clear()
             data = answer(body=body[:-1], framing=b"Content-Length: %d\r\n" % len(body))
-            connection = self.asked(receiver=mock.Mock(), silent=silent)
+            connection = self.exchange(receiver=mock.Mock(), silent=silent)
             self.feed(connection, *(data[at : at + 4096] for at in range(0, len(data), 4096)))
-            self.now += flow.STALLED + 0.1
+            self.now += flow.STREAM_STALL_TIMEOUT_S + 0.1
             self.pool.sweep()
             self.assertEqual(self.ended, ended)
 
-    def test_a_body_goes_on_in_the_framing_it_came_in(self):
+    def test_a_streamed_body_keeps_its_framing(self):
         for length, sent in ((None, b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"), (5, b"abcde")):
             upload = flow.Upload(self.pool.budget, length, lambda on: None, [b"abc"])
-            connection = self.asked(upload=upload)
+            connection = self.exchange(upload=upload)
             upload.feed(b"de")
-            upload.end()
+            upload.feed_eof()
             self.feed(connection, answer())
             self.assertEqual(connection.transport.written, b"GET / HTTP/1.1\r\n\r\n" + sent)
             self.assertEqual((self.outcome(), self.pool.budget.used), ((Status.OK, BODY), 0))
 
-    def test_a_server_that_leaves_amid_a_body_has_not_run_it(self):
+    def test_a_connection_lost_within_the_request_body_has_not_run_it(self):
         upload = flow.Upload(self.pool.budget, 5, lambda on: None, [b"abc"])
-        self.lose(self.asked(upload=upload))
+        self.lose(self.exchange(upload=upload))
         self.assertEqual((self.outcome(), self.pool.budget.used), ((Status.CONNECT_FAILED, None), 0))
 
 
 class Connections(Case):
-    def used_again(self, idle, unsafe=False, **told):
-        """Whether the connection of an answer is used for a request that comes so many seconds later."""
-        connection = self.asked(answer(**told))
+    def used_again(self, idle_s, unsafe=False, **options):
+        """Return whether a connection is reused after `idle` seconds, and whether it is closed."""
+        connection = self.exchange(answer(**options))
         self.outcome()
-        self.now += idle
+        self.now += idle_s
         self.begin(unsafe=unsafe)
-        again = connection.exchange is not None
-        self.assertEqual(len(self.loop.coming), 0 if again else 1)
+        is_reused = connection.exchange is not None
+        self.assertEqual(len(self.loop.coming), 0 if is_reused else 1)
         closed = connection.transport.closed
-        if again:
+        if is_reused:
             self.lose(connection)
         self.loop.coming.clear()
         self.pool.connecting.clear()
         self.ended.clear()
-        return again, closed
+        return is_reused, closed
 
-    def test_how_long_one_is_kept(self):
+    def test_how_long_an_idle_connection_is_reused(self):
         used, left, closed = (True, False), (False, False), (False, True)
         for idle, unsafe, fields, expected in (
             (0.0, False, b"", used),
@@ -442,8 +442,8 @@
             (0.6, False, b"Keep-Alive: max=9, timeout=5\r\n", used),
             (0.1, False, b"Keep-Alive: timeout=0\r\n", closed),
             (0.0, False, b"Connection: close\r\n", closed),
-            # What may run once only: neither a connection that may be closed, nor one so fresh that a
-            # second answer could still be on its way.
+            # Unsafe requests: neither on a connection that the server may have closed, nor on one so recently used
+            # that excess bytes may still arrive.
             (0.01, True, b"", left),
             (0.5, True, b"", used),
             (1.2, True, b"", left),
@@ -452,15 +452,15 @@
             with self.subTest(idle=idle, unsafe=unsafe, fields=fields):
                 self.assertEqual(self.used_again(idle, unsafe, fields=fields), expected)
 
-    def test_one_that_leaves_loses_its_unused_connections_and_gets_no_request(self):
-        connection = self.asked(answer())
+    def test_idle_connections_of_a_draining_server_are_closed_and_it_gets_no_request(self):
+        connection = self.exchange(answer())
         self.outcome()
         self.state(BackendState.DRAINING)
         self.assertTrue(connection.transport.closed)
         self.begin()
         self.assertEqual((self.outcome()[0], self.loop.coming), (Status.CONNECT_FAILED, []))
 
-    def test_one_that_leaves_while_the_connection_comes_up_gets_no_request(self):
+    def test_a_server_that_leaves_while_a_connection_is_established_gets_no_request(self):
         for state in (BackendState.DRAINING, BackendState.GONE):
             self.state(BackendState.READY)
             self.begin()
@@ -468,19 +468,19 @@
             connection = self.connect()
             self.assertEqual((connection.transport.written, self.outcome()[0]), (b"", Status.CONNECT_FAILED))
 
-    def test_one_that_leaves_finishes_what_it_has(self):
+    def test_a_removed_server_finishes_its_request(self):
         self.begin()
         connection = self.connect()
         self.state(BackendState.GONE)
         self.feed(connection, answer())
         self.assertEqual((self.outcome(), connection.transport.closed), ((Status.OK, BODY), True))
 
-    def test_our_own_shortage_is_not_the_servers_fault(self):
+    def test_the_gateways_connection_limit_is_not_a_failure_of_the_server(self):
         for _ in range(4):
             self.begin()
             self.connect()
         self.begin()
-        self.assertEqual(self.outcome()[0], Status.MOOT)
+        self.assertEqual(self.outcome()[0], Status.NOT_SENT)
 
 
 if __name__ == "__main__":
--- a/tests/crowseam/test_discovery.py
+++ b/tests/crowseam/test_discovery.py
@@ -1,9 +1,10 @@
-"""The registry of servers: its merge, its repair between copies, its controller sessions, its acknowledgements.
+"""The registry of servers: merge, anti-entropy between copies, changes for sessions, and acknowledgements.
 
-Timelines have one column for each controller. A cell holds what happens there at that time:
-``heartbeat ID SEQ ADDR [draining]``, ``leave ID``, ``retire ID`` / ``back ID``, ``expire``, ``heard X`` (takes
-X's news of who was heard within 2 s), ``repair X`` (a round of repair with X), and what is expected then:
-``?ID PHASE`` (PHASE ``-`` for not known), ``?usable ID ID ...``, ``?forgot ID ...``.
+Timelines have one column for each controller. A cell holds what happens there at that time, separated by semicolons:
+``heartbeat ID SEQ ADDR [draining]``, ``leave ID``, ``retire ID`` / ``back ID`` (restores it), ``expire``, ``heard X``
+(applies X's list of servers heard within 2 s), ``repair X`` (a round of anti-entropy with X), ``hum START`` (another
+server has reported every second since START); and what is expected then: ``?ID PHASE`` (PHASE ``-`` for unknown),
+``?usable ID ...``, ``?forgot ID ...`` (dropped by the last ``expire``).
 """
 
 import random
@@ -21,7 +22,7 @@
 from crowseam.discovery.server_record import ServerRecord, aged, merge, replicated_fields
 from crowseam.discovery.service_registry import ServiceRegistry
 
-GOOD = {
+VALID_REPORT = {
     "addr": "10.128.0.9:8080",
     "summary": {"svc": "huvo11a", "ver": "v1", "az": "hall", "slots": 4},
     "stat": {"phase": "up", "seq": 4, "warmup_time": "1.3s"},
@@ -33,15 +34,15 @@
 
 
 def repair(one, other, now):
-    """A full round begun by ``one``; returns how many records went over the wire."""
+    """A complete round of anti-entropy started by ``one``; returns how many records were sent."""
     sent = 0
     queue = [(other, one, one.offer(now))]
     while queue:
-        to, back_to, message = queue.pop()
+        recipient, sender, message = queue.pop()
         message = msgspec.msgpack.decode(msgspec.msgpack.encode(message), type=DigestOffer | RangeRecords)
         if isinstance(message, RangeRecords):
             sent += len(message.records)
-        queue += [(back_to, to, answer) for answer in to.handle(message, now)[0]]
+        queue += [(sender, recipient, answer) for answer in recipient.handle(message, now)[0]]
     return sent
 
 
@@ -52,7 +53,7 @@
         self.case = case
         self.registries = {name: ServiceRegistry(name) for name in names}
         self.repairs = {name: AntiEntropy(registry) for name, registry in self.registries.items()}
-        self.forgot = {name: [] for name in names}
+        self.dropped = {name: [] for name in names}
         for line in lines[1:]:
             time, *cells = (cell.strip() for cell in line.split("|"))
             for name, cell in zip(names, cells, strict=False):
@@ -60,43 +61,43 @@
                     self.step(name, step, float(time), line)
 
     def step(self, name, step, now, line):
-        registry, (verb, *args) = self.registries[name], step.split()
-        same = self.case.assertEqual
-        if verb == "heartbeat":
+        registry, (action, *args) = self.registries[name], step.split()
+        assert_equal = self.case.assertEqual
+        if action == "heartbeat":
             registry.record_heartbeat(args[0], heartbeat(int(args[1]), args[2], *args[3:]), now)
-        elif verb == "leave":
+        elif action == "leave":
             registry.leave(args[0], now)
-        elif verb in ("retire", "back"):
-            registry.retire(args, verb == "retire", now)
-        elif verb == "expire":
-            self.forgot[name] = registry.expire(now)
-        elif verb == "heard":
+        elif action in ("retire", "back"):
+            registry.retire(args, action == "retire", now)
+        elif action == "expire":
+            self.dropped[name] = registry.expire(now)
+        elif action == "heard":
             registry.apply_heard(self.registries[args[0]].heard_since(now - 2, include_relayed=True), now)
-        elif verb == "repair":
+        elif action == "repair":
             repair(self.repairs[name], self.repairs[args[0]], now)
-        elif verb == "hum":  # other servers report here every second, up to now
+        elif action == "hum":  # another server has reported here every second until now
             for second in range(int(args[0]), int(now) + 1):
                 registry.record_heartbeat("hum", heartbeat(second, "10.0.0.99:80"), float(second))
-        elif verb == "?usable":
+        elif action == "?usable":
             usable = [
                 r.id for r in sorted(registry.records(now), key=lambda r: (r.svc, r.id)) if r.usable and r.id != "hum"
             ]
-            same(usable, args, line)
-        elif verb == "?forgot":
-            same(self.forgot[name], args, line)
-        elif verb.startswith("?"):
-            record = registry.get(verb[1:], now)
-            same("-" if record is None else record.phase, args[0], line)
+            assert_equal(usable, args, line)
+        elif action == "?forgot":
+            assert_equal(self.dropped[name], args, line)
+        elif action.startswith("?"):
+            record = registry.get(action[1:], now)
+            assert_equal("-" if record is None else record.phase, args[0], line)
         else:
             raise ValueError(step)
 
 
-class ReadingReports(unittest.TestCase):
-    def test_a_proper_report(self):
-        read = parse_heartbeat("i-7f3a91c2", msgspec.json.encode(GOOD))
-        self.assertEqual(read, Heartbeat("huvo11a", "10.128.0.9:8080", "hall", "v1", 4, "up", 4, 1300))
+class ParsingReports(unittest.TestCase):
+    def test_a_valid_report_is_parsed(self):
+        parsed = parse_heartbeat("i-7f3a91c2", msgspec.json.encode(VALID_REPORT))
+        self.assertEqual(parsed, Heartbeat("huvo11a", "10.128.0.9:8080", "hall", "v1", 4, "up", 4, 1300))
 
-    def test_the_field_at_fault_is_named(self):
+    def test_the_invalid_field_is_named(self):
         for field, value in (
             ("addr", "10.1.1.1"),
             ("addr", "10.1.1.1:0"),
@@ -110,7 +111,7 @@
             ("stat.warmup_time", "5m"),
         ):
             with self.subTest(field=field, value=value):
-                report = msgspec.json.decode(msgspec.json.encode(GOOD))
+                report = msgspec.json.decode(msgspec.json.encode(VALID_REPORT))
                 *outer, last = field.split(".")
                 (report[outer[0]] if outer else report)[last] = value
                 with self.assertRaises(DiscoveryError) as caught:
@@ -119,9 +120,9 @@
 
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @given(st.binary(max_size=40), st.integers(0, 200), st.integers(0, 40))
-    def test_damaged_reports_raise_nothing_else(self, noise, at, cut):
-        good = msgspec.json.encode(GOOD)
-        for body in (noise, good[:at] + noise + good[at + cut :]):
+    def test_damaged_reports_raise_nothing_else(self, junk, at, cut):
+        valid_body = msgspec.json.encode(VALID_REPORT)
+        for body in (junk, valid_body[:at] + junk + valid_body[at + cut :]):
             try:
                 parse_heartbeat("i-1", body)
             except DiscoveryError:
@@ -146,13 +147,13 @@
 class Merging(unittest.TestCase):
     @settings(max_examples=500, deadline=None, derandomize=True, database=None)
     @given(records, records, records)
-    def test_join_is_commutative_associative_idempotent(self, a, b, c):
+    def test_merge_is_commutative_associative_idempotent(self, a, b, c):
         self.assertEqual(merge(a, b), merge(b, a))
         self.assertEqual(merge(merge(a, b), c), merge(a, merge(b, c)))
         self.assertEqual(merge(a, a), a)
         self.assertEqual(merge(aged(a, 2), aged(b, 2)), aged(merge(a, b), 2))
 
-    def test_copies_that_heard_different_things_end_alike(self):
+    def test_copies_with_different_reports_converge(self):
         for seed in range(60):
             rng = random.Random(seed)
             registries = [ServiceRegistry(str(n)) for n in range(3)]
@@ -185,7 +186,8 @@
         one, other = ServiceRegistry("1"), ServiceRegistry("2")
         for n in range(200):
             one.record_heartbeat(f"i-{n}", heartbeat(1, f"10.0.{n}.1:80"), 0.0)
-            other.record_heartbeat(f"i-{n}", heartbeat(7, f"10.0.{n}.1:80"), 0.5)  # another seq alone is no difference
+            # A different seq alone is no difference.
+            other.record_heartbeat(f"i-{n}", heartbeat(7, f"10.0.{n}.1:80"), 0.5)
         self.assertEqual(repair(AntiEntropy(one), AntiEntropy(other), 1.0), 0)
         other.record_heartbeat("i-5", heartbeat(9, "10.0.5.1:80", "draining"), 1.0)
         differ = differing_ranges(digests(one.records(1.0)), digests(other.records(1.0)))
@@ -210,7 +212,7 @@
             """,
         )
 
-    def test_a_farewell_nobody_can_place_is_kept(self):
+    def test_the_end_of_an_unknown_server_is_kept(self):
         Timeline(
             self,
             """
@@ -233,8 +235,8 @@
             """,
         )
 
-    def test_a_report_held_up_does_not_end_the_living(self):
-        # Both controllers have lost their memory; the old server's last report arrives after the new one's.
+    def test_a_delayed_report_does_not_end_a_live_server(self):
+        # Both controllers have restarted without state; the old server's last report arrives after the new one's.
         Timeline(
             self,
             """
@@ -249,7 +251,7 @@
             """,
         )
 
-    def test_a_ghost_does_not_end_a_server_that_reports(self):
+    def test_another_server_at_the_address_does_not_end_one_that_reports(self):
         Timeline(
             self,
             """
@@ -261,7 +263,7 @@
             """,
         )
 
-    def test_retirement_follows_the_operators_latest_word(self):
+    def test_retirement_follows_the_operators_latest_change(self):
         Timeline(
             self,
             """
@@ -273,7 +275,7 @@
             """,
         )
 
-    def test_the_silent_are_forgotten_and_no_copy_brings_them_back(self):
+    def test_silent_servers_are_dropped_and_not_restored_by_other_copies(self):
         Timeline(
             self,
             """
@@ -288,7 +290,7 @@
             """,
         )
 
-    def test_news_of_the_living_goes_round_without_keeping_the_dead(self):
+    def test_relayed_reports_keep_live_servers_but_not_dead_ones(self):
         timeline = Timeline(
             self,
             """
@@ -306,7 +308,7 @@
             self.assertEqual(registry.silent(6.0, 4.0), ["b"])
             self.assertEqual(registry.silent(8.0, 4.0), ["a", "b"])
 
-    def test_a_controller_that_was_cut_off_forgets_nobody(self):
+    def test_a_partitioned_controller_drops_no_servers(self):
         Timeline(
             self,
             """
@@ -320,11 +322,11 @@
         )
 
 
-class Followers(unittest.TestCase):
+class ChangesSince(unittest.TestCase):
     def test_a_controller_session_has_what_the_registry_has(self):
         for seed in range(40):
             rng = random.Random(seed)
-            registry, controller_session, place, snapshots = ServiceRegistry("x"), {}, ("", 0), 0
+            registry, session_records, position, snapshots = ServiceRegistry("x"), {}, ("", 0), 0
             now = 0.0
             for n in range(400):
                 now += rng.choice((0.05, 0.3, 1.0))
@@ -335,29 +337,29 @@
                     registry.leave(ident, now)
                 registry.expire(now)
                 if rng.random() < 0.1:
-                    news = registry.changes_since(*place, now)
-                    if news is None:
+                    changes = registry.changes_since(*position, now)
+                    if changes is None:
                         snapshots += 1
-                        controller_session, news = {}, registry.snapshot(now)
-                    controller_session.update((record.id, replicated_fields(record)) for record in news)
-                    place = registry.position
+                        session_records, changes = {}, registry.snapshot(now)
+                    session_records.update((record.id, replicated_fields(record)) for record in changes)
+                    position = registry.position
                     expected = sorted(map(replicated_fields, registry.snapshot(now)))
-                    self.assertEqual(sorted(m for m in controller_session.values() if m.phase != "gone"), expected)
-            self.assertEqual(snapshots, 1, "controller_sessions that keep up need the snapshot only once")
-            self.assertIsNone(registry.changes_since("y", place[1], now))
+                    self.assertEqual(sorted(m for m in session_records.values() if m.phase != "gone"), expected)
+            self.assertEqual(snapshots, 1, "sessions that keep up need the snapshot only once")
+            self.assertIsNone(registry.changes_since("y", position[1], now))
             self.assertIsNone(registry.changes_since("x", registry.position.number + 1, now))
 
     def test_a_controller_session_that_missed_an_end_needs_a_snapshot(self):
         registry = ServiceRegistry("x")
         registry.record_heartbeat("a", heartbeat(1), 0.0)
-        place = registry.position
+        position = registry.position
         registry.leave("a", 1.0)
-        self.assertEqual([r.phase for r in registry.changes_since(*place, 2.0)], ["gone"])
+        self.assertEqual([r.phase for r in registry.changes_since(*position, 2.0)], ["gone"])
         registry.expire(62.0)
-        self.assertIsNone(registry.changes_since(*place, 62.0))
+        self.assertIsNone(registry.changes_since(*position, 62.0))
         self.assertEqual(registry.changes_since(*registry.position, 62.0), [])
 
-    def test_a_server_that_comes_back_after_it_was_forgotten_is_told(self):
+    def test_a_server_that_returns_after_it_was_dropped_is_reported(self):
         registry = ServiceRegistry("x")
         registry.record_heartbeat("a", heartbeat(1), 0.0)
         for second in range(140):
@@ -365,16 +367,16 @@
             if second >= 40:
                 registry.record_heartbeat("a", heartbeat(second), float(second))
             if registry.expire(float(second)):
-                place = registry.position
-        self.assertEqual([(r.id, r.phase) for r in registry.changes_since(*place, 140.0)], [("a", "up")])
+                position = registry.position
+        self.assertEqual([(r.id, r.phase) for r in registry.changes_since(*position, 140.0)], [("a", "up")])
 
     def test_slow_start_ends_on_time_however_it_is_reported(self):
         registry = ServiceRegistry("x")
-        for at in (0.0, 1.0, 2.0):  # a server that always reports the whole of it
+        for at in (0.0, 1.0, 2.0):  # this server always reports the total duration
             registry.record_heartbeat("a", heartbeat(int(at) + 1, warm=3000), at)
         self.assertEqual(registry.get("a", 2.5).warm, 500)
         other = ServiceRegistry("y")
-        other.merge(registry.get("a", 2.5), 102.5)  # the other machine's clock shows something else
+        other.merge(registry.get("a", 2.5), 102.5)  # the other machine's clock is different
         self.assertEqual((other.get("a", 103.0).warm, other.get("a", 103.0).born), (0, 3000))
 
 
@@ -386,60 +388,58 @@
 
     def test_only_a_majority_acknowledges(self):
         messages = self.pending.start("t", self.record, self.voters, 0.0)
-        self.assertEqual([to for to, _ in messages], self.voters)
+        self.assertEqual([addr for addr, _ in messages], self.voters)
         self.assertEqual(self.pending.confirm("r1", ReplicationAck("a", "draining")), [])
         self.assertEqual(self.pending.confirm("r2", ReplicationAck("a", "draining")), [])
         self.assertEqual(self.pending.confirm("r2", ReplicationAck("a", "draining")), [])
         self.assertEqual(self.pending.confirm("r9", ReplicationAck("a", "draining")), [])
         self.assertEqual(self.pending.confirm("r3", ReplicationAck("a", "up")), [])
-        self.assertEqual([to for to, _ in self.pending.retransmit(0.2)], ["r3", "r4", "r5"])
+        self.assertEqual([addr for addr, _ in self.pending.retransmit(0.2)], ["r3", "r4", "r5"])
         self.assertEqual(self.pending.confirm("r3", ReplicationAck("a", "gone")), ["t"])
         self.assertEqual((len(self.pending), self.pending.expire(9.0)), (0, []))
 
-    def test_without_a_majority_the_call_is_told_to_come_back(self):
+    def test_without_a_majority_the_call_times_out(self):
         self.pending.start("t", self.record, self.voters, 0.0)
         self.pending.confirm("r1", ReplicationAck("a", "draining"))
         self.pending.confirm("r2", ReplicationAck("a", "draining"))
         self.assertEqual(self.pending.expire(0.6), [])
         self.assertEqual(self.pending.expire(0.7), ["t"])
         self.assertEqual(self.pending.confirm("r3", ReplicationAck("a", "draining")), [])
-        # What was confirmed before the server's next call says nothing of those voters now.
+        # Confirmations from before the server's next call prove nothing about those voters now.
         self.assertEqual(len(self.pending.start("u", self.record, self.voters, 0.9)), 5)
 
-    def test_a_confirmation_speaks_for_the_calls_that_wait_and_no_later_one(self):
+    def test_a_confirmation_counts_for_waiting_calls_and_no_later_one(self):
         voters = ["r1", "r2", "r3"]
         self.pending.start("t", self.record, voters, 0.0)
         self.pending.start("u", self.record, voters, 0.1)
         self.assertEqual(self.pending.confirm("r1", ReplicationAck("a", "draining")), [])
         self.assertEqual(sorted(self.pending.confirm("r2", ReplicationAck("a", "draining"))), ["t", "u"])
-        # r2 loses its disk here, or is cut off: that it held the record once is no majority.
+        # r2 may lose its disk or become unreachable here: its earlier confirmation no longer counts towards a majority.
         self.pending.start("v", self.record, voters, 1.3)
         self.assertEqual(self.pending.confirm("r1", ReplicationAck("a", "draining")), [])
 
-    def test_a_confirmation_counts_for_no_call_that_came_after_its_question(self):
+    def test_a_confirmation_counts_for_no_call_started_after_its_request(self):
         voters = ["r1", "r2", "r3"]
         pending = replication.PendingAcknowledgements("r1", 40)
         (_, first), *_ = pending.start("t", self.record, voters, 0.0)
         (_, second), *_ = pending.start("u", self.record, voters, 0.1)
         registry = ServiceRegistry("r2")
-        early, late = (replication.acknowledge(hold, registry, 0.2) for hold in (first, second))
+        early, late = (replication.acknowledge(request, registry, 0.2) for request in (first, second))
         self.assertEqual(pending.confirm("r1", ReplicationAck("a", "draining", call_number=late.call_number)), [])
         self.assertEqual(pending.confirm("r2", ReplicationAck("a", "draining", call_number=early.call_number)), ["t"])
-        self.assertEqual(
-            pending.confirm("r2", ReplicationAck("a", "draining", call_number=40)), []
-        )  # of an earlier life
+        # The number 40 is of an earlier incarnation.
+        self.assertEqual(pending.confirm("r2", ReplicationAck("a", "draining", call_number=40)), [])
         self.assertEqual(pending.confirm("r2", ReplicationAck("a", "draining", call_number=late.call_number)), ["u"])
         pending.start("v", self.record, voters, 0.3)
         pending.start("w", ServerRecord("b", phase="gone"), voters, 0.3)
-        self.assertEqual(
-            {hold.call_number for _, hold in pending.retransmit(0.6)}, {44}
-        )  # what is asked now speaks for all
+        # A retransmission covers all waiting calls.
+        self.assertEqual({request.call_number for _, request in pending.retransmit(0.6)}, {44})
 
-    def test_out_of_touch_is_refused_at_once(self):
+    def test_without_a_reachable_majority_a_call_is_rejected_at_once(self):
         for voters, reachable in ((self.voters, ["r2"]), (self.voters, ["r1", "r2"]), ([], ["r2"])):
             with self.assertRaises(replication.NoMajorityError):
                 self.pending.start("t", self.record, voters, 0.0, reachable)
-        self.assertEqual([to for to, _ in self.pending.start("t", self.record, ["r1"], 0.0, [])], ["r1"])
+        self.assertEqual([addr for addr, _ in self.pending.start("t", self.record, ["r1"], 0.0, [])], ["r1"])
         self.assertEqual(self.pending.confirm("r1", ReplicationAck("a", "draining")), ["t"])
 
     def test_our_own_copy_counts_no_sooner_than_that_of_another_voter(self):
@@ -451,7 +451,7 @@
         voters = {"r1": "x", "r2": "y", "r3": "z"}
         self.pending.start("t", self.record, voters, 0.0)
         self.pending.confirm("r2", ReplicationAck("a", "draining", voter_id="y"))
-        self.pending.set_voters(voters | {"r2": "new"}, 7)  # r2 has lost its disk and was let in again
+        self.pending.set_voters(voters | {"r2": "new"}, 7)  # r2 has lost its disk and joined again
         self.assertEqual(self.pending.confirm("r1", ReplicationAck("a", "draining", voter_id="x")), [])
         self.assertEqual(self.pending.confirm("r2", ReplicationAck("a", "draining", voter_id="y")), [])
         self.assertEqual(self.pending.confirm("r2", ReplicationAck("a", "draining", voter_id="new")), ["t"])
@@ -461,10 +461,10 @@
         self.pending.confirm("r3", ReplicationAck("a", "draining", voter_id="z"))
         self.pending.set_voters({"r1": "x", "r2": "y", "r4": "w"}, 7)
         self.assertEqual(self.pending.confirm("r1", ReplicationAck("a", "draining", voter_id="x")), [])
-        self.assertEqual([to for to, _ in self.pending.retransmit(0.3)], ["r2", "r4"])
+        self.assertEqual([addr for addr, _ in self.pending.retransmit(0.3)], ["r2", "r4"])
         self.assertEqual(self.pending.confirm("r4", ReplicationAck("a", "draining", voter_id="w")), ["t"])
 
-    def test_who_may_not_know_the_voters_is_not_confirmed(self):
+    def test_a_sender_that_may_not_know_the_voters_gets_no_confirmation(self):
         registry = ServiceRegistry("r2")
         self.assertIsNone(
             replication.acknowledge(replication.ReplicationRequest(self.record, 6), registry, 0.1, "y", 7)
@@ -477,11 +477,11 @@
             replication.acknowledge(replication.ReplicationRequest(self.record), registry, 0.1, "y", 7)
         )
 
-    def test_a_voter_confirms_what_it_holds(self):
+    def test_a_voter_confirms_its_current_state(self):
         registry = ServiceRegistry("r2")
         registry.record_heartbeat("a", heartbeat(9), 0.0)
-        held = replication.acknowledge(replication.ReplicationRequest(self.record), registry, 0.1)
-        self.assertEqual(held, replication.ReplicationAck("a", "draining"))
+        ack = replication.acknowledge(replication.ReplicationRequest(self.record), registry, 0.1)
+        self.assertEqual(ack, replication.ReplicationAck("a", "draining"))
         registry.leave("a", 0.2)
         self.assertEqual(
             replication.acknowledge(replication.ReplicationRequest(self.record), registry, 0.3).phase, "gone"
--- a/tests/crowseam/test_golden.py
+++ b/tests/crowseam/test_golden.py
@@ -1,6 +1,6 @@
-"""What an earlier version put on the wire, on disk and on pages is read, and written byte for byte as it was.
+"""Compatibility: data of an earlier version is read, and written again byte for byte.
 
-The files under `golden/` were written by `golden_samples` with the code of main 2678150.
+The files under `golden/` were written by `golden_samples` with the code of commit 2678150.
 """
 
 import json
@@ -33,8 +33,8 @@
 
 class Wire(unittest.TestCase):
     def test_each_message_is_read_and_written_as_before(self):
-        told = golden_json("messages.json")
-        for tag, text in told.items():
+        golden = golden_json("messages.json")
+        for tag, text in golden.items():
             with self.subTest(tag):
                 data = bytes.fromhex(text)
                 self.assertEqual(codec.encode(codec.decode(data)), data)
@@ -43,12 +43,12 @@
     def test_no_message_is_new_or_missing(self):
         self.assertEqual(set(golden_samples.encoded_messages()), set(golden_json("messages.json")))
 
-    def test_the_version_of_the_protocol_is_that_of_these_messages(self):
-        # 2 had no keyed operations: its processes can't read their messages, nor a configuration with such a route.
+    def test_the_protocol_version_is_that_of_these_messages(self):
+        # Version 2 cannot decode the messages of keyed operations, nor a configuration with such a route.
         self.assertEqual(messages.PROTOCOL_VERSION, 3)
 
     def test_greetings_keep_their_fields_in_place(self):
-        # Any two versions read each other's greeting, so its fields stay where they are for good.
+        # Any two versions must be able to read each other's greeting, so its fields must never move.
         for tag, protocol_at in (("hello", 3), ("open", 9), ("welcome", 3)):
             fields = msgspec.msgpack.decode(bytes.fromhex(golden_json("messages.json")[tag]))
             self.assertEqual(codec.decode(msgspec.msgpack.encode(fields)).protocol, fields[protocol_at])
@@ -80,10 +80,10 @@
         golden_samples.write_store(self.folder / "new.db")
         shutil.copy(FOLDER / "crowseam.db", self.folder / "old.db")
         rows = self.rows(self.folder / "new.db")
-        self.assertEqual(rows.pop("operations"), [])  # a table that the old store lacks
+        self.assertEqual(rows.pop("operations"), [])  # a table that the old store does not have
         self.assertEqual(rows, self.rows(self.folder / "old.db"))
 
-    def test_an_old_store_gets_a_table_of_operations_and_keeps_the_rest(self):
+    def test_an_old_store_gets_a_table_for_operations_and_keeps_the_rest(self):
         before = self.rows(FOLDER / "crowseam.db")
         store = self.opened()
         self.assertEqual(store.operations(), [])
@@ -112,10 +112,10 @@
         )
         self.assertEqual((durable.votes[6].promised.round, durable.votes[6].accepted.round), (3, 2))
         self.assertEqual(durable.votes[6].entry.body, b"patch")
-        self.assertEqual((durable.votes[7].promised.node, durable.votes[7].accepted), ("c~3", None))
+        self.assertEqual((durable.votes[7].promised.proposer, durable.votes[7].accepted), ("c~3", None))
         self.assertEqual(store.members(), {"10.1.0.4:8080": b""})
 
-    def test_an_old_copy_of_a_store_is_restored(self):
+    def test_an_old_snapshot_file_is_restored(self):
         store = Store(self.folder / "restored.db")
         store.open()
         self.addCleanup(store.close)
@@ -136,11 +136,11 @@
         self.assertEqual(store.members(), {"10.1.0.4:8080"})
 
     def test_the_state_of_the_log_is_read_and_written_as_before(self):
-        told = (FOLDER / "state_machine.bin").read_bytes()
+        golden = (FOLDER / "state_machine.bin").read_bytes()
         machine = ConfigurationStateMachine(max_recent=1, max_earlier=1)
-        machine.restore(told)
-        self.assertEqual(machine.snapshot(), told)
-        self.assertEqual(golden_samples.state_bytes(), told)
+        machine.restore(golden)
+        self.assertEqual(machine.snapshot(), golden)
+        self.assertEqual(golden_samples.state_bytes(), golden)
         self.assertEqual(
             (machine.config.ver, len(machine.recent), len(machine.earlier), machine.forgotten), (3, 1, 1, 1)
         )
@@ -159,9 +159,9 @@
         self.assertTrue(file_formats.DeployFile.__struct_fields__)
 
     def test_calls_of_control_are_answered_as_before(self):
-        for told, was in zip(golden_samples.control_answers(), golden_json("control_calls.json"), strict=True):
-            with self.subTest(method=was["method"], path=was["path"]):
-                self.assertEqual(told, was)
+        for answer, expected in zip(golden_samples.control_answers(), golden_json("control_calls.json"), strict=True):
+            with self.subTest(method=expected["method"], path=expected["path"]):
+                self.assertEqual(answer, expected)
 
     def test_a_controller_exports_its_metrics_as_before(self):
         self.assertEqual(golden_samples.metrics_page(), (FOLDER / "controller_metrics.txt").read_text())
--- a/tests/crowseam/test_large_states.py
+++ b/tests/crowseam/test_large_states.py
@@ -1,4 +1,4 @@
-"""Large configurations over slow links: the daemons on the virtual clock, and what old versions still get."""
+"""Large configurations over slow links, with daemons on a virtual clock, and compatibility with earlier versions."""
 
 import hashlib
 import random
@@ -17,7 +17,7 @@
     SnapshotDownload,
     compress_snapshot,
     decompress_snapshot,
-    digested,
+    snapshot_with_digest,
 )
 from crowseam.consensus.timing import Timing
 from crowseam.gateway.controller_session import ControllerSession
@@ -29,15 +29,15 @@
 from crowseam.transport.codec import decode, pack
 from crowseam.transport.messages import FollowingLog, OpenSession
 
-BODY = configuration(430, 1700, 23)  # 340 kB, packed 85
+BODY = configuration(430, 1700, 23)  # 340 kB, 85 kB compressed
 
 
 def quiet(event, **fields):
-    """Logs of these are of no interest."""
+    """Discard log lines."""
 
 
 class Daemons(unittest.TestCase):
-    def test_an_empty_controller_and_an_empty_gateway_get_it_while_changes_go_on(self):
+    def test_an_empty_controller_and_gateway_catch_up_while_changes_continue(self):
         scenario = SlowLinks(1, BODY, 0.5)
         took = scenario.measure()
         for name, one in took.items():
@@ -47,7 +47,7 @@
             self.assertLess(one.gap, 0.7, name)
         self.assertEqual((took["gateway"].left, scenario.heard["State"], scenario.world.failures), (0, 0, []))
 
-    def test_a_gateway_that_comes_back_gets_the_steps_it_lacks(self):
+    def test_a_reconnecting_gateway_gets_only_the_steps_it_missed(self):
         scenario = SlowLinks(1, BODY, 0.2)
         scenario.measure()
         with simulated_environment(scenario.world, quiet):
@@ -61,10 +61,10 @@
                 for kind in ("State", "SnapshotOffer", "SnapshotPart"):
                     self.assertEqual(scenario.heard[kind], before[kind], kind)
 
-    def test_a_whole_configuration_for_a_voter_on_a_slow_link_holds_signs_of_life_up_for_its_packed_bytes_only(self):
+    def test_a_full_configuration_delays_heartbeats_on_a_slow_link_only_by_its_compressed_size(self):
         scenario = SlowLinks(1, configuration(20, 20, 2), 0.5)
         body = configuration(1300, 5100, 70, 2, 1)
-        seconds = len(pack(body)) / RATE
+        transfer_s = len(pack(body)) / RATE
         with simulated_environment(scenario.world, quiet):
             scenario.world.run(2.0)
             scenario.change()
@@ -75,12 +75,12 @@
             scenario.change()
             scenario.world.run(20.0)
         self.assertEqual(scenario.controllers[MEMBER].machine.config.ver, 2)
-        signs = scenario.signs[MEMBER].values()
-        gaps = [b - a for times in signs for a, b in zip(times, times[1:], strict=False)]
-        self.assertLess(seconds, max(gaps))
-        self.assertLess(max(gaps), seconds + 0.8)
+        heartbeat_times = scenario.signs[MEMBER].values()
+        gaps = [b - a for times in heartbeat_times for a, b in zip(times, times[1:], strict=False)]
+        self.assertLess(transfer_s, max(gaps))
+        self.assertLess(max(gaps), transfer_s + 0.8)
 
-    def test_a_transfer_goes_on_with_another_controller_where_the_first_one_ends(self):
+    def test_a_download_continues_from_another_controller_when_the_first_one_stops(self):
         scenario = SlowLinks(2, configuration(1300, 5100, 70), 0.5)
         with simulated_environment(scenario.world, quiet):
             scenario.world.run(2.0)
@@ -89,16 +89,16 @@
             scenario.start_gateway()
             while not (
                 scenario.controller_session
-                and scenario.controller_session.fetch
-                and len(scenario.controller_session.fetch.chunks) >= 4
+                and scenario.controller_session.download
+                and len(scenario.controller_session.download.chunks) >= 4
             ):
                 scenario.world.run(scenario.world.now + 0.05)
-            first, parts = scenario.controller_session.at, scenario.heard["SnapshotPart"]
+            first, parts = scenario.controller_session.controller_addr, scenario.heard["SnapshotPart"]
             ip = first.partition(":")[0]
             scenario.network.ended(scenario.controllers[ip].loop.process)
             scenario.world.run(scenario.world.now + 6.0)
         self.assertEqual(scenario.controller_session.config.ver, 1)
-        self.assertNotEqual(scenario.controller_session.at, first)
+        self.assertNotEqual(scenario.controller_session.controller_addr, first)
         size = len(pack(scenario.controllers[next(s for s in SEEDS if s != ip)].machine.config.dump()))
         self.assertLessEqual(scenario.heard["SnapshotPart"], -(-size // (32 << 10)) + 2, parts)
 
@@ -112,13 +112,13 @@
 
     def feed(self, controller_session, body, digest):
         link = controller_session.link
-        controller_session._heard(link, SnapshotOffer(7))
+        controller_session._on_message(link, SnapshotOffer(7))
         for offset in range(0, len(body), 32 << 10):
             part = body[offset : offset + (32 << 10)]
-            controller_session._heard(link, SnapshotChunk(7, digest, len(body), offset, part))
+            controller_session._on_message(link, SnapshotChunk(7, digest, len(body), offset, part))
         return [call.args[-1] for call in link.send.call_args_list]
 
-    def test_it_acts_on_a_configuration_only_when_it_is_whole_and_as_its_digest_says(self):
+    def test_it_applies_a_configuration_only_if_it_is_complete_and_matches_its_digest(self):
         body = pack(configuration(700, 3000, 23))
         digest = hashlib.sha256(body).digest()
         controller_session = self.controller_session()
@@ -129,22 +129,22 @@
         self.assertEqual((controller_session.slot, controller_session.config.ver), (7, 1))
 
     def test_a_part_of_another_state_is_passed_over(self):
-        fetch = SnapshotDownload("a", 0, 4, 2, 0.0)
-        self.assertEqual([r.offset for r in fetch.next_requests()], [0])
-        self.assertTrue(fetch.add_chunk(SnapshotChunk(5, b"x", 10, 0, b"0123"), 1.0))
-        self.assertEqual([r.offset for r in fetch.next_requests()], [4, 8])
-        self.assertFalse(fetch.add_chunk(SnapshotChunk(5, b"y", 10, 4, b"4567"), 1.0))
-        self.assertFalse(fetch.add_chunk(SnapshotChunk(6, b"x", 10, 4, b"4567"), 1.0))
-        self.assertFalse(fetch.add_chunk(SnapshotChunk(5, b"x", 10, 4, b"456"), 1.0))
-        self.assertTrue(fetch.add_chunk(SnapshotChunk(5, b"x", 10, 8, b"89"), 1.0))
-        self.assertIsNone(fetch.joined())
-        self.assertTrue(fetch.add_chunk(SnapshotChunk(5, b"x", 10, 4, b"4567"), 1.0))
-        self.assertEqual(fetch.joined(), b"0123456789")
-        self.assertFalse(fetch.is_intact(fetch.joined()))
+        download = SnapshotDownload("a", 0, 4, 2, 0.0)
+        self.assertEqual([r.offset for r in download.next_requests()], [0])
+        self.assertTrue(download.add_chunk(SnapshotChunk(5, b"x", 10, 0, b"0123"), 1.0))
+        self.assertEqual([r.offset for r in download.next_requests()], [4, 8])
+        self.assertFalse(download.add_chunk(SnapshotChunk(5, b"y", 10, 4, b"4567"), 1.0))
+        self.assertFalse(download.add_chunk(SnapshotChunk(6, b"x", 10, 4, b"4567"), 1.0))
+        self.assertFalse(download.add_chunk(SnapshotChunk(5, b"x", 10, 4, b"456"), 1.0))
+        self.assertTrue(download.add_chunk(SnapshotChunk(5, b"x", 10, 8, b"89"), 1.0))
+        self.assertIsNone(download.assemble())
+        self.assertTrue(download.add_chunk(SnapshotChunk(5, b"x", 10, 4, b"4567"), 1.0))
+        self.assertEqual(download.assemble(), b"0123456789")
+        self.assertFalse(download.is_intact(download.assemble()))
 
 
 class FormerVersions(unittest.TestCase):
-    """Messages as processes of the version before send them, and what these are sent."""
+    """Messages of processes of an earlier version, and the replies to them."""
 
     def node(self, size):
         ledger = Padded(Ledger(), size)
@@ -152,32 +152,32 @@
         durable = DurableState("a", 5, {}, {}, SnapshotRecord(5, state, [Voter("a", "a")], 6))
         return Node(Voter("a", "a"), durable, ledger, random.Random(1), Timing()), state
 
-    def told(self, node, data):
+    def replies_to(self, node, data):
         return [e.message for e in node.handle("b", wire.decode(data), 1.0) if isinstance(e, Send)]
 
-    def test_a_member_gets_a_snapshot_in_one_message(self):
+    def test_a_controller_that_knows_no_chunks_gets_a_snapshot_in_one_message(self):
         node, state = self.node(300_000)
         asked = msgspec.msgpack.encode(["c.behind", 0])
-        self.assertEqual(self.told(node, asked), [Snapshot(5, state, [Voter("a", "a")])])
-        self.assertEqual(self.told(node, wire.encode(wire.CatchUpRequest(0, True))), [SnapshotOffer(5)])
+        self.assertEqual(self.replies_to(node, asked), [Snapshot(5, state, [Voter("a", "a")])])
+        self.assertEqual(self.replies_to(node, wire.encode(wire.CatchUpRequest(0, True))), [SnapshotOffer(5)])
 
-    def test_a_small_state_goes_in_one_message_as_ever(self):
+    def test_a_small_state_is_sent_in_one_message(self):
         node, state = self.node(20_000)
-        told = [Snapshot(5, state, [Voter("a", "a")])]
-        self.assertEqual(self.told(node, wire.encode(wire.CatchUpRequest(0, True))), told)
+        expected = [Snapshot(5, state, [Voter("a", "a")])]
+        self.assertEqual(self.replies_to(node, wire.encode(wire.CatchUpRequest(0, True))), expected)
 
-    def test_a_gateway_that_names_no_parts_is_understood(self):
+    def test_a_gateway_that_does_not_mention_chunks_is_understood(self):
         opened = decode(msgspec.msgpack.encode(["open", "edge-1", 1, 1, "z", 3, "r", 0]))
         self.assertEqual(opened, OpenSession("edge-1", 1, 1, "z", 3, "r", 0, False))
 
 
-class Kept(unittest.TestCase):
-    def test_what_is_sent_stays_as_it_is_and_goes_when_nobody_asks(self):
+class SnapshotCaching(unittest.TestCase):
+    def test_a_cached_snapshot_stays_unchanged_until_it_expires(self):
         source = SnapshotCache(10.0)
         made = []
 
         def make():
-            made.append(digested(7 + len(made), b"state" * 10, 0.0))
+            made.append(snapshot_with_digest(7 + len(made), b"state" * 10, 0.0))
             return made[-1]
 
         first = source.find_or_create(wire.SnapshotChunkRequest(0, b"", 0, 4), 1, 7, make, 0.0)
@@ -188,13 +188,13 @@
         source.expire(source.next_expiry())
         self.assertEqual((source.snapshots, source.oldest_slot()), ([], float("inf")))
 
-    def test_the_same_state_is_sealed_to_the_same_bytes_and_read_back(self):
+    def test_compression_of_a_snapshot_is_deterministic_and_reversible(self):
         snapshot = Snapshot(3, b"s" * 1000, [Voter("a", "a")])
         one, other = compress_snapshot(snapshot, 1, 0.0), compress_snapshot(snapshot, 1, 5.0)
         self.assertEqual(one.digest, other.digest)
         self.assertEqual(decompress_snapshot(one.data), snapshot)
 
-    def test_the_log_is_kept_from_a_state_that_is_being_sent_on(self):
+    def test_the_log_after_a_snapshot_that_is_being_downloaded_is_kept(self):
         ledger = Padded(Ledger(), 100_000)
         durable = DurableState("a", 0, {}, {}, SnapshotRecord(0, b"", [Voter("a", "a")], 1))
         node = Node(Voter("a", "a"), durable, ledger, random.Random(1), Timing(kept_slots=8, max_kept_slots=32))
--- a/tests/crowseam/test_load_balancer.py
+++ b/tests/crowseam/test_load_balancer.py
@@ -1,10 +1,11 @@
-"""What becomes of a request between admission and its answer.
-
-Timelines have a column for the gateway and one for each server. The gateway's cells hold ``ask N ROUTE [LEFT]``,
-``late N``, ``over N``, ``gone N`` and what is expected of it: ``?give N STATUS``. A server's cells
-hold ``full N``, ``ok N [LOAD]``, ``error N [STATUS]``, ``reset N``, ``refused N``, ``timeout N`` (the outcome
-of the attempt there), ``up``, ``draining``, ``retired``, ``gone``, ``quiet``, and ``<N``: N's next attempt
-went here. What is sent or answered and not expected fails.
+"""Retries, hedges and choice of servers by the load balancer.
+
+Timelines have a column for the gateway and one for each server. The gateway's cells have events: ``ask N ROUTE
+[TIME_LEFT]`` (a new request), ``late N`` (its hedge timer), ``over N`` (its deadline), ``gone N`` (its client
+disconnects), and the expected answer ``?give N STATUS``. A server's cells have the outcome of the attempt there:
+``full N``, ``ok N [LOAD]``, ``error N [STATUS]``, ``reset N``, ``refused N``, ``timeout N``; its state: ``up``,
+``draining``, ``retired``, ``gone``, ``silent``; and the expected ``<N``: the next attempt of N is sent to it.
+Unexpected attempts and answers fail the test.
 """
 
 import random
@@ -12,7 +13,7 @@
 
 from crowseam.configuration.routing import Route
 from crowseam.discovery.server_record import ServerRecord
-from crowseam.gateway.load_balancer import Draw, Give, LoadBalancer, Send, Wake
+from crowseam.gateway.load_balancer import DrawFromReserve, LoadBalancer, Respond, Send, StartHedgeTimer
 from crowseam.quotas.admission import Admission, TenantTerms
 from crowseam.quotas.retry_budget import RetryBudget
 from fennelpoint.interface import Status
@@ -27,7 +28,7 @@
     "reset": Status.RESET,
     "timeout": Status.TIMEOUT,
     "refused": Status.CONNECT_FAILED,
-    "moot": Status.MOOT,
+    "moot": Status.NOT_SENT,
 }
 STATES = {"up": {}, "draining": {"phase": "draining"}, "gone": {"phase": "gone"}, "retired": {"retired": 1}}
 
@@ -42,84 +43,95 @@
 }
 
 
-class Still(random.Random):
-    """Of servers that cost the same, the first is taken."""
+class ConstantRandom(random.Random):
+    """Makes the load balancer choose the first of several servers with the same cost."""
 
     def random(self):
         return 0.0
 
 
 class World:
-    """A balancer and what is owed to it; holds every answer and every attempt against the rules."""
+    """A load balancer and its requests; checks every attempt and every answer against the rules."""
 
     def __init__(self, case, servers, ratio=0.0, slack=60.0, rng=None, slots=4):
-        self.case, self.rng, self.slots = case, rng or Still(1), slots
+        self.case, self.rng, self.slots = case, rng or ConstantRandom(1), slots
         self.admission = Admission(0.0, self.rng)
         self.budget = RetryBudget(ratio, 10.0, slack, 0.0, had_predecessor=False)
-        self.budget.set_gateways(1, 0.0)
+        self.budget.set_gateway_count(1, 0.0)
         self.balancer = LoadBalancer("z", self.admission, self.budget, self.rng)
         self.state = {name: "up" for name in servers}
-        self.balancer.follow([self.record(name) for name in servers], True, 0.0)
-        self.routes, self.sent, self.out, self.ran, self.given = {}, {}, {}, set(), {}
-        self.wakes, self.draws, self.offered = {}, [], set()
+        self.balancer.update_servers([self.record(name) for name in servers], True, 0.0)
+        self.routes, self.sent, self.in_flight, self.may_have_run, self.answers = {}, {}, {}, set(), {}
+        self.hedge_timers, self.draws, self.reached_server = {}, [], set()
 
     def record(self, name):
         return ServerRecord(name, "s", f"10.0.0.{ord(name)}:80", "z", "v", self.slots, **STATES[self.state[name]])
 
-    def turn(self, name, state, now):
+    def set_state(self, name, state, now):
         self.state[name] = state
-        self.balancer.follow([self.record(name)], False, now)
+        self.balancer.update_servers([self.record(name)], False, now)
 
-    def ask(self, number, kind, now, left=5.0, tenant="", drawn=None):
+    def ask(self, number, kind, now, time_left_s=5.0, tenant="", reserve_wait_s=None):
         self.routes[number] = ROUTES[kind]
         self.sent.setdefault(number, [])
-        self.out.setdefault(number, {})
-        self.do(self.balancer.arrive(number, ROUTES[kind], tenant, left, now, drawn))
+        self.in_flight.setdefault(number, {})
+        self.execute(self.balancer.on_request(number, ROUTES[kind], tenant, time_left_s, now, reserve_wait_s))
 
     def outcome(self, number, attempt, status, now, code=500, load=None):
-        del self.out[number][attempt]
+        del self.in_flight[number][attempt]
         if status in MAY_HAVE_RUN:
-            self.ran.add(number)
-        if status not in (Status.CONNECT_FAILED, Status.MOOT):
-            self.offered.add(number)
+            self.may_have_run.add(number)
+        if status not in (Status.CONNECT_FAILED, Status.NOT_SENT):
+            self.reached_server.add(number)
         answer = Answer(200 if status is Status.OK else code, [], b"")
-        self.do(
-            self.balancer.outcome(
+        self.execute(
+            self.balancer.on_outcome(
                 number, attempt, status, answer if status in (Status.OK, Status.ERROR) else None, now, load
             )
         )
 
-    def do(self, actions):
+    def execute(self, actions):
         for action in actions:
             if isinstance(action, Send):
                 number, name = action.id, action.server.id
-                self.case.assertNotIn(number, self.given, "sent after its answer")
+                self.case.assertNotIn(number, self.answers, "sent after it was answered")
                 self.case.assertNotIn(name, self.sent[number], "sent twice to one server")
-                self.case.assertEqual(self.state[name], "up", "sent to one that leaves")
+                self.case.assertEqual(self.state[name], "up", "sent to a server that is not up")
                 if not self.routes[number].safe:
-                    self.case.assertFalse(number in self.ran or self.out[number], "it may run twice")
+                    self.case.assertFalse(
+                        number in self.may_have_run or self.in_flight[number], "an unsafe request may run twice"
+                    )
                 self.sent[number].append(name)
-                # To be moved from one that has left, before any server had it, is no try.
-                tries = [each for each in self.sent[number] if number in self.offered or self.state[each] == "up"]
+                # Being moved away from a server that left, before any server had the request, is no try.
+                tries = [
+                    each for each in self.sent[number] if number in self.reached_server or self.state[each] == "up"
+                ]
                 self.case.assertLessEqual(len(tries), self.routes[number].tries)
-                self.out[number][action.number] = name
-            elif isinstance(action, Give):
-                self.case.assertNotIn(action.id, self.given, "answered twice")
+                self.in_flight[number][action.attempt] = name
+            elif isinstance(action, Respond):
+                self.case.assertNotIn(action.id, self.answers, "answered twice")
                 status = action.answer.status if action.answer is not None else action.status
                 if status in PROMISES and not self.routes[action.id].safe:
-                    self.case.assertFalse(action.id in self.ran or self.out[action.id], "a promise is broken")
-                self.case.assertEqual(action.retry_after > 0.0, status in PROMISES)
-                self.given[action.id] = status
-            elif isinstance(action, Wake):
-                self.wakes[action.id] = action.at
-            elif isinstance(action, Draw):
+                    self.case.assertFalse(
+                        action.id in self.may_have_run or self.in_flight[action.id],
+                        "may have run, but the status promises that it has not",
+                    )
+                self.case.assertEqual(action.retry_after_s > 0.0, status in PROMISES)
+                self.answers[action.id] = status
+            elif isinstance(action, StartHedgeTimer):
+                self.hedge_timers[action.id] = action.at
+            elif isinstance(action, DrawFromReserve):
                 self.draws.append(action)
 
-    def check_held(self):
-        """A server's count of our requests is that of those without an answer."""
+    def check_in_flight(self):
+        """Check the count of requests in flight of each server."""
         for server in self.balancer.servers.values():
-            held = sum(server.id in out.values() for number, out in self.out.items() if number not in self.given)
-            self.case.assertEqual(server.out, held, f"held at {server.id}")
+            count = sum(
+                server.id in attempts.values()
+                for number, attempts in self.in_flight.items()
+                if number not in self.answers
+            )
+            self.case.assertEqual(server.in_flight, count, f"in flight at {server.id}")
 
 
 def play(case, text, **settings):
@@ -130,46 +142,46 @@
     for time, *cells in lines[1:]:
         now, line = float(time), " | ".join([time, *cells])
         steps = [(place, step.strip()) for place, cell in enumerate(cells) for step in cell.split(";") if step.strip()]
-        # What happens comes before what is expected of it, whatever the column.
+        # Events of a line come before its expectations, whatever the column.
         for place, step in sorted(steps, key=lambda each: each[1][0] in "?<"):
             verb, *args = step.split()
             name = names[place - 1] if place else ""
             if verb == "ask":
                 world.ask(args[0], args[1], now, *map(float, args[2:]))
             elif verb == "late":
-                world.do(world.balancer.late(args[0], now))
+                world.execute(world.balancer.on_hedge_timer(args[0], now))
             elif verb == "over":
-                world.do(world.balancer.over(args[0], now))
+                world.execute(world.balancer.on_deadline(args[0], now))
             elif verb == "gone" and args:
-                world.balancer.gone(args[0], now)
-                world.given[args[0]] = None
+                world.balancer.on_client_gone(args[0], now)
+                world.answers[args[0]] = None
                 checked.add(args[0])
             elif verb == "?give":
-                case.assertEqual(str(world.given.get(args[0])), args[1], line)
+                case.assertEqual(str(world.answers.get(args[0])), args[1], line)
                 checked.add(args[0])
             elif verb in STATES:
-                world.turn(name, verb, now)
-            elif verb == "quiet":
-                world.balancer.silent([name])
+                world.set_state(name, verb, now)
+            elif verb == "silent":
+                world.balancer.set_silent([name])
             elif verb in OUTCOMES:
-                attempt = next(a for a, where in world.out[args[0]].items() if where == name)
+                attempt = next(a for a, where in world.in_flight[args[0]].items() if where == name)
                 load = tuple(map(int, args[1].split(","))) if verb == "ok" and args[1:] else None
                 code = int(args[1]) if verb == "error" and args[1:] else 500
                 world.outcome(args[0], attempt, OUTCOMES[verb], now, code, load)
             elif verb.startswith("<"):
-                number = verb[1:]
-                place = sends[number] = sends.get(number, 0) + 1
-                case.assertEqual(world.sent[number][place - 1 : place], [name], line)
+                sent_number = verb[1:]
+                place = sends[sent_number] = sends.get(sent_number, 0) + 1
+                case.assertEqual(world.sent[sent_number][place - 1 : place], [name], line)
             else:
                 raise ValueError(line)
-        case.assertEqual({n: len(s) for n, s in world.sent.items() if s}, sends, line)
-        case.assertEqual(set(world.given), checked, line)
-        world.check_held()
+        case.assertEqual({number: len(sent) for number, sent in world.sent.items() if sent}, sends, line)
+        case.assertEqual(set(world.answers), checked, line)
+        world.check_in_flight()
     return world
 
 
-class FurtherTries(unittest.TestCase):
-    def test_what_was_not_run_is_tried_elsewhere(self):
+class Retries(unittest.TestCase):
+    def test_a_request_that_was_not_run_is_retried_elsewhere(self):
         play(
             self,
             """
@@ -181,8 +193,8 @@
             """,
         )
 
-    def test_unsafe_that_may_have_run_is_not_sent_again_and_no_promise_is_made(self):
-        for ended, told in (
+    def test_an_unsafe_request_that_may_have_run_is_neither_retried_nor_refused(self):
+        for ended, status in (
             ("reset 1", 502),
             ("timeout 1", 502),
             ("error 1", 500),
@@ -196,11 +208,11 @@
                     f"""
                     time | gateway           | a       | b
                     0    | ask 1 unsafe   | <1      |
-                    0.1  | ?give 1 {told} | {ended} |
+                    0.1  | ?give 1 {status} | {ended} |
                     """,
                 )
 
-    def test_a_refusal_before_does_not_turn_a_reset_into_one(self):
+    def test_a_reset_after_a_refusal_is_not_answered_as_a_refusal(self):
         play(
             self,
             """
@@ -211,7 +223,7 @@
             """,
         )
 
-    def test_tries_bound_it_and_what_never_ran_is_told_to_come_back(self):
+    def test_tries_are_bounded_and_a_request_that_never_ran_gets_503(self):
         play(
             self,
             """
@@ -224,7 +236,7 @@
             """,
         )
 
-    def test_without_budget_only_what_never_came_to_a_server_goes_elsewhere(self):
+    def test_without_budget_only_what_reached_no_server_is_retried(self):
         play(
             self,
             """
@@ -240,8 +252,8 @@
             slack=0.0,
         )
 
-    def test_the_budget_is_spent_by_each_further_send(self):
-        # A slack of 2, of which 0.7 are used: one further try in ten seconds.
+    def test_each_retry_spends_the_budget(self):
+        # A slack of 2, of which 0.7 are usable, allows one retry in ten seconds.
         play(
             self,
             """
@@ -258,7 +270,7 @@
             slack=2.0,
         )
 
-    def test_the_last_failure_of_a_server_is_passed_on(self):
+    def test_the_last_error_answer_of_a_server_is_forwarded(self):
         play(
             self,
             """
@@ -269,7 +281,7 @@
             """,
         )
 
-    def test_no_further_try_when_the_time_is_nearly_up(self):
+    def test_no_retry_shortly_before_the_deadline(self):
         play(
             self,
             """
@@ -283,7 +295,7 @@
 
 
 class Hedges(unittest.TestCase):
-    def test_a_late_safe_request_is_sent_once_more_and_the_first_answer_counts(self):
+    def test_a_late_safe_request_is_hedged_and_the_first_answer_counts(self):
         world = play(
             self,
             """
@@ -295,9 +307,9 @@
             0.8  |              | ok 1    |       |
             """,
         )
-        self.assertAlmostEqual(world.wakes["1"], 0.5625 + 0.6, 3)
+        self.assertAlmostEqual(world.hedge_timers["1"], 0.5625 + 0.6, 3)
 
-    def test_an_attempt_that_fails_beside_another_ends_nothing(self):
+    def test_a_failed_attempt_does_not_end_a_request_with_another_in_flight(self):
         play(
             self,
             """
@@ -310,7 +322,7 @@
             """,
         )
 
-    def test_unsafe_is_never_hedged(self):
+    def test_an_unsafe_request_is_never_hedged(self):
         world = play(
             self,
             """
@@ -320,7 +332,7 @@
             4.9  | ?give 1 200   | ok 1    |
             """,
         )
-        self.assertEqual(world.wakes, {})
+        self.assertEqual(world.hedge_timers, {})
 
     def test_a_hedge_needs_budget(self):
         play(
@@ -336,7 +348,7 @@
 
 
 class Servers(unittest.TestCase):
-    def test_those_that_leave_get_nothing_new_and_finish_what_they_have(self):
+    def test_leaving_servers_get_no_new_requests_and_finish_theirs(self):
         play(
             self,
             """
@@ -353,7 +365,7 @@
             """,
         )
 
-    def test_one_that_left_in_between_is_not_the_second_choice(self):
+    def test_a_server_that_left_meanwhile_is_not_chosen_for_a_retry(self):
         play(
             self,
             """
@@ -365,7 +377,7 @@
             """,
         )
 
-    def test_the_answer_of_one_that_is_gone_still_counts(self):
+    def test_the_answer_of_a_removed_server_still_counts(self):
         play(
             self,
             """
@@ -376,7 +388,7 @@
             """,
         )
 
-    def test_one_that_failed_rests(self):
+    def test_a_server_that_failed_is_in_backoff(self):
         play(
             self,
             """
@@ -391,12 +403,12 @@
             """,
         )
 
-    def test_one_that_is_silent_is_the_last_choice(self):
+    def test_a_silent_server_is_the_last_choice(self):
         play(
             self,
             """
             time | gateway         | a          | b
-            0    |              | quiet      |
+            0    |              | silent     |
             0.01 | ask 1 safe   |            | <1
             0.02 |              | <1         | reset 1
             0.03 | ask 2 safe   |            | <2
@@ -407,7 +419,7 @@
             """,
         )
 
-    def test_where_all_rest_requests_still_find_out_whether_one_is_back(self):
+    def test_if_all_servers_are_in_backoff_requests_probe_them(self):
         play(
             self,
             """
@@ -421,7 +433,7 @@
             """,
         )
 
-    def test_one_that_is_full_is_left_alone_for_a_moment(self):
+    def test_a_full_server_is_avoided_for_a_short_time(self):
         play(
             self,
             """
@@ -436,7 +448,7 @@
             """,
         )
 
-    def test_one_that_holds_all_it_may_by_its_own_word_is_sent_nothing(self):
+    def test_a_server_that_reports_a_full_queue_gets_no_request(self):
         play(
             self,
             """
@@ -451,7 +463,7 @@
             """,
         )
 
-    def test_none_at_all_is_no_room(self):
+    def test_without_servers_a_request_is_refused(self):
         play(
             self,
             """
@@ -463,7 +475,7 @@
 
 
 class Ends(unittest.TestCase):
-    def test_the_deadline_promises_nothing_and_leaves_the_server_behind(self):
+    def test_at_the_deadline_the_request_fails_and_its_attempt_is_released(self):
         world = play(
             self,
             """
@@ -476,10 +488,10 @@
             2.4  |                         |         | ok 2
             """,
         )
-        self.assertEqual(world.balancer.tries, {})
+        self.assertEqual(world.balancer.requests, {})
 
-    def test_the_quota_is_given_back_only_for_what_never_ran(self):
-        for ended, told, level in (
+    def test_the_quota_is_refunded_only_for_what_never_ran(self):
+        for ended, status, level in (
             ("full 1", 503, 5),
             ("refused 1", 503, 5),
             ("reset 1", 502, 4),
@@ -493,45 +505,45 @@
                 world.admission.tenants["t"].level = 5.0
                 world.ask("1", "once", 0.0, tenant="t")
                 world.outcome("1", 0, OUTCOMES[ended.split()[0]], 0.1)
-                self.assertEqual(world.given, {"1": told})
+                self.assertEqual(world.answers, {"1": status})
                 self.assertAlmostEqual(world.admission.states(0.1)["t"].level, level, 2)
 
-    def test_a_request_under_way_outlives_its_tenant(self):
-        for ended, told in (("ok", 200), ("error", 500), ("full", 503), ("reset", 502), ("over", 504)):
+    def test_a_request_in_flight_outlives_its_tenant(self):
+        for ended, status in (("ok", 200), ("error", 500), ("full", 503), ("reset", 502), ("over", 504)):
             with self.subTest(ended):
                 world = World(self, ["a", "b"])
                 world.admission.configure({"t": TenantTerms()}, 0.0)
                 world.ask("1", "once", 0.0, tenant="t")
                 world.ask("2", "safe", 0.0, tenant="t")
                 world.admission.configure({}, 0.1)
-                (second,) = world.out["2"]
-                world.outcome("2", second, Status.RESET, 0.2)  # and is sent to one more server
+                (second,) = world.in_flight["2"]
+                world.outcome("2", second, Status.RESET, 0.2)  # is retried
                 if ended == "over":
-                    world.do(world.balancer.over("1", 0.3))
+                    world.execute(world.balancer.on_deadline("1", 0.3))
                 else:
                     world.outcome("1", 0, OUTCOMES[ended], 0.3)
                 world.outcome("2", 1, Status.OK, 0.3)
-                self.assertEqual(world.given, {"1": told, "2": 200})
+                self.assertEqual(world.answers, {"1": status, "2": 200})
 
-    def test_beyond_the_slice_the_reserve_is_asked_once_and_its_no_is_remembered(self):
+    def test_beyond_the_lease_the_reserve_is_asked_once_and_its_wait_is_respected(self):
         world = World(self, ["a"])
         world.admission.configure({"t": TenantTerms(1.0, 5.0)}, 0.0)
         world.admission.set_share("t", 0.5, 0.0)
         world.ask("1", "unsafe", 0.0, tenant="t")
         self.assertEqual([(d.id, d.tenant) for d in world.draws], [("1", "t")])
         world.admission.add_reserve_grant("t", 1)
-        world.ask("1", "unsafe", 0.01, tenant="t", drawn=0.0)
-        self.assertEqual((world.sent["1"], world.given), (["a"], {}))
+        world.ask("1", "unsafe", 0.01, tenant="t", reserve_wait_s=0.0)
+        self.assertEqual((world.sent["1"], world.answers), (["a"], {}))
         world.ask("2", "unsafe", 0.02, tenant="t")
-        world.ask("2", "unsafe", 0.03, tenant="t", drawn=0.5)
-        world.ask("3", "unsafe", 0.1, tenant="t")  # it said that none would be there so soon
-        self.assertEqual((world.given, len(world.draws)), ({"2": 429, "3": 429}, 2))
+        world.ask("2", "unsafe", 0.03, tenant="t", reserve_wait_s=0.5)
+        world.ask("3", "unsafe", 0.1, tenant="t")  # before the end of the wait
+        self.assertEqual((world.answers, len(world.draws)), ({"2": 429, "3": 429}, 2))
         world.ask("4", "unsafe", 0.6, tenant="t")
         self.assertEqual(len(world.draws), 3)
 
 
 class AnyOrder(unittest.TestCase):
-    def test_whatever_happens_the_rules_hold_and_nothing_is_forgotten(self):
+    def test_random_events_keep_the_rules_and_every_request_is_answered(self):
         for seed in range(30):
             rng = random.Random(seed)
             world = World(self, "abcdef", ratio=0.2, slack=10.0, rng=random.Random(seed + 1000), slots=2)
@@ -539,8 +551,10 @@
             kinds = list(ROUTES)
             for _ in range(400):
                 now += rng.expovariate(100.0)
-                open_ones = [n for n in world.routes if n not in world.given]
-                waiting = [(n, a) for n, out in world.out.items() for a in out if n not in world.given]
+                open_ones = [n for n in world.routes if n not in world.answers]
+                waiting = [
+                    (n, a) for n, attempts in world.in_flight.items() for a in attempts if n not in world.answers
+                ]
                 draw = rng.random()
                 if draw < 0.35 or not open_ones:
                     last += 1
@@ -548,21 +562,21 @@
                 elif draw < 0.8 and waiting:
                     world.outcome(*rng.choice(waiting), rng.choice(list(OUTCOMES.values())), now)
                 elif draw < 0.88:
-                    world.do(world.balancer.late(rng.choice(open_ones), now))
+                    world.execute(world.balancer.on_hedge_timer(rng.choice(open_ones), now))
                 elif draw < 0.92:
-                    world.do(world.balancer.over(rng.choice(open_ones), now))
+                    world.execute(world.balancer.on_deadline(rng.choice(open_ones), now))
                 elif draw < 0.94:
                     number = rng.choice(open_ones)
-                    world.balancer.gone(number, now)
-                    world.given[number] = None
+                    world.balancer.on_client_gone(number, now)
+                    world.answers[number] = None
                 else:
-                    world.turn(rng.choice("abcdef"), rng.choice(["up", "draining", "retired", "up"]), now)
-                world.check_held()
-                world.out = {n: out for n, out in world.out.items() if n not in world.given}
-            for number in [n for n in world.routes if n not in world.given]:
-                world.do(world.balancer.over(number, now + 3.0))
-            self.assertEqual(set(world.given), set(world.routes))
-            self.assertEqual(world.balancer.tries, {})
+                    world.set_state(rng.choice("abcdef"), rng.choice(["up", "draining", "retired", "up"]), now)
+                world.check_in_flight()
+                world.in_flight = {n: attempts for n, attempts in world.in_flight.items() if n not in world.answers}
+            for number in [n for n in world.routes if n not in world.answers]:
+                world.execute(world.balancer.on_deadline(number, now + 3.0))
+            self.assertEqual(set(world.answers), set(world.routes))
+            self.assertEqual(world.balancer.requests, {})
 
 
 if __name__ == "__main__":
--- a/tests/crowseam/test_metrics.py
+++ b/tests/crowseam/test_metrics.py
@@ -1,4 +1,4 @@
-"""What a gateway counts, how it is told, and how the figures of several gateways are summed."""
+"""The metrics of gateways and controllers, and their sums over several gateways."""
 
 import contextlib
 import io
@@ -17,14 +17,14 @@
 from crowseam.cli.metrics_table import Merged
 from crowseam.discovery.server_record import ServerRecord
 from crowseam.gateway.gateway import Gateway
-from crowseam.gateway.request_reader import Reader
+from crowseam.gateway.request_reader import RequestReader
 from crowseam.metrics import exposition, families, latency
 from crowseam.simulator.world.patches import simulated_environment
 from fennelpoint.interface import Status
 from fennelpoint.net.backends import Answer
 from tests.crowseam import test_controller
 
-MAKE = latency.library()
+SKETCH_TYPE = latency.load_sketch_type()
 START = r"""
 import asyncio, json, socket, sys
 from random import Random
@@ -70,11 +70,11 @@
     )
 
 
-def recorder(*routes, make=MAKE):
-    made = latency.Recorder()
-    made.follow({each.name: each for each in routes})
+def recorder(*routes, make=SKETCH_TYPE):
+    made = latency.RequestRecorder()
+    made.set_routes({each.name: each for each in routes})
     if make:
-        made.use(make)
+        made.use_sketch_type(make)
     return made
 
 
@@ -101,43 +101,43 @@
             (200, "broken", 900.0, "failed"),
         ):
             before = made.series[key].count if (key := ("loans", "a", outcome)) in made.series else 0
-            made.ended(loans, "" if outcome == "refused" else "a", status, reason, span)
+            made.record(loans, "" if outcome == "refused" else "a", status, reason, span)
             self.assertEqual(made.series[key].count, before + 1, (status, reason))
         self.assertEqual(made.answers, {2: 3, 4: 3, 5: 3})
         self.assertEqual((made.reasons["failed", "server"], made.reasons["refused", "quota"]), (1, 1))
 
-    def test_series_are_bounded_and_those_of_routes_that_left_are_dropped(self):
-        routes = [route(f"r{n}", "a", "b") for n in range(latency.SERIES_MOST + 50)]
+    def test_series_are_bounded_and_those_of_removed_routes_are_dropped(self):
+        routes = [route(f"r{n}", "a", "b") for n in range(latency.MAX_SERIES + 50)]
         made = recorder(*routes)
         for each in routes:
-            made.ended(each, "a", 200, "", 0.01)
-        self.assertEqual(len(made.series), latency.SERIES_MOST + 1)
+            made.record(each, "a", 200, "", 0.01)
+        self.assertEqual(len(made.series), latency.MAX_SERIES + 1)
         self.assertEqual(made.series[latency.OTHER, "", "served"].count, 50)
-        made.follow({"r0": routes[0], "r1": route("r1", "b")})
+        made.set_routes({"r0": routes[0], "r1": route("r1", "b")})
         self.assertEqual(set(made.series), {("r0", "a", "served"), (latency.OTHER, "", "served")})
-        made.ended(routes[5], "a", 200, "", 0.01)
+        made.record(routes[5], "a", 200, "", 0.01)
         self.assertEqual(made.series[latency.OTHER, "", "served"].count, 51)
 
-    def test_what_ends_before_the_library_is_here_is_kept_within_a_bound(self):
+    def test_requests_before_the_library_is_loaded_are_buffered_within_a_bound(self):
         made = recorder(loans := route(), make=None)
-        for _ in range(latency.EARLY_MOST + 7):
-            made.ended(loans, "a", 200, "", 0.01)
-        made.use(MAKE)
-        self.assertEqual((made.series["loans", "a", "served"].count, made.skipped), (latency.EARLY_MOST, 7))
+        for _ in range(latency.MAX_BUFFERED + 7):
+            made.record(loans, "a", 200, "", 0.01)
+        made.use_sketch_type(SKETCH_TYPE)
+        self.assertEqual((made.series["loans", "a", "served"].count, made.skipped), (latency.MAX_BUFFERED, 7))
 
-    def test_quantiles_and_buckets_are_as_near_as_is_said(self):
+    def test_accuracy_of_quantiles_and_buckets(self):
         rng = Random(1)
         spans = sorted(rng.lognormvariate(-3.0, 1.2) for _ in range(5000))
         made = recorder(loans := route())
         for span in spans:
-            made.ended(loans, "a", 200, "", span)
-        told = samples(exposition.render(families.of_recorder(made)))
+            made.record(loans, "a", 200, "", span)
+        exported = samples(exposition.render(families.of_recorder(made)))
         for name, place in (("0.5", 2499), ("0.99", 4949), ("1", 4999)):
-            found = told["crowseam_answer_quantile_seconds", name, "loans", "a"]
+            found = exported["crowseam_answer_quantile_seconds", name, "loans", "a"]
             self.assertAlmostEqual(found / spans[place], 1.0, delta=0.011)
-        for bound in latency.BOUNDS:
+        for bound in latency.BUCKET_BOUNDS_S:
             count = sum(
-                told["crowseam_request_seconds_bucket", str(bound), outcome, "loans", "a"]
+                exported["crowseam_request_seconds_bucket", str(bound), outcome, "loans", "a"]
                 for outcome in ("served", "late")
             )
             self.assertLessEqual(sum(span <= bound for span in spans), count)
@@ -145,13 +145,13 @@
 
 
 class OfDaemons(unittest.TestCase):
-    def test_a_gateway_counts_served_refused_failed_and_gone_and_its_text_can_be_read(self):
+    def test_a_gateway_counts_outcomes_and_its_exposition_can_be_parsed(self):
         system = test_controller.System(1)
         process = system.network.process("x", "10.1.0.30")
         with simulated_environment(system.world, lambda event, **fields: None):
             system.world.enter(process)
             gateway = Gateway(process.loop, system.settings("gateway", False), Random(1), 100)
-            gateway.metrics.use(MAKE)
+            gateway.metrics.use_sketch_type(SKETCH_TYPE)
             gateway.configure(mock.Mock(routes={"loans": (loans := route())}, tenants={}, svcs={}))
 
             def ask():
@@ -159,22 +159,22 @@
                     mock.Mock(), mock.Mock(txn=b"1", route=loans, tenant="", time_left=2.0, upload=None)
                 )
 
-            ask()  # there is no server
-            gateway.follow([ServerRecord("i-1", "a", "10.9.0.1:80", "z", "v", 9)], True)
+            ask()  # refused, as there is no server
+            gateway.update_servers([ServerRecord("i-1", "a", "10.9.0.1:80", "z", "v", 9)], True)
             gateway.backends.begin = lambda exchange, ident: sent.append(exchange)
             sent = []
             numbers = [ask() for _ in range(3)]
             sent[0].end(Status.OK, Answer(200, [], b""))
             sent[1].end(Status.RESET)
-            gateway.gone(numbers[2])
-            told = samples(
+            gateway.client_gone(numbers[2])
+            exported = samples(
                 exposition.render(
                     families.of_gateway(
                         types.SimpleNamespace(
                             gateway=gateway,
                             ready=lambda: True,
                             server=mock.Mock(connections=[1]),
-                            reader=Reader(),
+                            reader=RequestReader(),
                             controller_session=mock.Mock(slot=3, link=None),
                         )
                     )
@@ -191,21 +191,21 @@
             ("slot", (), 3),
             ("answers_total", ("5xx",), 2),
         ):
-            self.assertEqual(told[f"crowseam_{name}", *labels], value, (name, labels))
+            self.assertEqual(exported[f"crowseam_{name}", *labels], value, (name, labels))
 
-    def test_a_controller_tells_its_own(self):
+    def test_metrics_of_a_controller(self):
         system = test_controller.System(1)
         with simulated_environment(system.world, lambda event, **fields: None):
             system.world.run(3.0)
             controller = system.controllers["r1"]
             system.world.enter(system.processes["r1"])
             controller.api.counts["status"] = 2
-            told = samples(exposition.render(families.of_controller(controller.api, controller.now())))
-        self.assertEqual(told["crowseam_calls_total", "status"], 2)
+            exported = samples(exposition.render(families.of_controller(controller.api, controller.now())))
+        self.assertEqual(exported["crowseam_calls_total", "status"], 2)
         for name, value in (("in_touch", 1), ("voters", 3), ("voter", 1), ("gateways", 1)):
-            self.assertEqual(told[f"crowseam_{name}",], value, name)
+            self.assertEqual(exported[f"crowseam_{name}",], value, name)
 
-    def test_neither_library_is_loaded_before_it_is_needed(self):
+    def test_libraries_are_loaded_only_when_needed(self):
         done = subprocess.run([sys.executable, "-c", START], capture_output=True, text=True, timeout=60)
         self.assertEqual(done.returncode, 0, done.stderr)
         *found, answer = json.loads(done.stdout)
@@ -219,15 +219,15 @@
     def text(self, spans, refused=0):
         made = recorder(loans := route(target=0.2))
         for span in spans:
-            made.ended(loans, "a", 200, "", span)
+            made.record(loans, "a", 200, "", span)
         for _ in range(refused):
-            made.ended(loans, "", 429, "quota", 0.0)
+            made.record(loans, "", 429, "quota", 0.0)
         return exposition.render(families.of_recorder(made))
 
-    def test_what_two_gateways_tell_is_what_one_with_all_requests_would(self):
+    def test_merged_metrics_of_two_gateways_equal_those_of_one_with_all_requests(self):
         rng = Random(2)
         fast, slow = [rng.uniform(0.01, 0.1) for _ in range(900)], [rng.uniform(0.3, 0.8) for _ in range(100)]
-        merged, alone = Merged(MAKE), Merged(MAKE)
+        merged, alone = Merged(SKETCH_TYPE), Merged(SKETCH_TYPE)
         for text in (self.text(fast, refused=4), self.text(slow, refused=6)):
             merged.add(text.decode())
         alone.add(self.text(fast + slow, refused=10).decode())
@@ -237,7 +237,7 @@
         for name, place, near in (("p50", 500, 0.3), ("p99", 990, 0.3), ("worst", 999, 0.011)):
             self.assertAlmostEqual(row[name] / sorted(fast + slow)[place], 1.0, delta=near)
 
-    def test_the_command(self):
+    def test_the_metrics_command(self):
         answers = {"a:1": self.text([0.05]), "b:1": self.text([0.3]), "d:1": b"<html> {"}
 
         def send(address, method, path, body, timeout):
@@ -245,7 +245,7 @@
                 raise control_client.NoAnswerError("silence")
             return control_client.Answer(200, "", answers[address])
 
-        def said(*argv):
+        def run_command(*argv):
             out, err = io.StringIO(), io.StringIO()
             with (
                 mock.patch.object(control_client, "send", send),
@@ -254,11 +254,11 @@
             ):
                 return run(["metrics", *argv]), out.getvalue(), err.getvalue()
 
-        code, out, _ = said("--at=a:1,b:1,a:1,c:1,d:1", "--json")
-        told = json.loads(out)
-        self.assertEqual((code, sorted(told["missed"])), (0, ["c:1", "d:1"]))
-        self.assertEqual(told["routes"][0]["requests"], 2)  # a:1, named twice, is counted once
-        self.assertEqual(said("--at=a:1")[1].splitlines()[1].split()[:3], ["loans", "a", "1"])
-        self.assertEqual(said("--at=c:1"), (1, "", "c:1: silence\n"))
-        code, out, err = said("--at=nowhere")
+        code, out, _ = run_command("--at=a:1,b:1,a:1,c:1,d:1", "--json")
+        report = json.loads(out)
+        self.assertEqual((code, sorted(report["missed"])), (0, ["c:1", "d:1"]))
+        self.assertEqual(report["routes"][0]["requests"], 2)  # a:1, given twice, is counted once
+        self.assertEqual(run_command("--at=a:1")[1].splitlines()[1].split()[:3], ["loans", "a", "1"])
+        self.assertEqual(run_command("--at=c:1"), (1, "", "c:1: silence\n"))
+        code, out, err = run_command("--at=nowhere")
         self.assertEqual((code, out, err.count("\n")), (2, "", 1))
