--- a/tests/crowseam/test_operations.py
+++ b/tests/crowseam/test_operations.py
@@ -1,4 +1,4 @@
-"""Keyed operations: what one voter, one coordinator, one newcomer and one gateway decide."""
+"""Keyed operations: the decisions of a voter, a coordinator, a newcomer and a gateway."""
 
 import socket
 import unittest
@@ -20,7 +20,6 @@
     ClaimName,
     ClaimOutcome,
     ClaimVote,
-    KeptAnswer,
     LearnOperations,
     OperationClaim,
     OperationEnd,
@@ -30,6 +29,7 @@
     RecordClaim,
     RecordEnd,
     RecordWithdrawal,
+    StoredAnswer,
     Verdict,
 )
 from crowseam.operations.records import Retention
@@ -40,7 +40,7 @@
 
 WINDOW_S = 60.0
 KEY = b"k" * 16
-ANSWER = KeptAnswer(200, [(b"x-server-seal", b"s-1")], b"done")
+ANSWER = StoredAnswer(200, [(b"x-server-seal", b"s-1")], b"done")
 VOTERS = {f"c{number}": f"id-{number}" for number in range(5)}
 
 
@@ -59,7 +59,7 @@
         return replica
 
     def carry_out(self, effects):
-        """What goes out once all is on disk."""
+        """Carry out effects with successful writes; return the messages sent."""
         sent = []
         for effect in effects:
             if isinstance(effect, Persist):
@@ -88,25 +88,26 @@
         (effect,) = self.replica.on_claim("c0", RecordClaim(9, 1, claim()), 0.0)
         self.assertIsInstance(effect, Persist)
         self.assertEqual([each.message.verdict for each in effect.then], [Verdict.ACCEPTED])
-        self.assertEqual(self.vote(claim()).verdict, Verdict.ACCEPTED)  # asked again, as links lose messages
+        self.assertEqual(self.vote(claim()).verdict, Verdict.ACCEPTED)  # a retransmission
         rival = self.vote(claim(1, "other"))
         self.assertEqual((rival.verdict, rival.rival), (Verdict.RIVAL_AT_WORK, claim().name))
 
-    def test_a_repeat_gets_the_answer_and_another_request_does_not(self):
+    def test_a_retry_gets_the_answer_and_another_request_does_not(self):
         self.vote(claim())
         self.assertEqual(self.end(claim()), [RecordAck(9, "id-1")])
         vote = self.vote(claim(2))
         self.assertEqual((vote.verdict, vote.answer), (Verdict.ANSWERED, ANSWER))
         self.assertEqual(self.vote(claim(3, fingerprint=b"g")).verdict, Verdict.OTHER_REQUEST)
-        self.assertEqual(self.vote(claim(4, fingerprint=b"")).verdict, Verdict.ANSWERED)  # not known: not compared
+        # An unknown fingerprint is not compared.
+        self.assertEqual(self.vote(claim(4, fingerprint=b"")).verdict, Verdict.ANSWERED)
 
-    def test_a_run_without_a_known_answer_is_at_work_until_it_must_have_ended(self):
+    def test_a_run_without_an_answer_counts_as_in_progress_until_it_must_have_ended(self):
         self.vote(claim())
         self.assertEqual(self.vote(claim(2), 2.9).verdict, Verdict.RIVAL_AT_WORK)
         self.assertEqual(self.vote(claim(2), 3.1).verdict, Verdict.RIVAL_UNKNOWN)
         self.end(claim(), None, 3.2)
         self.assertEqual(self.vote(claim(2), 3.3).verdict, Verdict.RIVAL_UNKNOWN)
-        self.end(claim(), ANSWER, 3.4)  # late, but true
+        self.end(claim(), ANSWER, 3.4)  # a late answer still counts
         self.assertEqual(self.vote(claim(2), 3.5).answer, ANSWER)
 
     def test_a_withdrawal_frees_its_own_claim_and_nothing_that_has_ended(self):
@@ -115,7 +116,7 @@
         self.assertEqual(self.vote(claim(2, "other")).verdict, Verdict.RIVAL_AT_WORK)
         self.assertEqual(self.withdraw(claim()), [RecordAck(9, "id-1")])
         self.assertEqual(self.rows, {})
-        self.assertEqual(self.vote(claim()).verdict, Verdict.WITHDRAWN)  # a late copy of it
+        self.assertEqual(self.vote(claim()).verdict, Verdict.WITHDRAWN)  # a delayed duplicate of the claim
         self.vote(claim(3))
         self.end(claim(3))
         self.assertEqual(self.withdraw(claim(3)), [])
@@ -133,13 +134,13 @@
         self.assertEqual((row.key in self.rows, row.value), (True, None))
         self.assertEqual(self.vote(claim(2), 1000.0 + 2.0 * WINDOW_S).verdict, Verdict.ACCEPTED)
 
-    def test_one_that_has_to_learn_or_knows_of_other_voters_accepts_nothing(self):
+    def test_a_voter_that_has_to_catch_up_or_knows_newer_voters_accepts_nothing(self):
         self.replica.voters_slot = 5
         self.assertEqual(self.vote(claim(), log_slot=4).verdict, Verdict.OUTDATED)
         self.replica.is_ready = False
         self.assertEqual(self.vote(claim(), log_slot=5).verdict, Verdict.NOT_READY)
 
-    def test_without_space_new_keys_are_refused_and_old_ones_are_answered(self):
+    def test_without_space_new_keys_are_refused_and_known_ones_answered(self):
         self.replica = self.voter(max_bytes=3000)
         self.vote(claim())
         self.end(claim())
@@ -151,13 +152,13 @@
         self.withdraw(claim(3, key=b"3" * 16))
         self.assertEqual(self.vote(claim(6, key=b"4" * 16)).verdict, Verdict.ACCEPTED)
 
-    def test_an_answer_too_large_to_keep_is_kept_as_not_known(self):
+    def test_an_answer_too_large_to_store_counts_as_unknown(self):
         self.vote(claim())
-        self.end(claim(), KeptAnswer(200, [], bytes(MAX_ANSWER_BYTES + 1)))
+        self.end(claim(), StoredAnswer(200, [], bytes(MAX_ANSWER_BYTES + 1)))
         self.assertEqual(self.vote(claim(2)).verdict, Verdict.RIVAL_UNKNOWN)
 
-    def test_claims_that_contradict_are_learned_side_by_side(self):
-        # Of two claims that met each voter has one; who learns of both must not be free once one is withdrawn.
+    def test_conflicting_claims_of_a_key_are_all_kept_in_a_catch_up(self):
+        # A voter that got both of two concurrent claims must keep the key reserved when one of them is withdrawn.
         other = self.voter()
         other.on_claim("c0", RecordClaim(1, 1, claim(1, "other")), 0.0)
         self.vote(claim())
@@ -185,7 +186,7 @@
         return [each.message for each in effects if isinstance(each, Reply)]
 
     def outcome(self, *votes):
-        """What a gateway is told after these votes, one of each voter in turn."""
+        """Return the outcome for the gateway after these votes, one per voter."""
         self.setUp()
         self.begin()
         told = []
@@ -199,21 +200,21 @@
         self.assertIsNone(self.outcome(accepted, accepted))
         self.assertEqual(self.outcome(accepted, accepted, accepted), ClaimOutcome.GRANTED)
 
-    def test_votes_count_for_the_disk_that_gave_them(self):
+    def test_votes_under_an_id_that_is_no_voter_do_not_count(self):
         self.begin()
         for addr in ("c0", "c1"):
             self.vote(addr, Verdict.ACCEPTED)
         self.assertEqual(self.vote("c2", Verdict.ACCEPTED, voter_id="id of a lost disk"), [])
         self.assertEqual(len(self.decisions(self.vote("c3", Verdict.ACCEPTED))), 1)
 
-    def test_what_stands_against_a_claim(self):
+    def test_outcomes_of_refused_claims(self):
         accepted, rival = (Verdict.ACCEPTED,), claim(1, "other").name
         at_work, unknown = (Verdict.RIVAL_AT_WORK, rival), (Verdict.RIVAL_UNKNOWN, rival)
         self.assertEqual(self.outcome(at_work, at_work, at_work), ClaimOutcome.AT_WORK)
         self.assertEqual(self.outcome(unknown, unknown, unknown), ClaimOutcome.UNKNOWN)
         self.assertEqual(self.outcome((Verdict.ANSWERED, rival, ANSWER)), ClaimOutcome.ANSWERED)
         self.assertEqual(self.outcome((Verdict.OTHER_REQUEST, rival)), ClaimOutcome.OTHER_REQUEST)
-        # A rival that only a minority has was never granted, and the claim goes before it.
+        # A rival claim that only a minority has stored cannot have been granted.
         self.assertEqual(self.outcome(at_work, at_work, accepted, accepted, accepted), ClaimOutcome.GRANTED)
         third = (Verdict.RIVAL_AT_WORK, claim(1, "third").name)
         self.assertEqual(self.outcome(at_work, third, accepted, accepted, at_work), ClaimOutcome.CONTENDED)
@@ -221,7 +222,7 @@
         self.assertEqual(self.outcome(full, full, full), ClaimOutcome.FULL)
         self.assertEqual(self.outcome(blank, blank, blank), ClaimOutcome.NO_QUORUM)
 
-    def test_what_was_not_granted_is_withdrawn_at_all_voters(self):
+    def test_a_claim_that_is_not_granted_is_withdrawn_at_all_voters(self):
         self.begin()
         for addr in ("c0", "c1"):
             self.vote(addr, Verdict.ACCEPTED)
@@ -231,7 +232,7 @@
         self.assertEqual(withdrawn, set(VOTERS))
         self.assertEqual(self.vote("c2", Verdict.ACCEPTED), [])  # too late
 
-    def test_without_a_majority_in_touch_nothing_is_asked(self):
+    def test_without_a_reachable_majority_no_request_is_sent(self):
         (reply,) = self.begin(reachable={"c0", "c1"})
         self.assertEqual(reply.message.outcome, ClaimOutcome.NO_QUORUM)
 
@@ -241,7 +242,7 @@
         number = effects[0].message.round_number
         for addr in ("c0", "c1"):
             self.assertEqual(self.coordinator.on_ack(addr, RecordAck(number, VOTERS[addr])), [])
-        self.assertEqual(self.coordinator.on_end("g", end, 0.1), [])  # its gateway asks again
+        self.assertEqual(self.coordinator.on_end("g", end, 0.1), [])  # a retransmission by the gateway
         self.assertEqual(len(self.coordinator), 1)
         self.assertEqual({each.addr for each in self.coordinator.tick(0.3)}, {"c2", "c3", "c4"})
         (reply,) = self.coordinator.on_ack("c2", RecordAck(number, VOTERS["c2"]))
@@ -256,7 +257,7 @@
         replica.is_ready = True
         for number in range(keys):
             what = claim(number, key=b"%016d" % number)
-            replica.on_end("c0", RecordEnd(1, OperationEnd(what, KeptAnswer(200, [], bytes(2000)))), 0.0)
+            replica.on_end("c0", RecordEnd(1, OperationEnd(what, StoredAnswer(200, [], bytes(2000)))), 0.0)
         return replica
 
     def newcomer(self):
@@ -266,7 +267,7 @@
         return newcomer
 
     def teach(self, newcomer, own, teacher, replica):
-        """All parts of one voter."""
+        """Transfer all parts from one voter."""
         source = OperationCatchUp(VOTERS[teacher], True, 100.0)
         (request,) = [each.request for each in newcomer.tick(0.2, 5, 5) if each.addr == teacher]
         while request is not None:
@@ -279,7 +280,7 @@
     def test_it_votes_once_a_majority_has_taught_it_and_that_is_on_disk(self):
         newcomer, own, replica = self.newcomer(), self.replica(0), self.replica(100)
         for teacher, is_enough in (("c0", False), ("c1", False), ("c2", True)):
-            newcomer._requested_at = -1e9  # as if its requests were due again
+            newcomer._requested_at = -1e9  # makes its requests due again
             part, is_complete = self.teach(newcomer, own, teacher, replica)
             self.assertEqual(is_complete, is_enough)
         self.assertFalse(newcomer.counts)
@@ -287,8 +288,8 @@
         self.assertTrue(newcomer.counts)
         self.assertEqual(len(own), 100)
 
-    def test_what_could_not_be_written_is_asked_for_again(self):
-        # A schedule of the check: a disk that refused left a newcomer without anybody to ask.
+    def test_records_that_could_not_be_written_are_requested_again(self):
+        # Regression: after a failed write, a newcomer had nobody left to ask.
         newcomer, own, replica = self.newcomer(), self.replica(0), self.replica(3)
         for teacher in ("c0", "c1", "c2"):
             newcomer._requested_at = -1e9
@@ -296,7 +297,7 @@
         newcomer.reply_not_saved(part.number)
         self.assertLessEqual({"c0", "c1", "c2", "c3"}, {each.addr for each in newcomer.tick(0.5, 5, 5)})
 
-    def test_a_majority_of_those_in_force_may_teach_where_those_before_have_lost_their_disks(self):
+    def test_a_majority_of_the_current_voters_suffices_if_previous_ones_lost_their_disks(self):
         newcomer, own, replica = self.newcomer(), self.replica(0), self.replica(3)
         newcomer.set_voters({**VOTERS, "c4": "new", "c0": "id-0b", "c1": "id-1b"}, 0.3)
         self.assertTrue(newcomer.is_catching_up)
@@ -307,8 +308,8 @@
                 newcomer._requested_at = -1e9
                 self.assertEqual(self.teach(newcomer, own, teacher, replica)[1], is_enough)
 
-    def test_one_that_knew_only_voters_of_long_before_learns_of_those_in_force(self):
-        # Seed 37 of a mutant of the check: changes had passed it by, and most of those before had lost their disks.
+    def test_a_newcomer_that_knew_only_outdated_voters_catches_up_from_the_current_ones(self):
+        # The newcomer missed changes of voters, and most of the voters that it knew have lost their disks since.
         newcomer, own, replica = OperationCatchUp("new", False, 100.0), self.replica(0), self.replica(3)
         newcomer.set_voters({addr: f"lost {addr}" for addr in VOTERS} | {"c0": "id-0"}, 0.0)
         newcomer.set_voters({**VOTERS, "c4": "new"}, 0.1)
@@ -327,7 +328,7 @@
 
 
 class Gateway(unittest.TestCase):
-    """The claims of a gateway, with the controller played by the test."""
+    """The claims of a gateway; the test plays the controller."""
 
     def setUp(self):
         system = test_controller.System(1)
@@ -354,7 +355,7 @@
     def outcomes(self):
         return [outcome for outcome, _ in self.told]
 
-    def test_a_grant_that_comes_after_the_refusal_is_not_used(self):
+    def test_a_grant_that_arrives_after_the_timeout_is_ignored(self):
         claimed = self.claim()
         self.wait(CLAIM_TIMEOUT_S)
         self.assertEqual(self.outcomes(), [ClaimOutcome.NO_QUORUM])
@@ -363,7 +364,7 @@
         self.assertEqual(len(self.told), 1)
 
     def test_a_claim_is_put_to_one_controller_only(self):
-        # The one that decided may withdraw it while another one would grant it.
+        # One controller could withdraw the claim while another one grants it.
         first = self.claim()
         self.keyed.on_connected()
         withdrawal, second = self.sent[-2:]
@@ -376,7 +377,7 @@
             [(outcome, granted.claim.name) for outcome, granted in self.told], [(ClaimOutcome.GRANTED, second.name)]
         )
 
-    def test_tries_that_met_are_claimed_anew_under_another_name(self):
+    def test_a_contended_claim_is_repeated_under_another_name(self):
         first = self.claim()
         self.keyed.on_decision(ClaimDecision(first.name.number, ClaimOutcome.CONTENDED))
         self.wait(0.05)
@@ -384,7 +385,7 @@
         self.keyed.on_decision(ClaimDecision(self.sent[-1].name.number, ClaimOutcome.AT_WORK))
         self.assertEqual(self.outcomes(), [ClaimOutcome.AT_WORK])
 
-    def test_an_end_is_sent_until_it_is_settled_and_its_answer_waits_a_moment_only(self):
+    def test_an_end_is_resent_until_settled_and_delays_the_answer_only_briefly(self):
         end = self.claims.end(OperationEnd(claim(5), ANSWER), self.world.now)
         answered = []
         self.keyed.settle(end, 5, lambda: answered.append(self.world.now))
@@ -398,13 +399,13 @@
         self.keyed.on_settled(OperationSettled(5))
         self.assertEqual((self.claims.unsettled, len(answered)), (0, 1))
 
-    def test_what_is_never_settled_is_given_up_and_its_key_stays_taken(self):
+    def test_an_end_that_is_never_settled_is_dropped_after_a_timeout(self):
         self.claims.end(OperationEnd(claim(5), ANSWER), 0.0)
         self.assertEqual(self.claims.tick(GIVE_UP_AFTER_S), [])
         self.assertEqual(self.claims.unsettled, 0)
 
-    def test_with_too_much_unsettled_nothing_is_claimed(self):
-        large = KeptAnswer(200, [], bytes(64 * 1024))
+    def test_with_too_many_unsettled_bytes_no_claim_is_made(self):
+        large = StoredAnswer(200, [], bytes(64 * 1024))
         for number in range(16):
             self.claims.end(OperationEnd(claim(number), large), 0.0)
         self.keyed.claim(Operation(KEY, b"f"), 2.0, 0.8, lambda outcome, *_: self.told.append((outcome, None)))
@@ -413,11 +414,11 @@
 
 
 class LateSends(test_gateway.Case):
-    """What was granted is not sent once its time is over."""
+    """A granted request is not sent after its time limit."""
 
     def setUp(self):
         super().setUp()
-        self.gateway.__class__ = RealGateway  # which the table of guards replaces
+        self.gateway.__class__ = RealGateway  # test_check_by_hand replaces this class
         self.sent = []
         claims = OperationClaims("g", 7)
         self.keyed = KeyedRequests(self.process.loop, Random(1), claims, self.sent.append)
@@ -426,7 +427,9 @@
     def ask_keyed(self):
         route = msgspec.structs.replace(test_gateway.ROUTES["once"], keyed=True)
         client = mock.Mock()
-        client.answered.side_effect = lambda status, *_: self.answers.append((self.world.now, "answered", (status,)))
+        client.send_answer.side_effect = lambda status, *_: self.answers.append(
+            (self.world.now, "send_answer", (status,))
+        )
         asked = mock.Mock(txn=b"t", route=route, tenant="", upload=None, operation=Operation(KEY, b"f"))
         asked.time_left = 2.0
         self.begun = self.world.now
@@ -436,7 +439,7 @@
     def grant(self, claimed):
         self.keyed.on_decision(ClaimDecision(claimed.name.number, ClaimOutcome.GRANTED))
 
-    def test_nothing_is_sent_before_the_grant_and_then_with_its_time(self):
+    def test_a_request_is_sent_only_after_the_grant_and_with_its_time_limit(self):
         claimed = self.ask_keyed()
         self.assertEqual(self.exchanges, [])
         self.grant(claimed)
@@ -450,7 +453,7 @@
         self.assertEqual(self.exchanges, [])
         self.assertEqual(self.sent[-1], OperationWithdrawal(claimed.name, KEY))
 
-    def test_a_connection_that_comes_up_after_its_time_sends_nothing(self):
+    def test_a_connection_established_after_the_time_limit_sends_nothing(self):
         ends = []
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
--- a/tests/crowseam/test_quotas.py
+++ b/tests/crowseam/test_quotas.py
@@ -1,4 +1,4 @@
-"""The model check of lending: what is there keeps its rules, and planted faults are found."""
+"""The model check of quota leases: the code keeps its invariants, and mutants are detected."""
 
 import unittest
 from contextlib import redirect_stderr, redirect_stdout
@@ -35,7 +35,7 @@
         self.assertEqual((one.events, one.peaks), (other.events, other.peaks))
 
     def test_planted_faults_are_found(self):
-        words = {
+        expected_texts = {
             "a lowering": "sum to",
             "one holder": "hold the duty",
             "margin": "hold the duty",
@@ -43,36 +43,42 @@
             "the extra": "the rule allows",
             "the reserve": "the rule allows",
         }
-        found = model_check.known("quotas")
-        self.assertGreaterEqual(len(found), 12)
-        for mutant, violations in found:
+        mutants = model_check.known("quotas")
+        self.assertGreaterEqual(len(mutants), 12)
+        for mutant, violations in mutants:
             with self.subTest(without=mutant.guard):
-                (told,) = violations or [""]
-                self.assertIn(f"seed {mutant.seed} ", told)
-                # Of what concerns borrowers the sum of the shares tells.
-                self.assertIn(next((words[each] for each in words if each in mutant.guard), "sum to"), told)
+                (violation,) = violations or [""]
+                self.assertIn(f"seed {mutant.seed} ", violation)
+                # Mutants that concern borrowers are detected by the sum of the shares.
+                self.assertIn(
+                    next((expected_texts[each] for each in expected_texts if each in mutant.guard), "sum to"), violation
+                )
 
 
 class CommandTest(unittest.TestCase):
     def test_the_part_is_chosen_by_name(self):
-        for part, code, word in (("quotas", 0, "of the allowed"), ("both", 0, "taken"), ("x", 2, "none of")):
-            told = StringIO()
-            with redirect_stdout(told), redirect_stderr(told):
-                done = dispatch.run(["model-check", f"--part={part}", "--seeds=1", "--steps=3"])
-            self.assertEqual(done, code)
-            self.assertIn(word, told.getvalue())
+        for part, expected_code, expected_text in (
+            ("quotas", 0, "of the allowed"),
+            ("both", 0, "taken"),
+            ("x", 2, "none of"),
+        ):
+            output = StringIO()
+            with redirect_stdout(output), redirect_stderr(output):
+                exit_code = dispatch.run(["model-check", f"--part={part}", "--seeds=1", "--steps=3"])
+            self.assertEqual(exit_code, expected_code)
+            self.assertIn(expected_text, output.getvalue())
 
 
 class DrawnTest(unittest.TestCase):
-    """Timelines of the check's own world."""
+    """Timelines on the simulated system of the model check."""
 
     def world(self, parts: Parts) -> World:
         tenants = {name: TenantTerms(20.0, 20.0) for name in ("small", "large", "modest")}
         return World(1, 3, 3, tenants, parts, QuotaReport(), drift=0.0)
 
-    def play_uneven_clocks(self, margin: float, cut_at: float) -> None:
-        """d0 is slow by 1%, all else fast by 1%; d0 is cut off and its slice given on as its time is over."""
-        world = self.world(Parts(terms=GrantorTerms(reserve_fraction=0.35, min_idle_rate=0.05, margin_s=margin)))
+    def play_uneven_clocks(self, margin_s: float, cut_at: float) -> None:
+        """d0's clock is 1% slow, all others are 1% fast; d0 is partitioned until its share has been reassigned."""
+        world = self.world(Parts(terms=GrantorTerms(reserve_fraction=0.35, min_idle_rate=0.05, margin_s=margin_s)))
         for name, clock in world.clocks.items():
             clock.speed = 0.99 if name == "d0" else 1.01
         for name in ("d0", "d1", "d2"):
@@ -83,31 +89,31 @@
         world.run_until(cut_at + 10.0)
 
     def test_clocks_that_differ_by_two_percent_need_the_margin(self):
-        times = [7.5 + step * 0.06 for step in range(20)]  # the grantor looks each quarter of a second
-        for at in times:
-            self.play_uneven_clocks(0.4, at)
+        times = [7.5 + step * 0.06 for step in range(20)]  # the grantor sweeps expired leases every 0.25 s
+        for cut_at in times:
+            self.play_uneven_clocks(0.4, cut_at)
         with self.assertRaisesRegex(Violation, "sum to"):
-            for at in times:
-                self.play_uneven_clocks(0.0, at)
+            for cut_at in times:
+                self.play_uneven_clocks(0.0, cut_at)
 
     def play_lost_together(self, parts: Parts) -> None:
-        """A gateway has borrowed unknown to the controller that takes the duty, as its grantor and it are lost.
+        """A grantor fails together with a gateway whose lease is unknown to the next grantor.
 
-        t (s)  d0                          the holder  its successor     the controller of d0
-        3      ends                        lends       cut from the one that d0 will come to
-        16     comes back there, borrows   lends                         passes it on
-        22     cut off with its lease      ends        takes the duty
+        t (s)  d0                             holder       successor              relay (controller of d0)
+        3      ends                           grants       partitioned from the relay
+        16     returns there, gets a lease    grants                              relays the messages
+        22     partitioned, keeps its lease   fails        acquires the role
         """
         tenants = {name: TenantTerms(20.0, 20.0) for name in ("small", "large", "modest")}
         world = World(1, 3, 5, tenants, parts, QuotaReport(), drift=0.0)
         world.run_until(3.0)
         holder = next(name for name, grantor in world.grantors.items() if grantor.lender is not None)
         successor = preferred_holder(KEY, set(world.names) - {holder})
-        at = next(name for name in world.names if name not in (holder, successor))
+        relay = next(name for name in world.names if name not in (holder, successor))
         world.sites.pop("d0")
-        world.part(at, successor, 60.0)
+        world.part(relay, successor, 60.0)
         for name in world.names:
-            if name != at:
+            if name != relay:
                 world.part("d0", name, 60.0)
         world.run_until(16.0)
         for name in world.gateways:
@@ -116,7 +122,7 @@
         world.run_until(22.0)
         self.assertGreater(world.sites["d0"].holdings.share("large", world.sites["d0"].clock()), 0.3)
         del world.grantors[holder]
-        world.part("d0", at, 60.0)
+        world.part("d0", relay, 60.0)
         for name in world.gateways:
             world.demand[name, "large"] = 60.0
         world.run_until(24.5)
@@ -129,18 +135,20 @@
             self.play_lost_together(Parts(role_leases=BorrowersUnnamed))
 
     def play_late_lease(self, parts: Parts) -> int:
-        """A lease of the grantor before arrives after the gateway has met the one that came next."""
+        """A lease of the previous grantor arrives after the gateway has heard from its successor."""
         world = self.world(parts)
         world.run_until(3.0)
-        site = world.sites["d0"]
-        lender = next(grantor.lender for grantor in world.grantors.values() if grantor.lender is not None)
-        late = lender.report("d0", {"large": 1.0}, site.holdings.report(site.clock()), lender._next_sweep_at)
-        holder = next(grantor for grantor in world.grantors.values() if grantor.lender is lender)
+        gateway = world.sites["d0"]
+        old_grantor = next(grantor.lender for grantor in world.grantors.values() if grantor.lender is not None)
+        late_lease = old_grantor.report(
+            "d0", {"large": 1.0}, gateway.holdings.report(gateway.clock()), old_grantor._next_sweep_at
+        )
+        holder = next(grantor for grantor in world.grantors.values() if grantor.lender is old_grantor)
         del world.grantors[holder.name]
         world.run_until(7.0)
-        self.assertGreater(site.fence, late.fencing_token)
-        site.slice(late)
-        return site.holdings.fencing_token
+        self.assertGreater(gateway.fence, late_lease.fencing_token)
+        gateway.slice(late_lease)
+        return gateway.holdings.fencing_token
 
     def test_a_late_lease_is_refused(self):
         self.assertGreater(self.play_late_lease(Parts()), 0)
--- a/tests/crowseam/test_retirement.py
+++ b/tests/crowseam/test_retirement.py
@@ -1,13 +1,15 @@
-"""Servers that an operator retires, and all ingresses leaving them together.
-
-Timelines have a column for what befalls the system (``cut NAME``, ``heal``, ``kill NAME``, ``start NAME``,
-``disk NAME S``: it hangs for so long, ``behind ID NAME ...``: these controllers missed what was said of the
-server), one for each controller and one for each ingress, ``a`` and ``b``. Controllers' cells hold calls:
-``heartbeat ID SEQ [SVC ADDR]``, ``delete ID``, ``retire ID|FIELD=VALUE [force]``, ``undo ID|FIELD=VALUE``,
-``look [ID]``; what the newest call has by now, ``?STATUS`` or ``?none``; and what a look has shown: ``?safe
-ID``, ``?busy ID INGRESS=COUNT ...``, ``?late INGRESS ...`` (not confirmed), ``?away INGRESS ...``, ``?is ID
-STATE``; and ``?knows ID``: it has heard that the server is retired. Ingresses' cells: ``busy ID COUNT``
-(requests under way there) and ``?use ID ...`` (all that get new ones).
+"""Servers that an operator retires: all gateways stop using them together.
+
+Timelines have a column for external events (``cut NAME``, ``heal``, ``kill NAME``, ``start NAME``, ``disk NAME S``:
+its disk hangs for S seconds, ``behind ID NAME ...``: these controllers forget the retirement of the server), one for
+each controller and one for each of the gateways ``a`` and ``b``.
+
+Cells of controllers hold calls: ``heartbeat ID SEQ [SVC ADDR]``, ``delete ID``, ``retire ID|FIELD=VALUE [force]``,
+``undo ID|FIELD=VALUE``, ``look [ID]`` (queries the status); the expected answer to the newest call: ``?STATUS`` or
+``?none``; the expected content of a status: ``?safe ID``, ``?busy ID GATEWAY=COUNT ...`` (requests in flight),
+``?late GATEWAY ...`` (not confirmed), ``?away GATEWAY ...``, ``?is ID STATE``; and ``?knows ID``: the controller
+knows that the server is retired. Cells of gateways hold ``busy ID COUNT`` (sets the requests in flight there) and
+``?use ID ...`` (all servers that get new requests).
 """
 
 import contextlib
@@ -44,46 +46,52 @@
 
 
 class System(test_controller.System):
-    """Three controllers and two ingresses that take in what they are told and count what they are told to."""
+    """Three controllers and two gateways that record the server updates they receive."""
 
     def __init__(self, seed):
         super().__init__(seed)
-        self.used, self.busy, self.controller_sessions, self.told, self.seqs = {}, {}, {}, {"a": [], "b": []}, {}
+        self.servers_seen, self.in_flight, self.sessions, self.updates_seen, self.seqs = (
+            {},
+            {},
+            {},
+            {"a": [], "b": []},
+            {},
+        )
         for name in ("a", "b"):
-            self.ingress(name)
+            self.start_gateway(name)
 
-    def ingress(self, name):
-        life = self.lives[name] = self.lives.get(name, 0) + 1
-        process = self.processes[name] = self.network.process(f"{name}/{life}", IPS[name], COST)
-        servers = self.used[name] = {}
-        self.busy[name] = {}
+    def start_gateway(self, name):
+        incarnation = self.lives[name] = self.lives.get(name, 0) + 1
+        process = self.processes[name] = self.network.process(f"{name}/{incarnation}", IPS[name], COST)
+        servers = self.servers_seen[name] = {}
+        self.in_flight[name] = {}
 
-        def on_servers(records, whole):
-            if whole:
+        def on_servers(records, is_complete):
+            if is_complete:
                 servers.clear()
             servers.update((record.id, record) for record in records)
-            self.told[name].append((self.world.now, {r.id for r in servers.values() if r.usable}))
+            self.updates_seen[name].append((self.world.now, {r.id for r in servers.values() if r.usable}))
 
         settings = msgspec.structs.replace(self.settings("gateway", False), hostname=name, ip=IPS[name])
-        self.controller_sessions[name] = ControllerSession(
+        self.sessions[name] = ControllerSession(
             process.loop,
             settings,
-            random.Random(life),
+            random.Random(incarnation),
             lambda table: None,
             on_servers,
             lambda ids: None,
             dict,
-            lambda: dict(self.busy[name]),
+            lambda: dict(self.in_flight[name]),
         )
-        process.loop.call_soon(self.controller_sessions[name].start)
+        process.loop.call_soon(self.sessions[name].start)
 
     def start(self, *names):
-        first = names[1:] == (True,)  # as the constructor calls it
-        for name in names[:1] if first else names:
+        is_first_start = names[1:] == (True,)  # as the constructor calls it
+        for name in names[:1] if is_first_start else names:
             if name in ("a", "b"):
-                self.ingress(name)
+                self.start_gateway(name)
             else:
-                super().start(name, first)
+                super().start(name, is_first_start)
 
     def kill(self, *names):
         for name in names:
@@ -98,8 +106,8 @@
 
     def behind(self, ident, *names):
         for name in names:
-            held = self.controllers[name].registry._entries[ident]
-            held.record = msgspec.structs.replace(held.record, retired=0)
+            entry = self.controllers[name].registry._entries[ident]
+            entry.record = msgspec.structs.replace(entry.record, retired=0)
 
 
 class Case(unittest.TestCase):
@@ -118,24 +126,24 @@
         self.assertEqual(system.world.failures, [])
         return system
 
-    def step(self, system, name, verb, *args):
+    def step(self, system, name, action, *args):
         if name == "events":
-            getattr(system, verb)(*args)
+            getattr(system, action)(*args)
         elif name in ("a", "b"):
-            if verb == "busy":
-                system.busy[name] = {args[0]: int(args[1])} if int(args[1]) else {}
+            if action == "busy":
+                system.in_flight[name] = {args[0]: int(args[1])} if int(args[1]) else {}
             else:
-                used = sorted(r.id for r in system.used[name].values() if r.usable)
-                self.assertEqual(used, list(args))
-        elif verb == "?knows":
+                usable = sorted(r.id for r in system.servers_seen[name].values() if r.usable)
+                self.assertEqual(usable, list(args))
+        elif action == "?knows":
             self.assertEqual(system.controllers[name].registry._entries[args[0]].record.retired, 1)
-        elif verb.startswith("?"):
-            self.shown(system.answers[name], verb[1:], args)
+        elif action.startswith("?"):
+            self.check_answer(system.answers[name], action[1:], args)
         else:
-            self.call(system, name, verb, args)
+            self.call(system, name, action, args)
 
-    def call(self, system, name, verb, args):
-        if verb == "heartbeat":
+    def call(self, system, name, action, args):
+        if action == "heartbeat":
             ident, seq, svc, addr = (*args, "s", f"10.9.0.{args[0][1:]}:80")[:4] if len(args) == 2 else args
             body = {
                 "addr": addr,
@@ -143,37 +151,37 @@
                 "stat": {"phase": "up", "seq": int(seq), "warmup_time": "0ms"},
             }
             system.call(name, "PUT", f"/-/backends/{ident}", json.dumps(body).encode())
-        elif verb == "delete":
+        elif action == "delete":
             system.call(name, "DELETE", f"/-/backends/{args[0]}")
-        elif verb == "look":
+        elif action == "look":
             system.call(name, "GET", "/-/retiring" + "".join(f"/{ident}" for ident in args))
         else:
             body = dict(arg.split("=") if "=" in arg else ("id", arg) for arg in args if arg != "force")
-            body |= {"undo": verb == "undo", "force": "force" in args}
+            body |= {"undo": action == "undo", "force": "force" in args}
             system.call(name, "POST", "/-/retire", json.dumps(body).encode())
 
-    def shown(self, answer, what, args):
-        if what == "none" or what.isdigit():
-            return self.assertEqual("none" if answer is None else str(answer.status), what, answer)
+    def check_answer(self, answer, expectation, args):
+        if expectation == "none" or expectation.isdigit():
+            return self.assertEqual("none" if answer is None else str(answer.status), expectation, answer)
         view = json.loads(answer.body)
-        if what == "away":
+        if expectation == "away":
             return self.assertEqual(sorted(view["away"]), list(args))
         rows = {row["id"]: row for row in view["servers"]}
-        if what == "late":
-            late = {gateway for row in rows.values() for gateway in row["unconfirmed"]}
-            return self.assertEqual(sorted(late), list(args))
+        if expectation == "late":
+            unconfirmed_gateways = {gateway for row in rows.values() for gateway in row["unconfirmed"]}
+            return self.assertEqual(sorted(unconfirmed_gateways), list(args))
         row = rows[args[0]]
-        if what == "safe":
+        if expectation == "safe":
             self.assertEqual((row["safe"], row.get("under_way", {})), (True, {}), view)
-        elif what == "busy":
-            busy = {gateway: int(count) for gateway, count in (each.split("=") for each in args[1:])}
-            self.assertEqual((row["under_way"], row["safe"]), (busy, False))
+        elif expectation == "busy":
+            in_flight = {gateway: int(count) for gateway, count in (each.split("=") for each in args[1:])}
+            self.assertEqual((row["under_way"], row["safe"]), (in_flight, False))
         else:
-            self.assertEqual((what, row["state"]), ("is", args[1]))
+            self.assertEqual((expectation, row["state"]), ("is", args[1]))
 
 
 class Together(Case):
-    def test_all_leave_it_at_once_and_the_operator_sees_who_is_still_busy(self):
+    def test_all_gateways_leave_it_at_once_and_the_operator_sees_requests_in_flight(self):
         self.play("""
             time | events | r1           | r2                    | r3        | a             | b
             2    |        | heartbeat i1 1    | heartbeat i2 1             | heartbeat i3 1 | ?use          | ?use
@@ -188,7 +196,7 @@
             3.3  |        |              | ?is i1 gone; ?safe i1 |           | ?use i2 i3    | ?use i2 i3
             """)
 
-    def test_a_version_and_a_zone_and_what_would_leave_too_little(self):
+    def test_a_version_or_a_zone_is_retired_unless_too_little_capacity_is_left(self):
         system = self.play("""
             time | events | r1                    | r2          | r3           | a             | b
             2    |        | heartbeat i1 1             | heartbeat i2 1   | heartbeat i3 1    |               |
@@ -203,7 +211,7 @@
             """)
         self.assertEqual(json.loads(system.answers["r2"].body)["room"], {"s": 1.0})
 
-    def test_without_a_majority_nothing_is_done(self):
+    def test_without_a_majority_nothing_is_retired(self):
         self.play("""
             time | events | r1        | r2        | r3        | a          | b
             2    |        | heartbeat i1 1 | heartbeat i2 1 |           |            |
@@ -214,7 +222,7 @@
             9.5  |        |           | ?200      |           |            |
             """)
 
-    def test_it_is_acknowledged_from_disks_only(self):
+    def test_a_retirement_is_acknowledged_only_once_it_is_on_disks(self):
         self.play("""
             time | events               | r1        | r2        | r3 | a       | b
             2    |                      | heartbeat i1 1 | heartbeat i2 1 |    |         |
@@ -227,7 +235,7 @@
 
 
 class Faults(Case):
-    def test_an_ingress_that_was_away_has_the_news_with_its_first_words(self):
+    def test_a_gateway_that_reconnects_learns_of_the_retirement_at_once(self):
         system = self.play("""
             time | events | r1                | r2                  | r3 | a       | b
             2    |        | heartbeat i1 1         | heartbeat i2 1           |    |         |
@@ -241,11 +249,11 @@
             13   |        |                   | look                |    |         | ?use i2
             13.7 |        |                   | ?busy i1 b=3; ?away |    |         |
             """)
-        controller_session, (back_at, usable) = system.controller_sessions["b"], system.told["b"][-1]
+        controller_session, (back_at, usable) = system.sessions["b"], system.updates_seen["b"][-1]
         self.assertEqual(usable, {"i2"})
-        self.assertGreater(controller_session.hop, 1)
+        self.assertGreater(controller_session.session_number, 1)
         self.assertGreater(back_at, 10.0)
-        self.assertEqual([each for at, each in system.told["b"] if 3.0 < at < back_at], [])
+        self.assertEqual([each for at, each in system.updates_seen["b"] if 3.0 < at < back_at], [])
 
     def test_a_controller_that_ends_just_after_the_acknowledgement(self):
         for lost in CONTROLLERS:
@@ -264,7 +272,7 @@
                     seed,
                 )
 
-    def test_the_one_that_missed_it_hears_of_it_at_once_when_it_is_back(self):
+    def test_a_controller_that_missed_it_learns_of_it_when_its_partition_ends(self):
         for seed in range(4):
             for healed, known in ((3.4, 3.85), (6.0, 6.7)):  # a long cut has ended the links
                 self.play(
@@ -282,7 +290,7 @@
                     seed,
                 )
 
-    def test_an_ingress_that_comes_to_a_controller_behind_keeps_what_it_knows(self):
+    def test_a_gateway_that_connects_to_an_outdated_controller_keeps_what_it_knows(self):
         for seed in range(3):
             self.play(
                 """
@@ -295,7 +303,7 @@
                 seed,
             )
 
-    def test_it_outlives_the_restart_of_all(self):
+    def test_a_retirement_survives_the_restart_of_all(self):
         for seed in range(6):
             self.play(
                 """
@@ -314,7 +322,7 @@
                 seed,
             )
 
-    def test_its_address_goes_to_a_server_of_another_service(self):
+    def test_its_address_is_reused_by_a_server_of_another_service(self):
         self.play("""
             time | events | r1        | r2                      | r3              | a          | b
             2    |        | heartbeat i1 1 | heartbeat i2 1               |                 |            |
@@ -326,8 +334,8 @@
             7    |        |           |                         | ?200            | ?use i2 j1 | ?use i2 j1
             """)
 
-    def test_a_server_that_dies_before_it_is_done(self):
-        # It says nothing more; what was under way there has ended at the ingress.
+    def test_a_retired_server_that_fails_with_requests_in_flight(self):
+        # It sends no more reports; its requests in flight end at the gateway.
         self.play("""
             time | events | r1        | r2           | r3 | a         | b
             2    |        | heartbeat i1 1 | heartbeat i2 1    |    | busy i1 2 |
@@ -338,7 +346,7 @@
             10   |        |           | ?safe i1     |    | ?use i2   | ?use i2
             """)
 
-    def test_it_is_taken_back_also_where_it_was_not_known(self):
+    def test_a_retirement_is_undone_also_where_it_was_unknown(self):
         self.play("""
             time | events       | r1        | r2                       | r3        | a          | b
             2    |              | heartbeat i1 1 | heartbeat i2 1                |           |            |
@@ -350,7 +358,7 @@
             4.1  |              |           |                          | ?200      | ?use i2    |
             """)
 
-    def test_two_who_say_the_opposite_at_once_end_in_one_of_both(self):
+    def test_concurrent_opposite_calls_converge(self):
         for seed in range(4):
             system = self.play(
                 """
@@ -364,17 +372,17 @@
             )
             self.assertEqual({system.answers[name].status for name in ("r1", "r2")} - {200, 409}, set())
             epochs = {system.controllers[name].registry.get("i1", 0.0).retired for name in CONTROLLERS}
-            epochs |= {system.used[name]["i1"].retired for name in ("a", "b")}
+            epochs |= {system.servers_seen[name]["i1"].retired for name in ("a", "b")}
             self.assertEqual(len(epochs), 1)
 
 
-class Remembering(unittest.TestCase):
-    """Columns are controllers that a gateway hears of one after the other; `gateway` is what it makes of it."""
+class GatewayMemory(unittest.TestCase):
+    """What a gateway remembers of leaving servers across controllers."""
 
-    def test_what_an_ingress_knows_is_not_undone_by_one_that_is_behind(self):
-        # id phase retired quiet(ms) -> what stands then
+    def test_what_a_gateway_knows_is_not_undone_by_an_outdated_controller(self):
+        # received records (id, phase, retired, quiet in ms) -> expected phase and retired
         memory = LeavingServers()
-        for time, told, whole, stands in (
+        for time, records_received, is_complete, expected in (
             (0.0, [("a", "up", 0, 100), ("b", "up", 0, 100)], True, [("up", 0), ("up", 0)]),
             (1.0, [("a", "up", 1, 100)], False, [("up", 1)]),
             (2.0, [("b", "gone", 0, 0)], False, [("gone", 0)]),
@@ -382,22 +390,23 @@
             (4.0, [("a", "up", 2, 100)], False, [("up", 2)]),
             (5.0, [("a", "draining", 1, 100)], True, [("draining", 2)]),
             (6.0, [("a", "up", 2, 100)], False, [("draining", 2)]),
-            # It said itself that it ends: a controller that stood still has read a heartbeat of before.
+            # It announced its own end: a suspended controller has read an old heartbeat.
             (7.0, [("b", "up", 0, 0)], False, [("gone", 0)]),
-            # It was only forgotten: silent for 30 s, and now it reports again.
+            # It was only dropped after 30 s of silence, and now it reports again.
             (40.0, [("c", "gone", 0, 30_000)], False, [("gone", 0)]),
             (41.0, [("c", "up", 0, 31_500)], False, [("gone", 0)]),
             (42.0, [("c", "up", 0, 500)], False, [("up", 0)]),
         ):
             records = [
-                ServerRecord(ident, phase=phase, retired=retired, quiet=quiet) for ident, phase, retired, quiet in told
+                ServerRecord(ident, phase=phase, retired=retired, quiet=quiet)
+                for ident, phase, retired, quiet in records_received
             ]
-            after = [(record.phase, record.retired) for record in memory.apply(records, whole, time)]
-            self.assertEqual(after, stands, time)
+            states = [(record.phase, record.retired) for record in memory.apply(records, is_complete, time)]
+            self.assertEqual(states, expected, time)
         memory.apply([ServerRecord("z")], True, 2000.0)
         self.assertEqual(len(memory), 0)
 
-    def test_room_counts_what_is_in_use_and_heard(self):
+    def test_capacity_counts_servers_in_use_that_report(self):
         registry = ServiceRegistry("x")
         for ident, svc, slots in (("a", "s", 4), ("b", "s", 4), ("c", "s", 4), ("d", "t", 2)):
             registry.record_heartbeat(
@@ -407,7 +416,7 @@
         self.assertEqual(registry.capacity(["a", "d"], True, ["b"]), {"s": (4, 8, 12), "t": (0, 2, 2)})
         self.assertEqual(services_below_minimum(registry.capacity(["a", "d"], True, ["b"])), ["t"])
         self.assertEqual(services_below_minimum(registry.capacity(["a"], True, ["b", "c"])), ["s"])
-        # Who is silent anyway takes nothing away.
+        # Retiring a server that is silent anyway removes no capacity.
         self.assertEqual(services_below_minimum(registry.capacity(["a"], True, ["a", "b", "c"])), [])
         registry.retire(["a"], True, 1.0)
         registry.record_heartbeat("d", Heartbeat("t", "10.0.0.100:80", "z", "v", 2, "draining", 2, 0), 3.0)
@@ -416,7 +425,7 @@
         registry.leave("d", 6.0)
         self.assertEqual(registry.leaving(7.0), [])
 
-    def test_a_word_of_the_operator_counts_from_disks_and_a_later_one_is_found(self):
+    def test_a_retirement_counts_once_it_is_on_disks_and_a_later_change_is_detected(self):
         pending, record = replication.PendingAcknowledgements("r1"), ServerRecord("a", retired=1)
         messages = pending.start("t", record, ["r1", "r2", "r3"], 0.0)
         self.assertEqual([to for to, _ in messages], ["r1", "r2", "r3"])
@@ -425,121 +434,122 @@
         self.assertEqual(pending.confirm("r1", ReplicationAck("a", "up", 1)), ["t"])
         pending.start("v", record, ["r1", "r2", "r3"], 1.0)
         self.assertEqual(pending.confirm("r1", ReplicationAck("a", "up", 1)), [])
-        asked = RetirementCall(["a", "b"], True)
-        self.assertTrue(asked.needs_rewrite("a", ServerRecord("a", retired=2)))
-        self.assertFalse(asked.needs_rewrite("a", ServerRecord("a", retired=3)))
-        self.assertFalse(asked.needs_rewrite("b", ServerRecord("b", phase="gone")))
-        self.assertEqual(asked.pending, set())
+        retirement = RetirementCall(["a", "b"], True)
+        self.assertTrue(retirement.needs_rewrite("a", ServerRecord("a", retired=2)))
+        self.assertFalse(retirement.needs_rewrite("a", ServerRecord("a", retired=3)))
+        self.assertFalse(retirement.needs_rewrite("b", ServerRecord("b", phase="gone")))
+        self.assertEqual(retirement.pending, set())
 
 
-MOST_DAYS = 30  # days played to find a look at a request under way
+MAX_DAYS = 30  # days simulated until a status shows a request in flight
 
 
-class NothingCutShort(unittest.TestCase):
-    def test_what_waits_for_a_connection_moves_at_once_and_that_is_no_try(self):
+class RequestsInFlight(unittest.TestCase):
+    def test_a_request_waiting_for_a_connection_moves_at_once_and_that_is_no_retry(self):
         system = test_controller.System(1)
         server = system.network.process("i-2", "10.9.0.2")
-        heard = []
+        received = []
 
-        class Heard(http_client.asyncio.Protocol):
+        class ReceivingProtocol(http_client.asyncio.Protocol):
             def data_received(self, data):
-                heard.append((system.world.now, data))
+                received.append((system.world.now, data))
 
-        system.network.listen(server, Heard, "10.9.0.2", 80)
-        system.network.off.add("10.9.0.1")  # a connection there neither comes up nor is refused
+        system.network.listen(server, ReceivingProtocol, "10.9.0.2", 80)
+        system.network.off.add("10.9.0.1")  # connections there are neither established nor refused
         process = system.network.process("x", "10.1.0.30")
         with simulated_environment(system.world, lambda event, **fields: None):
             system.world.enter(process)
             gateway = Gateway(process.loop, system.settings("gateway", False), random.Random(1), 100)
-            one, two = (ServerRecord(f"i-{n}", "s", f"10.9.0.{n}:80", "z", "v", 4) for n in (1, 2))
-            gateway.follow([one], True)
+            first, second = (ServerRecord(f"i-{n}", "s", f"10.9.0.{n}:80", "z", "v", 4) for n in (1, 2))
+            gateway.update_servers([first], True)
             client = mock.Mock()
-            asked = mock.Mock(txn=b"1", route=ROUTES["once"], tenant="", time_left=2.0, upload=None)
-            asked.render = lambda left, ident: ident.encode()
-            gateway.admit(client, asked)
+            request = mock.Mock(txn=b"1", route=ROUTES["once"], tenant="", time_left=2.0, upload=None)
+            request.render = lambda left, ident: ident.encode()
+            gateway.admit(client, request)
             system.world.run(0.1)
             system.world.enter(process)
-            gateway.follow([two], False)
-            self.assertEqual(heard, [])
-            gateway.follow([ServerRecord("i-1", "s", "10.9.0.1:80", "z", "v", 4, retired=1)], False)
-            self.assertEqual(gateway.balancer.leaving(), {})
+            gateway.update_servers([second], False)
+            self.assertEqual(received, [])
+            gateway.update_servers([ServerRecord("i-1", "s", "10.9.0.1:80", "z", "v", 4, retired=1)], False)
+            self.assertEqual(gateway.balancer.in_flight_on_draining(), {})
             system.world.run(0.15)
-        self.assertEqual([data for _, data in heard], [b"i-2"])
-        client.answered.assert_not_called()
+        self.assertEqual([data for _, data in received], [b"i-2"])
+        client.send_answer.assert_not_called()
 
     def retire(self, seed, command):
-        """Play a day on which `command` is given; the servers are switched off as soon as that is safe."""
+        """Simulate a day on which `command` is given; the servers are switched off as soon as that is safe."""
         day = small(8.0)
-        told = simulation.Simulation(day, seed)
-        begun, said, ended, views = told.begins + 1.0, [], [], []
+        simulated = simulation.Simulation(day, seed)
+        started_at, replies, ended_servers, views = simulated.begins + 1.0, [], [], []
 
-        def call(at, method, path, body, done):
-            data = http_client.request(method, at, path, [], body)
-            http_client.fetch(told.operator.process, at, data, 1.0, done)
+        def call(address, method, path, body, done):
+            data = http_client.request(method, address, path, [], body)
+            http_client.fetch(simulated.operator.process, address, data, 1.0, done)
 
-        def ask():
-            call(told.control[0].ctl, "POST", "/-/retire", json.dumps(command).encode(), taken)
+        def send_command():
+            call(simulated.control[0].ctl, "POST", "/-/retire", json.dumps(command).encode(), on_reply)
 
-        def taken(answer):
-            said.append((told.world.now, answer.status))
-            look()
+        def on_reply(answer):
+            replies.append((simulated.world.now, answer.status))
+            query_status()
 
-        def look():
-            call(told.control[-1].ctl, "GET", "/-/retiring", b"", seen)
+        def query_status():
+            call(simulated.control[-1].ctl, "GET", "/-/retiring", b"", on_status)
 
-        def seen(answer):
+        def on_status(answer):
             rows = json.loads(answer.body)["servers"]
             views.append(rows)
             if rows and all(row["safe"] for row in rows):
                 for row in rows:
-                    ended.append(row["id"])
-                    told.servers[row["id"]].end()
+                    ended_servers.append(row["id"])
+                    simulated.servers[row["id"]].end()
             else:
-                told.later(0.05, look)
+                simulated.later(0.05, query_status)
 
-        told.world.at(begun, told.world.outside, ask)
-        return told.run(), said, ended, views
+        simulated.world.at(started_at, simulated.world.outside, send_command)
+        return simulated.run(), replies, ended_servers, views
 
-    def test_servers_switched_off_once_that_is_safe_cost_no_request(self):
+    def test_servers_switched_off_once_that_is_safe_fail_no_request(self):
         for command in ({"id": "i-maps-0001"}, {"az": "w", "svc": "loans"}, {"az": "w"}):
-            # Most looks find nothing under way: days are played until one does, each held to the same rules.
-            seen = 0
-            for seed in range(1, MOST_DAYS + 1):
-                metrics, said, ended, views = self.retire(seed, command)
+            # Most status queries find no requests in flight: days are simulated until one does, all with the same
+            # checks.
+            seen_in_flight = 0
+            for seed in range(1, MAX_DAYS + 1):
+                metrics, replies, ended_servers, views = self.retire(seed, command)
                 self.assertEqual((metrics.rules, metrics.failures, metrics.failed), ({}, [], 0), (command, seed))
-                self.assertEqual([status for _, status in said], [200])
-                self.assertTrue(ended)
+                self.assertEqual([status for _, status in replies], [200])
+                self.assertTrue(ended_servers)
                 self.assertGreater(metrics.share, 0.97)
-                seen += sum(bool(row["under_way"]) for rows in views for row in rows)
-                if seen:
+                seen_in_flight += sum(bool(row["under_way"]) for rows in views for row in rows)
+                if seen_in_flight:
                     break
-            self.assertGreater(seen, 0, f"no look found a request under way: {command}")
+            self.assertGreater(seen_in_flight, 0, f"no status showed a request in flight: {command}")
 
 
-class Waiting(unittest.TestCase):
-    """The command line, waiting. Each line is what a look finds."""
+class WaitUntilSafe(unittest.TestCase):
+    """The waiting command. Each line is the answer to one status query."""
 
-    def until(self, idents, looks, most=60.0):
-        now, said, looks = [0.0], [], iter(looks)
+    def until(self, idents, answers, timeout_s=60.0):
+        now, messages, answers = [0.0], [], iter(answers)
 
-        def look(ident):
-            view = next(looks)
+        def query_status(ident):
+            view = next(answers)
             if isinstance(view, Exception):
                 raise view
             rows = [{"id": name, "state": "retired", "safe": False} | row for name, row in view.items()]
             return {"in_touch": True, "away": {}, "servers": rows}
 
-        def sleep(span):
-            now[0] += span
+        def sleep(seconds):
+            now[0] += seconds
 
-        wait = retirement_wait.Wait(look, lambda: now[0], sleep, said.append)
+        wait = retirement_wait.Wait(query_status, lambda: now[0], sleep, messages.append)
         try:
-            return [row["id"] for row in wait.until_safe(idents, most)], said
+            return [row["id"] for row in wait.until_safe(idents, timeout_s)], messages
         except CommandError as error:
-            return error, said
+            return error, messages
 
-    def test_it_ends_when_all_are_safe_in_one_look(self):
-        found, said = self.until(
+    def test_it_ends_when_all_servers_are_safe(self):
+        result, messages = self.until(
             ["i-1", "i-2"],
             [
                 {"i-1": {"under_way": {"a": 2, "b": 1}}, "i-2": {"safe": True}},
@@ -550,7 +560,7 @@
             ],
         )
         self.assertEqual(
-            (found, said),
+            (result, messages),
             (
                 ["i-1", "i-2"],
                 [
@@ -561,7 +571,7 @@
             ),
         )
 
-    def test_it_fails_when_it_is_taken_back_unknown_or_takes_too_long(self):
+    def test_it_fails_when_a_retirement_is_undone_or_unknown_or_takes_too_long(self):
         back = {"i-1": {"state": "in_use"}}
         error, _ = self.until(["i-1"], [{}, back, {}, back, {}, back])
         self.assertEqual((error.code, "taken back" in str(error)), (1, True))
--- a/tests/crowseam/test_sessions.py
+++ b/tests/crowseam/test_sessions.py
@@ -1,8 +1,9 @@
-"""Membership and failure detection.
+"""Session table and failure detector.
 
-Timelines have one column for each controller. A cell holds ``open GATEWAY LIFE [HOP]``, ``renew GATEWAY``,
-``close GATEWAY LIFE``, ``tick``, ``tell X`` (all or what changed, as X needs), ``restart LIFE``, and what is
-expected: ``?members GATEWAY=CONTROLLER ...``, ``?count N``.
+Timelines have one column for each controller. A cell holds actions, separated by semicolons: ``open GATEWAY
+INCARNATION [NUMBER]``, ``renew GATEWAY ...``, ``close GATEWAY INCARNATION``, ``tick``, ``tell CONTROLLER ...`` (sends
+it an update: the changes, or all sessions if it needs them), ``restart INCARNATION``, and expectations: ``?members
+GATEWAY=CONTROLLER ...``, ``?count N``.
 """
 
 import math
@@ -20,8 +21,8 @@
         lines = [line for line in text.splitlines() if line.strip()]
         self.case = case
         self.names = [name.strip() for name in lines[0].split("|")[1:]]
-        self.rolls = {name: SessionTable(name, "1") for name in self.names}
-        self.known = {}  # (teller, told) -> counter up to which it was told
+        self.tables = {name: SessionTable(name, "1") for name in self.names}
+        self.acked_counters = {}  # (sender, receiver) -> counter of the last applied update
         for line in lines[1:]:
             time, *cells = (cell.strip() for cell in line.split("|"))
             for name, cell in zip(self.names, cells, strict=False):
@@ -29,39 +30,39 @@
                     self.step(name, step.split(), float(time), line)
 
     def step(self, name, words, now, line):
-        session_table, (verb, *args) = self.rolls[name], words
-        if verb == "open":
+        session_table, (action, *args) = self.tables[name], words
+        if action == "open":
             session_table.open(args[0], args[1], now, int((args[2:] or [0])[0]))
-        elif verb == "renew":
+        elif action == "renew":
             for gateway in args:
                 session_table.renew(gateway, now)
-        elif verb == "close":
+        elif action == "close":
             session_table.close(args[0], args[1], now)
-        elif verb == "tick":
+        elif action == "tick":
             session_table.tick(now)
-        elif verb == "tell":
+        elif action == "tell":
             for other in args:
-                self.tell(session_table, other, now)
-        elif verb == "restart":
-            self.rolls[name] = SessionTable(name, args[0])
-            self.known = {pair: at for pair, at in self.known.items() if name not in pair}
-        elif verb == "?members":
+                self.send_update(session_table, other, now)
+        elif action == "restart":
+            self.tables[name] = SessionTable(name, args[0])
+            self.acked_counters = {pair: at for pair, at in self.acked_counters.items() if name not in pair}
+        elif action == "?members":
             members = [f"{gateway}={controller}" for gateway, controller in sorted(session_table.members(now).items())]
             self.case.assertEqual(members, args, line)
-        elif verb == "?count":
+        elif action == "?count":
             self.case.assertEqual(session_table.count(now), int(args[0]), line)
         else:
             raise ValueError(line)
 
-    def tell(self, session_table, other, now):
-        for after in (self.known.get((session_table.me, other), 0), 0):
-            told = msgspec.msgpack.decode(
-                msgspec.msgpack.encode(session_table.update_since(after, now)), type=SessionUpdate
+    def send_update(self, session_table, other, now):
+        for since_counter in (self.acked_counters.get((session_table.me, other), 0), 0):
+            update = msgspec.msgpack.decode(
+                msgspec.msgpack.encode(session_table.update_since(since_counter, now)), type=SessionUpdate
             )
-            if self.rolls[other].apply_update(told, now):
-                self.known[session_table.me, other] = told.counter
+            if self.tables[other].apply_update(update, now):
+                self.acked_counters[session_table.me, other] = update.counter
                 return
-        self.case.fail("a whole state must be taken")
+        self.case.fail("a complete update must be accepted")
 
 
 class Membership(unittest.TestCase):
@@ -77,8 +78,8 @@
             """,
         )
 
-    def test_a_session_forgotten_by_its_gateway_does_not_win(self):
-        # r1 has not noticed that d is gone from it; d's newer session is at r2, though r2 told it first.
+    def test_an_abandoned_session_does_not_replace_a_newer_one(self):
+        # r1 has not noticed that d has left it; d's newer session is with r2, although r2 reported it first.
         Timeline(
             self,
             """
@@ -91,7 +92,7 @@
             """,
         )
 
-    def test_a_session_opened_late_by_a_slow_controller_does_not_win(self):
+    def test_a_session_opened_late_by_a_slow_controller_does_not_replace_a_newer_one(self):
         Timeline(
             self,
             """
@@ -101,7 +102,7 @@
             """,
         )
 
-    def test_what_is_missing_is_asked_for(self):
+    def test_updates_with_a_gap_are_rejected_until_it_is_filled(self):
         owner, other = SessionTable("r1", "1"), SessionTable("r2", "1")
         owner.open("d", "1", 0.0)
         first = owner.update_since(0, 0.0)
@@ -131,7 +132,7 @@
             """,
         )
 
-    def test_a_controller_that_stood_still_blames_nobody(self):
+    def test_a_suspended_controller_ends_no_sessions(self):
         Timeline(
             self,
             """
@@ -143,7 +144,7 @@
             """,
         )
 
-    def test_the_sessions_of_a_silent_controller_lapse_after_a_term(self):
+    def test_the_sessions_of_a_silent_controller_expire_after_a_while(self):
         Timeline(
             self,
             """
@@ -163,7 +164,7 @@
             """,
         )
 
-    def test_a_new_life_of_a_controller_starts_empty(self):
+    def test_a_new_incarnation_of_a_controller_starts_empty(self):
         timeline = Timeline(
             self,
             """
@@ -173,13 +174,13 @@
             """,
         )
         late = SessionUpdate("r1", "1", 0, 2, [], [])
-        self.assertTrue(timeline.rolls["r2"].apply_update(late, 1.5))
-        self.assertEqual(timeline.rolls["r2"].members(1.5), {"d": "r1"})
+        self.assertTrue(timeline.tables["r2"].apply_update(late, 1.5))
+        self.assertEqual(timeline.tables["r2"].members(1.5), {"d": "r1"})
 
-    def test_every_loss_and_order_of_messages_ends_in_the_owners_state(self):
+    def test_copies_converge_to_the_owners_state_under_loss_and_reordering(self):
         for seed in range(60):
             rng = random.Random(seed)
-            owner, other, now, wire, acked = SessionTable("r1", "1"), SessionTable("r2", "1"), 0.0, [], 0
+            owner, other, now, in_flight, acked = SessionTable("r1", "1"), SessionTable("r2", "1"), 0.0, [], 0
             for _ in range(200):
                 now += 0.01
                 gateway = f"d{rng.randrange(8)}"
@@ -191,11 +192,11 @@
                 elif kind < 0.5:
                     owner.renew(gateway, now, {"t": rng.randrange(3)})
                 elif kind < 0.8:
-                    wire.append(owner.update_since(acked, now))
-                elif wire:
-                    told = wire.pop(rng.randrange(len(wire)))
+                    in_flight.append(owner.update_since(acked, now))
+                elif in_flight:
+                    update = in_flight.pop(rng.randrange(len(in_flight)))
                     if rng.random() < 0.7:
-                        acked = other._peers["r1"].counter if other.apply_update(told, now) else 0
+                        acked = other._peers["r1"].counter if other.apply_update(update, now) else 0
             while not other.apply_update(owner.update_since(acked, now), now):
                 acked = 0
             self.assertEqual(other.members(now), owner.members(now), seed)
@@ -204,16 +205,16 @@
             self.assertEqual({gateway: stored.session.demand for gateway, (_, stored) in theirs.items()}, demand)
 
 
-def signs(rng, jitter, loss, seconds):
-    """Arrival times of signs of life sent each 250 ms, with exponential delays and lost ones."""
-    times = [0.25 * n + rng.expovariate(1 / jitter) for n in range(int(seconds * 4)) if rng.random() >= loss]
+def heartbeat_arrivals(rng, jitter, loss, seconds):
+    """Arrival times of heartbeats sent each 250 ms, with exponential delays and random loss."""
+    times = [0.25 * number + rng.expovariate(1 / jitter) for number in range(int(seconds * 4)) if rng.random() >= loss]
     return sorted(times)
 
 
 class Detection(unittest.TestCase):
     def test_time_to_detect_and_false_alarms_by_jitter(self):
-        # mean delay s, lost share -> most s until found dead, most of the time that it is wrongly dead,
-        # suspect
+        # mean delay (s), loss rate, longest time until detection (s), largest fraction of the time that it is wrongly
+        # considered dead, and suspect
         table = (
             (0.005, 0.0, 1.1, 0.0, 0.0),
             (0.02, 0.02, 1.3, 0.0002, 0.002),
@@ -221,13 +222,13 @@
             (0.25, 0.05, 2.3, 0.0005, 0.005),
             (0.5, 0.05, 3.0, 0.001, 0.015),
         )
-        for jitter, loss, longest, wrong, doubted in table:
+        for jitter, loss, max_detection_s, max_dead_fraction, max_suspect_fraction in table:
             with self.subTest(jitter=jitter, loss=loss):
                 dead = suspect = checks = 0
-                found = []
+                detection_times = []
                 for seed in range(12):
                     detector, now = FailureDetector(), 2.0
-                    for at in signs(random.Random(seed), jitter, loss, 60):
+                    for at in heartbeat_arrivals(random.Random(seed), jitter, loss, 60):
                         while now < at:
                             state = detector.state("p", now)
                             checks += 1
@@ -238,49 +239,49 @@
                     last = now = at
                     while detector.state("p", now) != "dead":
                         now += 0.02
-                    found.append(now - last)
-                self.assertLessEqual(max(found), longest)
-                self.assertGreaterEqual(min(found), 0.8)
-                self.assertLessEqual(dead / checks, wrong)
-                self.assertLessEqual(suspect / checks, doubted)
+                    detection_times.append(now - last)
+                self.assertLessEqual(max(detection_times), max_detection_s)
+                self.assertGreaterEqual(min(detection_times), 0.8)
+                self.assertLessEqual(dead / checks, max_dead_fraction)
+                self.assertLessEqual(suspect / checks, max_suspect_fraction)
 
     def test_slow_is_not_dead(self):
         detector = FailureDetector()
-        for n in range(100):
-            detector.record_heartbeat("late", n * 0.6)
-            detector.record_heartbeat("far", n * 0.25, round_trip_s=0.9)
-            detector.record_heartbeat("well", n * 0.25, round_trip_s=0.01)
+        for number in range(100):
+            detector.record_heartbeat("late", number * 0.6)
+            detector.record_heartbeat("far", number * 0.25, round_trip_s=0.9)
+            detector.record_heartbeat("well", number * 0.25, round_trip_s=0.01)
         self.assertEqual(detector.state("late", 99 * 0.6 + 0.5), "slow")
         self.assertEqual(detector.state("far", 99 * 0.25 + 0.2), "slow")
         self.assertEqual(detector.state("well", 99 * 0.25 + 0.2), "alive")
-        for n in range(60):  # slowness passes as quickly as it came
-            detector.record_heartbeat("late", 60 + n * 0.25)
+        for number in range(60):  # a peer is no longer slow once it is regular again
+            detector.record_heartbeat("late", 60 + number * 0.25)
         self.assertEqual(detector.state("late", 75.0), "alive")
 
-    def test_our_own_pause_is_not_held_against_peers(self):
+    def test_a_local_pause_does_not_count_as_silence_of_peers(self):
         detector = FailureDetector()
-        for n in range(40):
-            detector.record_heartbeat("p", n * 0.25)
-            detector.tick(n * 0.25)
+        for number in range(40):
+            detector.record_heartbeat("p", number * 0.25)
+            detector.tick(number * 0.25)
         self.assertEqual(detector.state("p", 14.0), "dead")
         self.assertGreater(detector.tick(14.0), 3.0)
         self.assertNotEqual(detector.state("p", 14.0), "dead")
-        for n in range(1, 9):  # but if nothing comes now, it is dead after all
-            detector.tick(14.0 + n * 0.25)
+        for number in range(1, 9):  # without further heartbeats it is dead all the same
+            detector.tick(14.0 + number * 0.25)
         self.assertEqual(detector.state("p", 16.0), "dead")
 
     def test_a_long_outage_does_not_slow_the_next_detection(self):
         detector = FailureDetector()
         for start in (0.0, 20.0):
-            for n in range(40):
-                detector.record_heartbeat("p", start + n * 0.25)
+            for number in range(40):
+                detector.record_heartbeat("p", start + number * 0.25)
         self.assertEqual(detector.state("p", 29.75 + 1.1), "dead")
 
-    def test_in_touch_means_more_than_half(self):
+    def test_majority_reachable_means_more_than_half(self):
         detector = FailureDetector()
-        for n in range(20):
+        for number in range(20):
             for peer in ("r2", "r3"):
-                detector.record_heartbeat(peer, n * 0.25, round_trip_s=0.01)
+                detector.record_heartbeat(peer, number * 0.25, round_trip_s=0.01)
         detector.watch("r4", 4.75)
         self.assertTrue(detector.is_majority_reachable(5.0, ["r1", "r2", "r3", "r4", "r5"], "r1"))
         self.assertFalse(detector.is_majority_reachable(5.0, ["r2", "r3", "r4", "r5"], "r1"))
@@ -288,12 +289,12 @@
         self.assertTrue(detector.is_majority_reachable(9.0, ["r1"], "r1"))
         self.assertFalse(detector.is_majority_reachable(5.0, [], "r1"))
 
-    def test_who_is_heard_and_answers_nothing_is_not_near(self):
+    def test_a_peer_that_is_heard_but_answers_nothing_is_not_reachable(self):
         detector = FailureDetector()
-        for n in range(41):  # r2 hears us until 5.0, r3 never does
-            detector.record_heartbeat("r2", n * 0.25, round_trip_s=0.01 if n <= 20 else None)
-            detector.record_heartbeat("r3", n * 0.25)
-            detector.tick(n * 0.25)
+        for number in range(41):  # r2 receives our messages until 5.0, r3 never does
+            detector.record_heartbeat("r2", number * 0.25, round_trip_s=0.01 if number <= 20 else None)
+            detector.record_heartbeat("r3", number * 0.25)
+            detector.tick(number * 0.25)
         self.assertEqual([detector.state(peer, 10.0) for peer in ("r2", "r3")], ["alive", "alive"])
         self.assertEqual(detector.reachable(6.4, ["r2", "r3"]), {"r2"})
         self.assertEqual(detector.reachable(6.6, ["r2", "r3"]), set())
@@ -301,15 +302,15 @@
         self.assertEqual(detector.majority_answered_at(10.0, ["r1", "r2", "r3", "r4"], "r1"), -math.inf)
         self.assertEqual(detector.majority_answered_at(10.0, ["r1"], "r1"), 10.0)
 
-    def test_one_that_stood_still_is_out_of_touch_until_it_is_answered_anew(self):
+    def test_after_a_suspension_no_majority_is_reachable_until_a_new_answer(self):
         detector = FailureDetector()
-        for n in range(40):
-            detector.record_heartbeat("r2", n * 0.25, round_trip_s=0.01)
-            detector.tick(n * 0.25)
+        for number in range(40):
+            detector.record_heartbeat("r2", number * 0.25, round_trip_s=0.01)
+            detector.tick(number * 0.25)
         detector.tick(29.75)
         self.assertNotEqual(detector.state("r2", 29.75), "dead")
         self.assertFalse(detector.is_majority_reachable(29.75, ["r1", "r2"], "r1"))
-        detector.record_heartbeat("r2", 29.76, round_trip_s=20.01)  # the answer to a question of before
+        detector.record_heartbeat("r2", 29.76, round_trip_s=20.01)  # answers a message from before the suspension
         self.assertFalse(detector.is_majority_reachable(29.76, ["r1", "r2"], "r1"))
         detector.record_heartbeat("r2", 29.80, round_trip_s=0.02)
         self.assertTrue(detector.is_majority_reachable(29.80, ["r1", "r2"], "r1"))
--- a/tests/crowseam/test_simulator.py
+++ b/tests/crowseam/test_simulator.py
@@ -501,13 +501,13 @@
 
     def test_twice_and_refused(self):
         lost = [{"kind": "lost_answers", "at": 0.0, "target": "loans", "amount": 0.4, "span": 6.0}]
-        again = LoadBalancer._again
+        again = LoadBalancer._retry_or_respond
 
         def forgetful(balancer, t, status, now):
-            t.ran = False
+            t.may_have_run = False
             return again(balancer, t, status, now)
 
-        rules = self.broken(small(4.0, faults=lost), (LoadBalancer, "_again", forgetful))
+        rules = self.broken(small(4.0, faults=lost), (LoadBalancer, "_retry_or_respond", forgetful))
         self.assertTrue(rules.get("TWICE") and rules.get("REFUSED"), rules)
 
     def test_twice_and_mixed_of_keyed_operations(self):
@@ -532,13 +532,13 @@
         ]
         rules = self.broken(
             small(6.0, faults=faults),
-            (Gateway, "follow", _first_servers),
+            (Gateway, "update_servers", _first_servers),
             (machine.GatewayDaemon, "_on_table", _first_table),
         )
         self.assertTrue(rules.get("DRAIN") and rules.get("CONFIG"), rules)
 
 
-def _first_servers(gateway, records, whole, follow=Gateway.follow):
+def _first_servers(gateway, records, whole, follow=Gateway.update_servers):
     up = [record for record in records if record.phase == "up"]
     follow(gateway, up, False)
 
@@ -658,10 +658,10 @@
         from crowseam.gateway import daemon
         from crowseam.quotas import admission
 
-        before = admission.PERIOD
-        with experiment.settings({"crowseam.quotas.admission:PERIOD": "0.7"}):
-            self.assertEqual((admission.PERIOD, daemon.PERIOD), (0.7, 0.7))
-        self.assertEqual((admission.PERIOD, daemon.PERIOD), (before, before))
+        before = admission.PERIOD_S
+        with experiment.settings({"crowseam.quotas.admission:PERIOD_S": "0.7"}):
+            self.assertEqual((admission.PERIOD_S, daemon.PERIOD_S), (0.7, 0.7))
+        self.assertEqual((admission.PERIOD_S, daemon.PERIOD_S), (before, before))
         for wrong in ("os:sep", "crowseam.gateway.load_balancer:NONE", "crowseam.gateway.load_balancer:LoadBalancer"):
             with self.assertRaises(BadInputError), experiment.settings({wrong: 1}):
                 pass
--- a/tests/crowseam/test_storage.py
+++ b/tests/crowseam/test_storage.py
@@ -1,4 +1,4 @@
-"""The store: what is written is there after any loss of power, and damage is noticed."""
+"""The store: writes survive a loss of power at any time, and corruption is detected."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def records(rng: Random, step: int) -> list[Record]:
-    """What a voter might write at this step, two or three of them to a slot."""
+    """Random records that a voter might write at this step; every three steps share a slot."""
     slot, ballot = 1 + step // 3, Ballot(step, "n")
     entry = ConfigurationEntry(f"t{slot}", slot, slot - 1, True, rng.randbytes(rng.choice((10, 9000))), "d")
     return rng.choice(
@@ -59,8 +59,8 @@
     )
 
 
-class Lasting(StoreTest):
-    def test_it_keeps_what_the_model_of_a_disk_keeps(self):
+class Durability(StoreTest):
+    def test_it_behaves_like_the_model_of_a_disk(self):
         rng, model = Random(3), Disk()
         store = self.open()
         for step in range(120):
@@ -81,7 +81,7 @@
             batch = records(rng, step)
             store.write(batch)
             model.write(batch)
-            # The disk as it was synced, and behind it a torn beginning of what comes next.
+            # The synced files, followed by a torn part of the next write.
             copy = self.folder / f"copy{step}"
             copy.mkdir()
             shutil.copy(self.path, copy / "store.db")
@@ -93,7 +93,7 @@
             self.assertEqual(again.load(), model.load())
             again.close()
 
-    def test_a_full_disk_keeps_nothing_of_a_write_and_takes_the_next(self):
+    def test_a_failed_write_on_a_full_disk_leaves_nothing_and_the_next_one_succeeds(self):
         store = self.begin()
         store.write([Note("k", b"old")])
         pages = store._database.execute("PRAGMA page_count").fetchone()[0]
@@ -106,7 +106,7 @@
         store.write([Note("k", None), Member("m", b"1"), SnapshotRecord(1, bytes(200000), FOUNDERS, 1)])
         self.assertEqual((store.load().highest_chosen_slot, store.notes(), store.members()), (1, {}, {"m": b"1"}))
 
-    def test_a_store_that_is_not_open_says_so(self):
+    def test_a_store_that_is_not_open_raises(self):
         with self.assertRaises(StoreError):
             Store(self.path).write([IdentityRecord("x")])
         (self.folder / "file").write_bytes(b"")
@@ -114,7 +114,7 @@
             Store(self.folder / "file" / "store.db").open()
 
 
-class Damage(StoreTest):
+class Corruption(StoreTest):
     def filled(self) -> None:
         store = self.begin()
         store.write([ChosenRecord(1, NoOpEntry("one")), ChosenRecord(2, NoOpEntry("two"))])
@@ -122,17 +122,19 @@
         store.write([VoteRecord(3, Ballot(1, "x"), NoOpEntry("three"))])
         store.close()
 
-    def test_a_damaged_entry_is_left_out_and_not_voted_on(self):
+    def test_a_corrupt_chosen_entry_is_dropped(self):
         self.filled()
         self.edit("UPDATE chosen SET body = x'00' WHERE key = 2")
         self.edit("UPDATE notes SET body = x'00' WHERE key = 'n'")
         store = self.open()
-        held = store.load()
+        durable = store.load()
         self.assertFalse(store.was_quarantined)
-        self.assertEqual((held.chosen, held.highest_chosen_slot, held.id), ({1: NoOpEntry("one")}, 2, "genesis/a"))
+        self.assertEqual(
+            (durable.chosen, durable.highest_chosen_slot, durable.id), ({1: NoOpEntry("one")}, 2, "genesis/a")
+        )
         self.assertEqual(store.notes(), {"m": b"2"})
 
-    def test_a_damaged_promise_costs_the_machine_its_name(self):
+    def test_a_corrupt_promise_quarantines_the_store_and_its_id(self):
         for damage in (
             "UPDATE promises SET body = (SELECT body FROM votes LIMIT 1)",
             "UPDATE promises SET key = 9",
@@ -148,25 +150,25 @@
                 self.edit(damage)
                 store = self.open()
                 self.assertTrue(store.was_quarantined)
-                held = store.load()
-                self.assertEqual((held.id, held.votes, held.snapshot), (None, {}, None))
-                assign_identity(held, "a", ["a", "b", "c"], False, Random(1))
-                self.assertFalse(held.id.startswith("genesis"))
+                durable = store.load()
+                self.assertEqual((durable.id, durable.votes, durable.snapshot), (None, {}, None))
+                assign_identity(durable, "a", ["a", "b", "c"], False, Random(1))
+                self.assertFalse(durable.id.startswith("genesis"))
 
-    def test_a_journal_without_its_database_is_set_aside(self):
+    def test_a_write_ahead_log_without_its_database_is_quarantined(self):
         self.begin()
         self.path.unlink()
         store = self.open()
         self.assertTrue(store.was_quarantined)
         self.assertIsNone(store.load().id)
 
-    def test_random_damage_never_changes_what_is_read(self):
+    def test_random_corruption_never_changes_data_unnoticed(self):
         self.filled()
         whole, rng = self.path.read_bytes(), Random(8)
         good = self.open()
-        held, notes = good.load(), good.notes()
+        durable, notes = good.load(), good.notes()
         good.close()
-        aside = 0
+        quarantined = 0
         for _ in range(250):
             data = bytearray(whole)
             kind = rng.randrange(4)
@@ -184,21 +186,22 @@
             store = self.open()
             read, left = store.load(), store.notes()
             store.close()
-            aside += store.was_quarantined
+            quarantined += store.was_quarantined
             if read.id is None:
                 self.assertEqual((read.votes, read.chosen, read.snapshot), ({}, {}, None))
                 continue
             self.assertEqual(
-                (read.id, read.highest_chosen_slot, read.votes), (held.id, held.highest_chosen_slot, held.votes)
+                (read.id, read.highest_chosen_slot, read.votes),
+                (durable.id, durable.highest_chosen_slot, durable.votes),
             )
-            self.assertLessEqual(read.chosen.items(), held.chosen.items())
-            self.assertIn(read.snapshot, (held.snapshot, None))
+            self.assertLessEqual(read.chosen.items(), durable.chosen.items())
+            self.assertIn(read.snapshot, (durable.snapshot, None))
             self.assertLessEqual(left.items(), notes.items())
-        self.assertGreater(aside, 20)
+        self.assertGreater(quarantined, 20)
 
 
-class Copies(StoreTest):
-    def test_a_copy_fills_an_empty_store_without_id_and_promises(self):
+class SnapshotFiles(StoreTest):
+    def test_a_snapshot_file_restores_an_empty_store_without_id_and_promises(self):
         store = self.begin()
         entry = ConfigurationEntry("t", 1, 0, True, b"{}", "d")
         store.write(
@@ -209,14 +212,16 @@
         other = self.open(self.folder / "other.db")
         new = [Voter("n", "n")]
         self.assertEqual(other.restore(self.folder / "copy", new), digest)
-        held = other.load()
-        self.assertEqual((held.id, held.votes, held.highest_chosen_slot, held.snapshot.voters), (None, {}, 2, new))
-        self.assertEqual(held.chosen, {1: entry, 2: NoOpEntry("v")})
+        durable = other.load()
+        self.assertEqual(
+            (durable.id, durable.votes, durable.highest_chosen_slot, durable.snapshot.voters), (None, {}, 2, new)
+        )
+        self.assertEqual(durable.chosen, {1: entry, 2: NoOpEntry("v")})
         self.assertEqual((other.notes(), other.members()), ({"k": b"v"}, {"m": b"w"}))
         with self.assertRaises(StoreError):
             other.restore(self.folder / "copy")
 
-    def test_a_damaged_copy_is_refused(self):
+    def test_a_corrupt_snapshot_file_is_rejected(self):
         self.begin().snapshot(self.folder / "copy")
         data = bytearray((self.folder / "copy").read_bytes())
         data[-3] ^= 4
--- a/tests/crowseam/test_transport.py
+++ b/tests/crowseam/test_transport.py
@@ -1,4 +1,4 @@
-"""Links between our processes, calls, and settings: bytes that come in any pieces, or make no sense."""
+"""Links between processes, control calls and settings, with data that is split arbitrarily or invalid."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 from crowseam.controller.api import ControlApi
 from crowseam.discovery.server_record import ServerRecord
 from crowseam.transport import codec, links
-from crowseam.transport.codec import PACK_ENTRY_FROM_BYTES, PACK_FROM_BYTES, decode, encode, pack, unpack
+from crowseam.transport.codec import COMPRESS_BODY_FROM_BYTES, COMPRESS_ENTRY_FROM_BYTES, decode, encode, pack, unpack
 from crowseam.transport.http import IDLE_TIMEOUT_S, MAX_PIPELINED_CALLS, HttpConnection
 from crowseam.transport.links import Link, frame
 from crowseam.transport.messages import (
@@ -56,7 +56,7 @@
         self.written, self.closed, self.unread = b"", False, 0
 
     def get_extra_info(self, name):
-        return SimpleNamespace(setsockopt=lambda *told: None)
+        return SimpleNamespace(setsockopt=lambda *args: None)
 
     def get_write_buffer_size(self):
         return self.unread
@@ -92,22 +92,22 @@
         link.connection_made(Transport())
         return link
 
-    def test_a_peer_that_refuses_is_dialled_again_after_growing_pauses_until_it_accepts(self):
-        loop = mock.Mock(create_task=lambda dialling: dialling.close())
+    def test_a_peer_with_another_version_is_redialled_with_growing_delays(self):
+        loop = mock.Mock(create_task=lambda dial: dial.close())
         dialer = links.Dialer(loop, "10.0.0.2", 7660, None, lambda link: None)
-        pauses = []
-        for refusals in (6, 2):
-            for _ in range(refusals):
+        delays = []
+        for mismatches in (6, 2):
+            for _ in range(mismatches):
                 link = self.link()
-                dialer._made(link)
-                dialer.rejected()
+                dialer._on_connected(link)
+                dialer.on_version_mismatch()
                 self.assertFalse(link.open)
-                dialer._ended(link)
-                pauses.append(round(loop.call_later.call_args.args[0], 2))
-            dialer.accepted()
-        self.assertEqual(pauses, [0.24, 0.38, 0.61, 0.98, 1.57, 2.0, 0.24, 0.38])
+                dialer._on_closed(link)
+                delays.append(round(loop.call_later.call_args.args[0], 2))
+            dialer.on_version_match()
+        self.assertEqual(delays, [0.24, 0.38, 0.61, 0.98, 1.57, 2.0, 0.24, 0.38])
 
-    def test_messages_arrive_whole_and_in_order_however_they_are_cut(self):
+    def test_messages_arrive_complete_and_in_order_however_they_are_split(self):
         data = b"".join(map(frame, MESSAGES))
         for size in (1, 3, 4, 5, 7, 64, 4096, len(data)):
             link = self.link()
@@ -115,7 +115,7 @@
                 link.data_received(data[at : at + size])
             self.assertEqual((self.heard, link.buffer), (MESSAGES, b""), size)
 
-    def test_what_can_not_be_read_drops_the_link_and_is_counted(self):
+    def test_an_undecodable_message_closes_the_link_and_is_counted(self):
         def framed(body):
             return struct.pack(">I", len(body)) + body
 
@@ -131,11 +131,11 @@
             struct.pack(">I", links.MAX_FRAME_BYTES + 1),
             framed(b"\x92\xa5hello\xa2\xff\xfe"),
         ):
-            link, before = self.link(), Link.unreadable
+            link, before = self.link(), Link.unreadable_messages
             link.data_received(good + bad + good)
-            self.assertEqual((len(self.heard), link.open, Link.unreadable - before), (1, False, 1), bad[:30])
+            self.assertEqual((len(self.heard), link.open, Link.unreadable_messages - before), (1, False, 1), bad[:30])
 
-    def test_any_bytes_are_heard_or_drop_the_link(self):
+    def test_random_bytes_are_decoded_or_close_the_link(self):
         rng = random.Random(7)
         for _ in range(800):
             data = bytearray(b"".join(frame(rng.choice(MESSAGES)) for _ in range(3)))
@@ -148,14 +148,14 @@
                     link.data_received(piece)
             self.assertLessEqual(len(self.heard), 3)
 
-    def test_one_that_is_closed_by_what_it_heard_says_no_more(self):
+    def test_a_link_closed_by_its_message_handler_delivers_no_more(self):
         link = Link(lambda link, message: (heard.append(message), link.close()), lambda link: None)
         heard = []
         link.connection_made(Transport())
         link.data_received(frame(MESSAGES[0]) * 2)
         self.assertEqual(len(heard), 1)
 
-    def test_a_peer_that_does_not_read_is_dropped(self):
+    def test_a_peer_that_does_not_read_is_disconnected(self):
         link = self.link()
         link.send(MESSAGES[0])
         self.assertEqual(link.transport.written, frame(MESSAGES[0]))
@@ -163,8 +163,8 @@
         link.send(MESSAGES[0])
         self.assertEqual((link.transport.written, link.open), (frame(MESSAGES[0]), False))
 
-    def test_large_entries_travel_packed_and_nothing_else_does(self):
-        ballot, body = Ballot(1, "a"), b"x" * PACK_ENTRY_FROM_BYTES
+    def test_only_large_log_entries_are_compressed(self):
+        ballot, body = Ballot(1, "a"), b"x" * COMPRESS_ENTRY_FROM_BYTES
         accept = Accept(1, ballot, ConfigurationEntry("t", 1, 0, True, body, "d"))
         packed = encode(accept)
         self.assertEqual((packed[:1], decode(memoryview(packed))), (b"z", accept))
@@ -172,7 +172,7 @@
         for plain in (Accept(1, ballot, ConfigurationEntry("t", 1, 0, True, b"x", "d")), ConfigurationState(1, body)):
             self.assertEqual(encode(plain), msgspec.msgpack.encode(plain))
         bomb = b"z" + zlib.compress(bytes(2000))
-        with mock.patch.object(codec, "MAX_UNPACKED_BYTES", 1000):
+        with mock.patch.object(codec, "MAX_DECOMPRESSED_BYTES", 1000):
             for bad in (bomb, packed):
                 self.assertRaisesRegex(ValueError, "cut short or too large", decode, bad)
         for bad in (b"", b"z", b"zjunk", packed[:-9], b"z" + zlib.compress(b"junk")):
@@ -180,7 +180,7 @@
                 decode(bad)
 
     def test_packed_bodies(self):
-        for body in (b"", b"x", b"x" * PACK_FROM_BYTES, random.Random(1).randbytes(9000)):
+        for body in (b"", b"x", b"x" * COMPRESS_BODY_FROM_BYTES, random.Random(1).randbytes(9000)):
             self.assertEqual(unpack(pack(body)), body)
         for bad in (b"", b"q", b"z", b"zjunk", pack(b"x" * 9000)[:-9]):
             with self.assertRaises(ValueError):
@@ -188,7 +188,7 @@
 
 
 class Calls(unittest.TestCase):
-    """`held` are calls that were served and not answered yet."""
+    """Control calls over HTTP; `held` has the calls that are not answered yet."""
 
     def setUp(self):
         self.soon, self.timers = [], []
@@ -201,18 +201,18 @@
         self.timers.append(call)
         return SimpleNamespace(cancel=lambda: None)
 
-    def caller(self, most=1000, at_once=True):
+    def caller(self, max_body_bytes=1000, immediately=True):
         self.held, self.seen = [], []
 
         def serve(call):
             self.seen.append((call.method, call.path, call.body))
-            call.reply(200, call.body) if at_once else self.held.append(call)
+            call.reply(200, call.body) if immediately else self.held.append(call)
 
-        caller = HttpConnection(serve, most)
+        caller = HttpConnection(serve, max_body_bytes)
         caller.connection_made(Transport())
         return caller
 
-    def turn(self):
+    def run_callbacks(self):
         while self.soon:
             self.soon.pop(0)()
 
@@ -227,40 +227,40 @@
         )
         expected = [("PUT", "/-/backends/i-1", b"abc"), ("GET", "/-/config", b""), ("PATCH", "/-/config", b"de")]
         for size in (1, 10, len(data)):
-            caller = self.caller(at_once=False)
+            caller = self.caller(immediately=False)
             for at in range(0, len(data), size):
                 caller.data_received(data[at : at + size])
             for count in range(3):
                 self.assertEqual(len(self.seen), count + 1)
                 self.held[-1].reply(200 + count)
-                self.held[-1].reply(500)  # a second answer to one call is none
-                self.turn()
+                self.held[-1].reply(500)  # a second response is ignored
+                self.run_callbacks()
             self.assertEqual((self.seen, self.statuses(caller)), (expected, [200, 201, 202]))
             self.assertFalse(caller.transport.closed)
 
-    def test_a_caller_is_told_to_go_on_in_its_turn_only(self):
-        waits = b"PUT /3 HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n"
-        caller = self.caller(at_once=False)
+    def test_100_continue_is_sent_only_when_no_earlier_call_is_open(self):
+        expects_continue = b"PUT /3 HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 1\r\n\r\n"
+        caller = self.caller(immediately=False)
         caller.data_received(b"GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n")
         self.held[0].reply(200)
-        caller.data_received(waits)  # the second call is about to be served
-        self.turn()
+        caller.data_received(expects_continue)  # the second call is still queued
+        self.run_callbacks()
         self.held[1].reply(200)
         self.assertEqual(self.statuses(caller), [200, 200])
         caller = self.caller()
-        caller.data_received(waits + b"x")
+        caller.data_received(expects_continue + b"x")
         self.assertEqual(self.statuses(caller), [100, 200])
 
-    def test_a_connection_ends_when_its_caller_says_so(self):
+    def test_a_connection_is_closed_if_the_client_asks_for_it(self):
         for head in (b"GET / HTTP/1.1\r\nConnection: close\r\n\r\n", b"GET / HTTP/1.0\r\n\r\n"):
             caller = self.caller()
             caller.data_received(head + b"GET /again HTTP/1.1\r\n\r\n")
-            self.turn()
+            self.run_callbacks()
             self.assertEqual((len(self.seen), self.statuses(caller)), (1, [200]))
             self.assertTrue(caller.transport.closed)
             self.assertIn(b"Connection: close", caller.transport.written)
 
-    def test_what_is_too_large_or_no_call_is_refused_after_what_came_before(self):
+    def test_an_invalid_or_too_large_call_is_rejected_after_earlier_calls(self):
         first = b"GET /first HTTP/1.1\r\n\r\n"
         for bad, status in (
             (b"PUT / HTTP/1.1\r\nContent-Length: 5000\r\n\r\n" + b"x" * 2000, 413),
@@ -268,45 +268,45 @@
             (b"noise\r\n\r\n", 400),
             (b"PUT / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nxx", 400),
         ):
-            caller = self.caller(at_once=False)
+            caller = self.caller(immediately=False)
             caller.data_received(first)
             caller.data_received(bad)
             caller.data_received(first)
             self.assertEqual(self.statuses(caller), [])
             self.held[0].reply(200)
-            self.turn()
+            self.run_callbacks()
             self.assertEqual((self.statuses(caller), len(self.seen)), ([200, status], 1), bad[:40])
             self.assertTrue(caller.transport.closed)
 
-    def test_a_wish_for_another_protocol_is_left_aside(self):
-        wish = b"Connection: Upgrade\r\nUpgrade: h2c\r\n"
+    def test_an_offer_to_upgrade_the_protocol_is_ignored(self):
+        upgrade = b"Connection: Upgrade\r\nUpgrade: h2c\r\n"
         caller = self.caller()
         for _ in range(4):
-            caller.data_received((b"GET / HTTP/1.1\r\n" + wish + b"\r\n") * 10)
+            caller.data_received((b"GET / HTTP/1.1\r\n" + upgrade + b"\r\n") * 10)
         caller.data_received(b"GET /next HTTP/1.1\r\n\r\n")
         self.assertEqual(self.statuses(caller), [200] * 41)
-        caller.data_received(b"PUT / HTTP/1.1\r\n" + wish + b"Content-Length: 3\r\n\r\n" b"GET / HTTP/1.1\r\n\r\n")
+        caller.data_received(b"PUT / HTTP/1.1\r\n" + upgrade + b"Content-Length: 3\r\n\r\n" b"GET / HTTP/1.1\r\n\r\n")
         self.assertEqual((self.statuses(caller)[41:], len(self.seen)), ([400], 41))
 
-    def test_too_many_calls_behind_one_another_are_not_gathered(self):
-        caller = self.caller(10_000, at_once=False)
+    def test_too_many_pipelined_calls_are_rejected(self):
+        caller = self.caller(10_000, immediately=False)
         caller.data_received(b"GET / HTTP/1.1\r\n\r\n" * (2 * MAX_PIPELINED_CALLS))
         for _ in range(MAX_PIPELINED_CALLS + 1):
             self.held.pop().reply(200)
-            self.turn()
+            self.run_callbacks()
         self.assertEqual(self.statuses(caller), [200] * (MAX_PIPELINED_CALLS + 1) + [503])
 
-    def test_answers_to_who_has_left_go_nowhere(self):
-        caller = self.caller(at_once=False)
+    def test_responses_after_a_disconnect_are_dropped(self):
+        caller = self.caller(immediately=False)
         caller.data_received(b"GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n")
         caller.transport.close()
         caller.connection_lost(None)
         self.held[0].reply(200)
-        self.turn()
+        self.run_callbacks()
         self.assertEqual((caller.transport.written, len(self.seen)), (b"", 1))
 
-    def test_one_that_says_nothing_is_closed_unless_it_waits_for_an_answer(self):
-        caller = self.caller(at_once=False)
+    def test_an_idle_connection_is_closed_unless_a_call_is_open(self):
+        caller = self.caller(immediately=False)
         caller.data_received(b"GET / HTTP/1.1\r\n\r\n")
         for _ in range(3):
             self.timers.pop()()
@@ -316,7 +316,7 @@
         self.assertTrue(caller.transport.closed)
         self.assertGreater(IDLE_TIMEOUT_S, 5.0)
 
-    def test_any_bytes_get_no_more_answers_than_calls_and_one_refusal(self):
+    def test_random_bytes_get_one_response_per_call_and_at_most_one_rejection(self):
         rng = random.Random(11)
         parts = [
             b"GET / HTTP/1.1\r\n\r\n",
@@ -332,25 +332,25 @@
             b"\r\n\r\n",
         ]
         for _ in range(1500):
-            caller = self.caller(at_once=rng.random() < 0.5)
+            caller = self.caller(immediately=rng.random() < 0.5)
             for piece in pieces(b"".join(rng.choices(parts, k=rng.randint(1, 6))), rng):
                 caller.data_received(piece)
             for call in self.held:
                 call.reply(200)
-                self.turn()
-            told = [status for status in self.statuses(caller) if status != 100]
-            self.assertIn(len(told) - len(self.seen), (0, 1))
-            self.assertEqual(told[: len(self.seen)], [200] * len(self.seen))
+                self.run_callbacks()
+            responses = [status for status in self.statuses(caller) if status != 100]
+            self.assertIn(len(responses) - len(self.seen), (0, 1))
+            self.assertEqual(responses[: len(self.seen)], [200] * len(self.seen))
 
 
-class Table(unittest.TestCase):
+class ControlCallTable(unittest.TestCase):
     def test_each_call_has_its_handler(self):
         for method, path, name in control_calls.TABLE:
             ident = "i-1" if path.endswith("/") else ""
             self.assertEqual(control_calls.find(method, path + ident), (name, ident))
             self.assertTrue(callable(getattr(ControlApi, f"call_{name}")), name)
 
-    def test_what_is_none(self):
+    def test_unknown_calls(self):
         for method, path, status in (
             ("GET", "/-/none", 404),
             ("PUT", "/-/backends/a/b", 404),
@@ -375,7 +375,7 @@
         "limits": {"nofile": 900},
     }
 
-    def test_what_is_wrong_is_named(self):
+    def test_errors_name_the_field(self):
         for change, field in (
             ({"seeds": ["x"]}, "seeds"),
             ({"bind": {"http": "a:70000"}}, "bind.http"),
@@ -389,12 +389,12 @@
                 settings.parse(json.dumps({**self.GOOD, **change}).encode())
             self.assertIn(field, str(raised.exception))
 
-    def test_what_is_null_or_not_known_is_left_out(self):
+    def test_null_and_unknown_fields_are_ignored(self):
         more = {"role": None, "more": {"x": 1}, "bounds": {"drain": None}}
-        told = settings.parse(json.dumps({**self.GOOD, **more}).encode())
-        self.assertEqual((told.role, told.bounds.drain, told.limits.nofile), ("", "2500ms", 900))
+        parsed = settings.parse(json.dumps({**self.GOOD, **more}).encode())
+        self.assertEqual((parsed.role, parsed.bounds.drain, parsed.limits.nofile), ("", "2500ms", 900))
 
-    def test_any_bytes_are_settings_or_an_error_of_ours(self):
+    def test_random_bytes_are_settings_or_a_settings_error(self):
         rng = random.Random(13)
         good = json.dumps({**self.GOOD, "hb": "1s", "bounds": {"grace": "6s"}}).encode()
         values = [b"null", b"-1", b"[]", b"{}", b'""', b'"\xff"', b"1e999", b"9" * 40, b'"\\ud800"', b"true"]
--- a/tests/fennelpoint/conftest.py
+++ b/tests/fennelpoint/conftest.py
@@ -1,4 +1,4 @@
-"""The small world as a fixture."""
+"""Fixture: a controller that knows two ready backends."""
 
 from __future__ import annotations
 
--- a/tests/fennelpoint/sockets.py
+++ b/tests/fennelpoint/sockets.py
@@ -1,4 +1,4 @@
-"""Loopback fakes for the tests of the socket side: a backend, discovery and a counter of a few lines each."""
+"""Fake backend, discovery and counter on loopback sockets, and an ingress that runs against them."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def run(coroutine: Awaitable) -> None:
-    """Run a test's coroutine on the loop that the ingress runs on; nothing here takes half a minute."""
+    """Run a test's coroutine on uvloop, as the ingress does, with a time limit."""
 
     async def limited() -> None:
         await asyncio.wait_for(coroutine, 30.0)
@@ -54,24 +54,24 @@
     uvloop.run(limited())
 
 
-async def until(condition: Callable[[], object], seconds: float = 10.0) -> None:
-    """Wait for a condition, not for a time."""
+async def wait_until(condition: Callable[[], object], seconds: float = 10.0) -> None:
+    """Wait for a condition."""
     for _ in range(int(seconds / 0.005)):
         if condition():
             return
         await asyncio.sleep(0.005)
-    raise AssertionError("it did not come about")
+    raise AssertionError("condition not met in time")
 
 
 async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """First line, fields and body of a request or an answer."""
+    """Read a request or an answer: first line, header fields and body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     fields = {name.lower(): value for name, _, value in (line.partition(": ") for line in head[1:] if line)}
     return head[0], fields, await reader.readexactly(int(fields.get("content-length", 0)))
 
 
-class Fake:
-    """A listening socket whose `handle` is a coroutine over one connection; it counts them."""
+class FakeServer:
+    """A listening socket; the coroutine `handle` serves one connection."""
 
     def __init__(self, handle: Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable]) -> None:
         self.handle, self.opened, self.writers = handle, 0, []
@@ -97,17 +97,17 @@
             writer.transport.abort()
 
 
-class Backend(Fake):
-    """Answers each request by `answer(line, fields, body)`, after a delay: bytes, or None to stay silent."""
+class FakeBackend(FakeServer):
+    """Answers each request by `answer(line, fields, body)`, after a delay; None sends nothing."""
 
-    def __init__(self, answer: Callable = lambda line, fields, body: ok(b"yes"), delay: float = 0.0) -> None:
+    def __init__(self, answer: Callable = lambda line, fields, body: response(b"yes"), delay: float = 0.0) -> None:
         super().__init__(self._handle)
-        self.answer, self.delay, self.seen = answer, delay, []
+        self.answer, self.delay, self.requests = answer, delay, []
 
     async def _handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             message = await read_message(reader)
-            self.seen.append(message)
+            self.requests.append(message)
             await asyncio.sleep(self.delay)
             if (data := self.answer(*message)) is not None:
                 writer.write(data)
@@ -115,18 +115,18 @@
                     return
 
 
-class List(Fake):
-    """Discovery: tells its members, and each change of them to the watch."""
+class FakeDiscovery(FakeServer):
+    """Discovery service: sends the full list of members, then changes to the watch."""
 
     def __init__(self, members: list[dict]) -> None:
         super().__init__(self._handle)
-        self.members, self.revision, self.changed, self.asked = members, 1, asyncio.Event(), []
+        self.members, self.revision, self.changed, self.requests = members, 1, asyncio.Event(), []
         self.changes: list[dict] = []
 
     async def _handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         while True:
             line, _, _ = await read_message(reader)
-            self.asked.append(line)
+            self.requests.append(line)
             watch = f"from={self.revision}&" in line
             if watch:
                 try:
@@ -135,19 +135,19 @@
                     pass
             members = self.changes if watch else self.members
             writer.write(
-                ok(json.dumps({"revision": self.revision, "complete": not watch, "members": members}).encode())
+                response(json.dumps({"revision": self.revision, "complete": not watch, "members": members}).encode())
             )
             self.changes = []
             self.changed.clear()
 
-    def tell(self, *members: dict) -> None:
+    def announce(self, *members: dict) -> None:
         self.revision, self.changes = self.revision + 1, list(members)
         self.members = [m for m in self.members if m["id"] not in {c["id"] for c in members}] + list(members)
         self.changed.set()
 
 
-class Count(Fake):
-    """The counter: adds up by name."""
+class FakeCounter(FakeServer):
+    """Counter service: adds up amounts by name."""
 
     def __init__(self) -> None:
         super().__init__(self._handle)
@@ -162,7 +162,7 @@
             writer.write(b"ok %f\r\n" % self.totals[name])
 
 
-def ok(body: bytes, status: str = "200 OK", fields: str = "") -> bytes:
+def response(body: bytes, status: str = "200 OK", fields: str = "") -> bytes:
     return f"HTTP/1.1 {status}\r\n{fields}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
@@ -179,16 +179,16 @@
     }
 
 
-class World:
-    """An ingress in this process, with its fakes."""
+class IngressHarness:
+    """An ingress in this process, with fake services."""
 
-    def __init__(self, backends: list[Backend], settings: dict, known: bool) -> None:
+    def __init__(self, backends: list[FakeBackend], settings: dict, known: bool) -> None:
         self.backends, self.settings, self.known = backends, settings, known
 
     async def start(self) -> None:
-        members = [member(f"s-{i}", await b.start()) for i, b in enumerate(self.backends)]
-        self.list, self.count = List(members), Count()
-        discovery, counter = await self.list.start(), await self.count.start()
+        members = [member(f"s-{i}", await backend.start()) for i, backend in enumerate(self.backends)]
+        self.discovery, self.counter = FakeDiscovery(members), FakeCounter()
+        discovery, counter = await self.discovery.start(), await self.counter.start()
         settings = from_json({**SETTINGS, **self.settings})
         known = {"revision": 1, "complete": True, "members": members}
         config = Config(
@@ -206,11 +206,11 @@
         await self.ingress.start()
         self.address = self.ingress.server.listener.sockets[0].getsockname()
         self.mgmt = self.ingress.operators.listener.sockets[0].getsockname()
-        await until(lambda: self.ingress.server.ready)
+        await wait_until(lambda: self.ingress.server.ready)
 
     def stop(self) -> None:
         self.ingress.close()
-        for fake in (*self.backends, self.list, self.count):
+        for fake in (*self.backends, self.discovery, self.counter):
             fake.stop()
 
     async def connect(self) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
@@ -218,49 +218,49 @@
 
 
 @asynccontextmanager
-async def world(*backends: Backend, known: bool = False, **settings):
-    made = World(list(backends), settings, known)
-    await made.start()
+async def running_ingress(*backends: FakeBackend, known: bool = False, **settings):
+    harness = IngressHarness(list(backends), settings, known)
+    await harness.start()
     try:
-        yield made
+        yield harness
     finally:
-        made.stop()
+        harness.stop()
 
 
-IDS = iter(range(1, 1 << 30))
+TXN_NUMBERS = iter(range(1, 1 << 30))
 
 
 def request(
     cls: str = "look",
     body: bytes = b"",
-    left: int = 2000,
+    remaining_ms: int = 2000,
     path: str = "/api",
     drop: str = "",
-    more: str = "",
+    extra_lines: str = "",
     **fields: str,
 ) -> bytes:
-    """A client's request; `fields` replace the usual ones (with _ for -), `drop` leaves one out."""
-    said = {
+    """A client's request; `fields` replace the default ones (with _ for -), `drop` omits one."""
+    headers = {
         "Host": "app.svc",
-        "X-Txn": f"{next(IDS):016x}",
+        "X-Txn": f"{next(TXN_NUMBERS):016x}",
         "X-Lane": cls,
         "Api-Plan": "basic",
         "Cookie": "account=00000000b4d65521",
-        "X-Remaining-Ms": str(left),
+        "X-Remaining-Ms": str(remaining_ms),
         "Api-Terms": "units=1,spread=2,first=0",
     }
     if cls == "book" and "Transfer_Encoding" not in fields:
-        said["Content-Length"] = str(len(body))
-    said.update({name.replace("_", "-"): value for name, value in fields.items()})
-    said.pop(drop, None)
+        headers["Content-Length"] = str(len(body))
+    headers.update({name.replace("_", "-"): value for name, value in fields.items()})
+    headers.pop(drop, None)
     method = "GET" if cls == "look" else "POST"
-    lines = [f"{method} {path} HTTP/1.1", *(f"{name}: {value}" for name, value in said.items())]
-    return ("\r\n".join(lines) + "\r\n" + more + "\r\n").encode() + body
+    lines = [f"{method} {path} HTTP/1.1", *(f"{name}: {value}" for name, value in headers.items())]
+    return ("\r\n".join(lines) + "\r\n" + extra_lines + "\r\n").encode() + body
 
 
-async def ask(made: World, data: bytes) -> tuple[str, dict[str, str], bytes]:
-    """One request on a connection of its own; its answer."""
-    reader, writer = await made.connect()
+async def send_request(harness: IngressHarness, data: bytes) -> tuple[str, dict[str, str], bytes]:
+    """Send one request on a new connection; returns its answer."""
+    reader, writer = await harness.connect()
     writer.write(data)
     try:
         return await read_message(reader)
--- a/tests/fennelpoint/test_adapter.py
+++ b/tests/fennelpoint/test_adapter.py
@@ -1,4 +1,4 @@
-"""The codec against bytes laid out by hand, and the process against bad input."""
+"""The wire codec against hand-written bytes, and the process against invalid input."""
 
 import struct
 import subprocess
@@ -54,8 +54,8 @@
     return record(30, struct.pack(">QI", 5, len(data)) + data, instance)
 
 
-def request(cls: int = 0, plan: int = 0, left: float = 2.0, units: float = 1.0) -> bytes:
-    return record(80, struct.pack(">IBIQdfffB", 7, cls, plan, 9, left, units, 2.0, 0.0, 0))
+def request(cls: int = 0, plan: int = 0, time_left: float = 2.0, units: float = 1.0) -> bytes:
+    return record(80, struct.pack(">IBIQdfffB", 7, cls, plan, 9, time_left, units, 2.0, 0.0, 0))
 
 
 def outcome(latency: float = 0.1, report: tuple[float, ...] = ()) -> bytes:
@@ -75,7 +75,7 @@
     return subprocess.run([sys.executable, "-m", "fennelpoint.adapter"], input=data, capture_output=True)
 
 
-def knock(instance: int = 3) -> bytes:
+def sample_request(instance: int = 3) -> bytes:
     return (
         bytes.fromhex("500000002a")
         + struct.pack(">I", instance)
@@ -86,9 +86,9 @@
 def event(data: bytes) -> api.Event:
     code, _ = adapter.RECORD_HEADER.unpack_from(data)
     reader = adapter.Reader(data[adapter.RECORD_HEADER.size + 4 :], "here")
-    made = adapter.EVENTS[code](reader)
+    parsed = adapter.EVENTS[code](reader)
     reader.finish()
-    return made
+    return parsed
 
 
 @pytest.mark.parametrize(
@@ -97,7 +97,7 @@
         (
             "50 0000002a 00000003 5d3a91c4 00 00000000 91f03b7c55d20a64 3fceb851eb851eb8 40000000 40400000 3f800000"
             "02",
-            api.Request(0x5D3A91C4, 0, 0, 0x91F03B7C55D20A64, 0.24, 2.0, 3.0, 1.0, is_repeat=True),
+            api.Request(0x5D3A91C4, 0, 0, 0x91F03B7C55D20A64, 0.24, 2.0, 3.0, 1.0, is_retry=True),
         ),
         (
             "64 00000020 00000003 5d3a91c4 01 0a124a07 2bc3 3f92f1a9fbe76c8b 0064 0000 0056 0003 00",
@@ -128,14 +128,14 @@
     ],
 )
 def test_events_from_bytes(text, expected):
-    made = event(bytes.fromhex(text))
-    if hasattr(made, "latency"):
-        assert made.latency == pytest.approx(expected.latency, rel=0.01)
-        made.latency = expected.latency
-    if hasattr(made, "time_left"):
-        assert made.time_left == pytest.approx(expected.time_left, rel=0.01)
-        made.time_left = expected.time_left
-    assert made == expected
+    parsed = event(bytes.fromhex(text))
+    if hasattr(parsed, "latency"):
+        assert parsed.latency == pytest.approx(expected.latency, rel=0.01)
+        parsed.latency = expected.latency
+    if hasattr(parsed, "time_left"):
+        assert parsed.time_left == pytest.approx(expected.time_left, rel=0.01)
+        parsed.time_left = expected.time_left
+    assert parsed == expected
 
 
 @pytest.mark.parametrize(
@@ -148,11 +148,11 @@
         (api.SetTimer(0.5, 77), "32 00000010 00000003 3fe0000000000000 0000004d"),
         (api.Probe(BACKEND), "3c 0000000a 00000003 0a124a07 2bc3"),
         (api.CloseIdle(BACKEND), "46 0000000a 00000003 0a124a07 2bc3"),
-        (api.Tell(b"hi 7"), "50 0000000e 00000003 ffffffff 0004 68692037"),
+        (api.SendPeerMessage(b"hi 7"), "50 0000000e 00000003 ffffffff 0004 68692037"),
         (api.Log("two servers known"), "5a 00000017 00000003 0011 74776f2073657276657273206b6e6f776e"),
         (api.Subscribe(), "6e 00000005 00000003 01"),
         (api.FetchRoster(), "78 00000004 00000003"),
-        (api.Count(9041552, 4.0, 3.0), "82 00000018 00000003 000000000089f690 40800000 4008000000000000"),
+        (api.CounterAdd(9041552, 4.0, 3.0), "82 00000018 00000003 000000000089f690 40800000 4008000000000000"),
     ],
 )
 def test_actions_to_bytes(action, text):
@@ -161,50 +161,55 @@
 
 def test_settings_ignore_unknown_keys_and_leave_absent_ones_empty():
     settings = from_lines(ENV)
-    assert (settings.me, settings.ingresses, settings.has_counter, settings.may_probe) == (1, 2, False, False)
-    assert settings.classes[0].aim_stretch == 0.0 and settings.plans[0].ceiling_rate == 0.0
-    assert from_lines(ENV + "grades.0.aim_stretch=1.5\n").classes[0].aim_stretch == 1.5
+    assert (settings.ingress_index, settings.ingresses, settings.has_counter, settings.may_probe) == (
+        1,
+        2,
+        False,
+        False,
+    )
+    assert settings.classes[0].latency_target_stretch == 0.0 and settings.plans[0].ceiling_rate == 0.0
+    assert from_lines(ENV + "grades.0.aim_stretch=1.5\n").classes[0].latency_target_stretch == 1.5
 
 
-def test_process_sends_a_request_on_and_stops_with_its_input():
-    done = run(batch() + batch(spawn(), roster()) + batch(knock()))
+def test_process_forwards_a_request_and_ends_with_its_input():
+    done = run(batch() + batch(spawn(), roster()) + batch(sample_request()))
     assert done.returncode == 0 and done.stderr == b""
     assert done.stdout.startswith(bytes(8))
     assert b"\x0a\x00\x00\x00\x16\x00\x00\x00\x03\x5d\x3a\x91\xc4" + BACKEND in done.stdout
 
 
-def test_stop_and_start_in_one_batch_begin_from_nothing():
+def test_stop_and_start_in_one_batch_begin_with_empty_state():
     host = adapter.Host()
-    host.batch(*take(batch(spawn(), roster())), 0)
+    host.batch(*split_batch(batch(spawn(), roster())), 0)
     first = host.instances[3]
-    host.batch(*take(batch(record(70, b""), spawn())), 1)
-    assert host.instances[3] is not first and not host.instances[3].fleet.known
+    host.batch(*split_batch(batch(record(70, b""), spawn())), 1)
+    assert host.instances[3] is not first and not host.instances[3].fleet.backends
 
 
 def test_event_for_a_stopped_instance_is_ignored():
     host = adapter.Host()
-    assert host.batch(*take(batch(record(20, struct.pack(">I", 9)))), 0) == bytes(8)
+    assert host.batch(*split_batch(batch(record(20, struct.pack(">I", 9)))), 0) == bytes(8)
 
 
-def take(frame: bytes) -> tuple[bytes, int, float]:
+def split_batch(frame: bytes) -> tuple[bytes, int, float]:
     _, now, count = adapter.BATCH_HEADER.unpack_from(frame)
     return frame[adapter.BATCH_HEADER.size :], count, now
 
 
-def test_frames_are_read_whole_however_they_are_chopped():
-    class Drip:
+def test_frames_are_read_whole_from_short_reads():
+    class ShortReads:
         def __init__(self, data):
             self.data = data
 
         def read(self, size):
-            part, self.data = self.data[: min(3, size)], self.data[min(3, size) :]
-            return part
+            piece, self.data = self.data[: min(3, size)], self.data[min(3, size) :]
+            return piece
 
-    assert adapter.read_exactly(Drip(b"0123456789"), 8) == b"01234567"
+    assert adapter.read_exactly(ShortReads(b"0123456789"), 8) == b"01234567"
 
 
 @pytest.mark.parametrize(
-    "data, says",
+    "data, message",
     [
         (batch(spawn())[:-5], "batch 0: the input ends after"),
         (batch()[:7], "batch 0: the input ends inside its header"),
@@ -218,30 +223,33 @@
         (batch(record(100, bytes(27) + struct.pack(">HHHB", 0, 0, 0, 0))), "unknown status 0"),
         (batch(spawn(), roster(), request(cls=1)), "record 2: class 1 is not among the 1 of the settings"),
         (batch(spawn(), roster(), request(plan=4)), "record 2: plan 4 is not among the 1 of the settings"),
-        (batch(spawn(), request(left=float("nan"))), "record 1: time left nan is not a finite figure"),
+        (batch(spawn(), request(time_left=float("nan"))), "record 1: time left nan is not a finite figure"),
         (batch(spawn(), request(units=-1.0)), "record 1: units -1.0 is not a finite figure"),
         (batch(spawn(), outcome(latency=-0.5)), "record 1: latency -0.5 is not a finite figure"),
         (batch(spawn(), outcome(report=(float("inf"),))), "record 1: a load report of [inf] is not finite"),
         (batch(spawn(), record(90, struct.pack(">QHfd", 9, 100, float("nan"), 0.1))), "total nan is not finite"),
-        (batch(spawn(ENV.replace("aim_s=1.0", "aim_s=9.0"))), "record 0: classes[0].aim: 9.0 is not between 0"),
+        (
+            batch(spawn(ENV.replace("aim_s=1.0", "aim_s=9.0"))),
+            "record 0: classes[0].latency_target: 9.0 is not between 0",
+        ),
         (batch(spawn(ENV.replace("quota_rate=4.0", "quota_rate=-4.0"))), "plans[0].rate: -4.0 is not a finite"),
         (batch(spawn(ENV.replace("grades.count=1", "grades.count=0"))), "classes: there must be one at least"),
     ],
 )
-def test_bad_input_ends_with_one_plain_line(data, says):
+def test_invalid_input_ends_with_one_error_line(data, message):
     done = run(data)
     lines = done.stderr.decode().splitlines()
-    assert done.returncode == 1 and len(lines) == 1 and says in lines[0]
+    assert done.returncode == 1 and len(lines) == 1 and message in lines[0]
     assert "Traceback" not in lines[0]
 
 
-def test_exception_in_the_decisions_is_declared(monkeypatch):
+def test_exception_in_the_decision_module_is_reported(monkeypatch):
     host = adapter.Host()
-    host.batch(*take(batch(spawn())), 0)
+    host.batch(*split_batch(batch(spawn())), 0)
 
     def broken(event, now):
         raise KeyError("lost")
 
     monkeypatch.setattr(host.instances[3], "handle", broken)
-    reply = host.batch(*take(batch(record(20, struct.pack(">I", 9)))), 1)
+    reply = host.batch(*split_batch(batch(record(20, struct.pack(">I", 9)))), 1)
     assert reply[8] == 100 and b"KeyError: 'lost'" in reply
--- a/tests/fennelpoint/test_bans.py
+++ b/tests/fennelpoint/test_bans.py
@@ -1,4 +1,4 @@
-"""Backends that operators take out: the module keeps to that whatever the list says."""
+"""Backends that operators withdraw: they get no requests, whatever the roster says."""
 
 import pytest
 
@@ -7,15 +7,15 @@
 
 
 def sent(world: World, times: int = 20) -> dict[str, int]:
-    """Where that many requests go, each answered at once."""
-    to: dict[str, int] = {}
+    """Count by backend where requests go, each answered at once."""
+    counts: dict[str, int] = {}
     for _ in range(times):
         for a in world.ask(SAFE, customer=1000 + world.ids):
             if isinstance(a, api.Send):
-                to[a.backend] = to.get(a.backend, 0) + 1
-                world.answer(a.request, a.backend)
+                counts[a.backend] = counts.get(a.backend, 0) + 1
+                world.answer(a.request_id, a.backend)
         world.wait(0.05)
-    return to
+    return counts
 
 
 @pytest.mark.parametrize(
@@ -27,7 +27,7 @@
     ],
     ids=["nothing", "a new start", "gone from the list"],
 )
-def test_a_ban_outlives_every_list(world, then):
+def test_withdrawal_outlives_every_roster(world, then):
     assert "a" in sent(world)
     world.give(api.Withdraw("a"))
     if then:
@@ -40,40 +40,40 @@
     assert "a" in sent(world)
 
 
-def test_put_back_it_is_cold_and_warms_up_in_the_usual_time(world):
-    backend = world.control.fleet.known["a"]
+def test_restored_backend_is_cold_and_warms_up_in_the_ramp_time(world):
+    backend = world.control.fleet.backends["a"]
     world.give(api.Withdraw("a"))
     world.give(api.Withdraw("a"))
     world.wait(1.0)
-    world.give(api.Restore("a"))  # one call ends it
+    world.give(api.Restore("a"))  # one call ends both withdrawals
     assert world.control.choice.cold_share(backend, world.now) == world.settings.cold_share
     assert 0 < sent(world, 40).get("a", 0) < 20
     world.wait(world.settings.ramp_time)
     assert world.control.choice.cold_share(backend, world.now) == 1.0
-    # The list tells late of the start it had meanwhile: it is no warmer for that.
+    # The roster lists a start from before the restart late: the backend stays cold.
     world.give(api.Withdraw("a"))
     world.give(api.Restore("a"))
     world.roster(api.BackendEntry("a", READY, started_at=world.now - 50.0), kind=api.RosterKind.CHANGES)
-    share = world.control.choice.cold_share(world.control.fleet.known["a"], world.now)
+    share = world.control.choice.cold_share(world.control.fleet.backends["a"], world.now)
     assert share == world.settings.cold_share
 
 
-def test_start_that_the_list_told_of_meanwhile_is_where_the_ramp_begins(world):
+def test_ramp_begins_at_a_start_that_was_listed_while_withdrawn(world):
     world.give(api.Withdraw("a"))
     world.wait(2.0)
     world.roster(api.BackendEntry("a", READY, started_at=world.now), kind=api.RosterKind.CHANGES)
     world.wait(5.0)
     world.give(api.Restore("a"))
-    share = world.control.choice.cold_share(world.control.fleet.known["a"], world.now)
+    share = world.control.choice.cold_share(world.control.fleet.backends["a"], world.now)
     assert share == pytest.approx(0.2 + 0.8 * 0.5)
 
 
-def test_put_back_without_a_ban_it_stays_warm(world):
+def test_restore_without_a_withdrawal_keeps_a_backend_warm(world):
     world.give(api.Restore("a"))
-    assert world.control.choice.cold_share(world.control.fleet.known["a"], world.now) == 1.0
+    assert world.control.choice.cold_share(world.control.fleet.backends["a"], world.now) == 1.0
 
 
-def test_what_waits_goes_on_once_the_only_backend_is_back():
+def test_held_request_is_sent_once_the_only_backend_is_restored():
     world = World(make_settings(cold_share=1.0))
     world.backends("a")
     world.give(api.Withdraw("a"))
@@ -81,15 +81,15 @@
     assert [a for a in world.give(api.Restore("a")) if isinstance(a, api.Send)]
 
 
-def test_module_tells_whom_it_knows_and_whom_it_avoids(world):
-    assert world.control.names("a") and not world.control.names("c")
-    assert world.control.cluster(world.now) == (2, 0)
+def test_controller_reports_known_backends_and_unused_ones(world):
+    assert world.control.knows("a") and not world.control.knows("c")
+    assert world.control.backend_counts(world.now) == (2, 0)
     world.give(api.Withdraw("a"))
     world.roster(api.BackendEntry("c", DRAINING), kind=api.RosterKind.CHANGES)
-    assert world.control.cluster(world.now) == (3, 2)
+    assert world.control.backend_counts(world.now) == (3, 2)
     world.roster(api.BackendEntry("a", GONE), kind=api.RosterKind.CHANGES)
-    assert world.control.cluster(world.now) == (2, 1) and world.control.names("a")
+    assert world.control.backend_counts(world.now) == (2, 1) and world.control.knows("a")
     actions = world.ask(SAFE)
     assert [a.backend for a in actions] == ["b"]
-    world.answer(actions[0].request, "b", api.Status.RESET)
-    assert world.control.cluster(world.now) == (2, 2)  # it rests
+    world.answer(actions[0].request_id, "b", api.Status.RESET)
+    assert world.control.backend_counts(world.now) == (2, 2)  # paused after a failure
--- a/tests/fennelpoint/test_library.py
+++ b/tests/fennelpoint/test_library.py
@@ -1,4 +1,4 @@
-"""The library as a new user meets it: the README's example, and settings that can't work."""
+"""The library: the README's example, invalid settings, independent instances, import cycles."""
 
 import ast
 import re
@@ -19,15 +19,15 @@
     (example,) = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     exec(compile(ast.parse(example), "README.md", "exec"), {})
     printed = capsys.readouterr().out.splitlines()
-    (said,) = re.findall(r"second line printed is `(.*)`", text)
-    assert printed[1] == said
+    (expected,) = re.findall(r"second line printed is `(.*)`", text)
+    assert printed[1] == expected
 
 
-READ = api.RequestClass("read", aim=1.0, deadline=4.0, worth=1.0, effect=api.Effect.SAFE)
+READ = api.RequestClass("read", latency_target=1.0, deadline=4.0, worth=1.0, effect=api.Effect.SAFE)
 
 
 @pytest.mark.parametrize(
-    "changes, says",
+    "changes, message",
     [
         (dict(classes=[]), "classes"),
         (dict(plans=[]), "plans"),
@@ -35,13 +35,16 @@
         (dict(max_attempts=0), "max_attempts"),
         (dict(tick=float("nan")), "tick"),
         (dict(cold_share=-0.1), "cold_share"),
-        (dict(classes=[READ, api.RequestClass("slow", 5.0, 4.0, 1.0, api.Effect.SAFE)]), r"classes\[1\].aim"),
+        (
+            dict(classes=[READ, api.RequestClass("slow", 5.0, 4.0, 1.0, api.Effect.SAFE)]),
+            r"classes\[1\].latency_target",
+        ),
         (dict(plans=[api.Plan("basic", price=1.0, rate=-1.0)]), r"plans\[0\].rate"),
         (dict(plans=[api.Plan("basic", price=float("inf"))]), r"plans\[0\].price"),
     ],
 )
-def test_settings_that_cannot_work_are_refused_by_the_name_of_the_field(changes, says):
-    with pytest.raises(ValueError, match=says):
+def test_invalid_settings_are_rejected_with_the_name_of_the_field(changes, message):
+    with pytest.raises(ValueError, match=message):
         make_settings(**changes)
 
 
@@ -54,13 +57,13 @@
             out += control.handle(ask, 0.1 * i)
         return out
 
-    one, two = (Controller(make_settings(), seed=3, now=0.0) for _ in range(2))
-    assert run(one) == run(two)
-    assert run(Controller(make_settings(), seed=4, now=0.0)) != run(one)
+    first, second = (Controller(make_settings(), seed=3, now=0.0) for _ in range(2))
+    assert run(first) == run(second)
+    assert run(Controller(make_settings(), seed=4, now=0.0)) != run(first)
 
 
-def test_modules_do_not_import_each_other_in_a_circle():
-    """Imports for type checks count too: whoever reads one module of a circle has to read them all."""
+def test_modules_have_no_import_cycles():
+    """Imports for type checks count too: modules of a cycle can only be understood together."""
     root = Path(fennelpoint.__file__).parent
     files = {".".join(p.relative_to(root.parent).with_suffix("").parts): p for p in root.rglob("*.py")}
     imports: dict[str, set[str]] = {}
@@ -68,9 +71,9 @@
         imports[name] = set()
         for node in ast.walk(ast.parse(path.read_text())):
             if isinstance(node, ast.ImportFrom) and node.module:
-                told = {node.module, *(f"{node.module}.{each.name}" for each in node.names)}
-                imports[name] |= told & files.keys()
-    while leaves := [name for name, wanted in imports.items() if not wanted & imports.keys()]:
+                imported = {node.module, *(f"{node.module}.{each.name}" for each in node.names)}
+                imports[name] |= imported & files.keys()
+    while leaves := [name for name, needed in imports.items() if not needed & imports.keys()]:
         for name in leaves:
             del imports[name]
     assert not imports
--- a/tests/fennelpoint/test_lost.py
+++ b/tests/fennelpoint/test_lost.py
@@ -1,4 +1,4 @@
-"""Answers that never come: how long an attempt is waited for, and what follows."""
+"""Answers that never come: attempt timeouts and what follows them."""
 
 import pytest
 
@@ -9,54 +9,54 @@
 
 
 @pytest.fixture
-def quick_world() -> World:
-    """All answers have come within a tenth of a second, where the aim is one."""
-    made = World(make_settings(max_attempts=3, may_cancel=True))
-    made.backends("a", "b", "c")
+def fast_world() -> World:
+    """Return a world whose answers all came within a tenth of the latency target."""
+    world = World(make_settings(max_attempts=3, may_cancel=True))
+    world.backends("a", "b", "c")
     for customer in range(250):
         for cls in (SAFE, UNSAFE, KEYED):
-            (send,) = made.ask(cls, customer=customer)
-            made.now += 0.05
-            made.answer(send.request, send.backend, latency=0.05)
-    return made
+            (send,) = world.ask(cls, customer=customer)
+            world.now += 0.05
+            world.answer(send.request_id, send.backend, latency=0.05)
+    return world
 
 
 @pytest.mark.parametrize("cls", [SAFE, KEYED])
-def test_attempt_whose_answer_is_lost_is_given_up_in_time_for_another(quick_world, cls):
-    (send,) = quick_world.ask(cls, customer=1000)
+def test_attempt_without_an_answer_times_out_in_time_for_another(fast_world, cls):
+    (send,) = fast_world.ask(cls, customer=1000)
     assert 0.05 < send.timeout < 0.5
-    quick_world.now += send.timeout
-    (again,) = quick_world.answer(send.request, send.backend, TIMEOUT, send.timeout)
+    fast_world.now += send.timeout
+    (again,) = fast_world.answer(send.request_id, send.backend, TIMEOUT, send.timeout)
     assert isinstance(again, api.Send) and again.backend != send.backend
 
 
-def test_what_may_have_run_and_must_not_run_twice_is_waited_for(quick_world):
-    (send,) = quick_world.ask(UNSAFE, customer=1000)
+def test_unsafe_request_has_no_attempt_timeout(fast_world):
+    (send,) = fast_world.ask(UNSAFE, customer=1000)
     assert send.timeout == 0.0
 
 
-def test_last_attempt_is_waited_for(quick_world):
-    (send,) = quick_world.ask(SAFE, customer=1000)
+def test_last_attempt_has_no_timeout(fast_world):
+    (send,) = fast_world.ask(SAFE, customer=1000)
     for _ in range(2):
-        quick_world.now += 0.1
-        (send,) = quick_world.answer(send.request, send.backend, TIMEOUT, 0.1)
+        fast_world.now += 0.1
+        (send,) = fast_world.answer(send.request_id, send.backend, TIMEOUT, 0.1)
     assert send.timeout == 0.0
 
 
-def test_back_end_that_slows_is_given_more_time(quick_world):
-    (send,) = quick_world.ask(SAFE, customer=1000)
+def test_timeout_grows_while_a_back_end_slows_down(fast_world):
+    (send,) = fast_world.ask(SAFE, customer=1000)
     for customer in range(1001, 1010):
-        (late,) = quick_world.ask(SAFE, customer=customer)
-        quick_world.now += 0.2
-        quick_world.answer(late.request, late.backend, latency=0.2)
-    (later,) = quick_world.ask(SAFE, customer=1100)
+        (late,) = fast_world.ask(SAFE, customer=customer)
+        fast_world.now += 0.2
+        fast_world.answer(late.request_id, late.backend, latency=0.2)
+    (later,) = fast_world.ask(SAFE, customer=1100)
     assert later.timeout > 1.5 * send.timeout
 
 
-def test_cold_backend_is_given_more_time(quick_world):
-    (warm,) = quick_world.ask(SAFE, customer=1000)
-    quick_world.roster(api.BackendEntry("cold", READY, started_at=quick_world.now - 4.0))  # can do 0.52
-    sends = quick_world.ask(SAFE, customer=1001)
-    for customer in range(1002, 1020):  # it is drawn as seldom as it is cold
-        sends = sends or quick_world.ask(SAFE, customer=customer)
+def test_cold_backend_has_a_longer_timeout(fast_world):
+    (warm,) = fast_world.ask(SAFE, customer=1000)
+    fast_world.roster(api.BackendEntry("cold", READY, started_at=fast_world.now - 4.0))  # its cold share is 0.52
+    sends = fast_world.ask(SAFE, customer=1001)
+    for customer in range(1002, 1020):  # a cold backend is drawn rarely
+        sends = sends or fast_world.ask(SAFE, customer=customer)
     assert sends[0].backend == "cold" and sends[0].timeout > 1.5 * warm.timeout
--- a/tests/fennelpoint/test_notice.py
+++ b/tests/fennelpoint/test_notice.py
@@ -1,4 +1,4 @@
-"""The log: complaints of one part are rate-limited, and a stuck reader holds nothing up."""
+"""Warnings are rate-limited by component, and a blocked log reader blocks nothing else."""
 
 import logging
 import threading
@@ -18,26 +18,26 @@
 
     clock = Clock()
     monkeypatch.setattr(notice, "time", clock)
-    monkeypatch.setattr(notice, "_next", {})
-    monkeypatch.setattr(notice, "_untold", {})
+    monkeypatch.setattr(notice, "_next_warning_at", {})
+    monkeypatch.setattr(notice, "_suppressed", {})
     return clock
 
 
-def test_complaints_of_a_part_come_at_most_once_in_a_while(clock, caplog):
+def test_warnings_of_a_component_are_rate_limited(clock, caplog):
     for _ in range(3):
-        notice.complain("counter", "is silent for %d ms", 30)
-    notice.complain("upstream", "100% of it is in use")
+        notice.warn_rate_limited("counter", "is silent for %d ms", 30)
+    notice.warn_rate_limited("upstream", "100% of it is in use")
     assert [r.getMessage() for r in caplog.records] == [
         "counter: is silent for 30 ms",
         "upstream: 100% of it is in use",
     ]
-    clock.now += notice.EVERY
-    notice.complain("counter", "is back")
+    clock.now += notice.WARNING_INTERVAL_S
+    notice.warn_rate_limited("counter", "is back")
     assert caplog.records[-1].getMessage() == "counter: is back (2 more before this)"
 
 
-def test_stuck_reader_of_the_log_holds_nobody_up(monkeypatch):
-    monkeypatch.setattr(notice, "WAITING", 5)
+def test_blocked_log_reader_blocks_nobody_else(monkeypatch):
+    monkeypatch.setattr(notice, "MAX_QUEUED_RECORDS", 5)
     go_on, written = threading.Event(), []
 
     class Stuck(logging.Handler):
@@ -47,14 +47,14 @@
 
     handler = notice.in_background(Stuck())
     try:
-        for _ in range(100):  # would not come back within the test if one of them waited
+        for _ in range(100):  # would not finish in time if one of them blocked
             handler.handle(logging.LogRecord("x", logging.INFO, "", 0, "said", (), None))
         assert not written
     finally:
         go_on.set()
 
 
-def test_line_is_laid_out_once():
+def test_record_is_formatted_once():
     done, written = threading.Event(), []
 
     class Last(logging.Handler):
--- a/tests/fennelpoint/test_program.py
+++ b/tests/fennelpoint/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: its configuration, its signals, its exit."""
+"""The program: its configuration, signals and exit."""
 
 import json
 import os
@@ -19,9 +19,9 @@
 
 
 def config(**changes) -> dict:
-    with socket.socket() as free:  # a port that nobody listens on
-        free.bind(("127.0.0.1", 0))
-        listen = f"127.0.0.1:{free.getsockname()[1]}"
+    with socket.socket() as probe:  # to find a free port
+        probe.bind(("127.0.0.1", 0))
+        listen = f"127.0.0.1:{probe.getsockname()[1]}"
     return {
         "name": "n0",
         "listen": listen,
@@ -35,8 +35,8 @@
     }
 
 
-def start(path: Path, value: object) -> subprocess.Popen:
-    path.write_text(value if isinstance(value, str) else json.dumps(value))
+def start(path: Path, configuration: object) -> subprocess.Popen:
+    path.write_text(configuration if isinstance(configuration, str) else json.dumps(configuration))
     return subprocess.Popen(
         [sys.executable, "-m", "fennelpoint"],
         cwd=ROOT,
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    "changes, says",
+    "changes, message",
     [
         (dict(listen="here"), "listen"),
         (dict(discovery=None), "discovery"),
@@ -65,21 +65,21 @@
         (dict(settings={**SETTINGS, "contracts": [{"name": "x", "pays": True}]}), "contracts.0.pays"),
     ],
 )
-def test_bad_configuration_ends_with_one_line_that_names_the_field(tmp_path, changes, says):
+def test_invalid_configuration_ends_with_one_line_that_names_the_field(tmp_path, changes, message):
     process = start(tmp_path / "config.json", config(**changes))
     _, errors = process.communicate(timeout=30)
     lines = errors.decode().splitlines()
-    assert process.returncode != 0 and len(lines) == 1 and says in lines[0]
+    assert process.returncode != 0 and len(lines) == 1 and message in lines[0]
 
 
-def test_program_starts_by_what_it_knew_reloads_on_sighup_and_stops_on_sigterm(tmp_path):
-    value = config()
-    process = start(tmp_path / "config.json", value)
+def test_program_starts_with_the_cached_list_reloads_on_sighup_and_stops_on_sigterm(tmp_path):
+    configuration = config()
+    process = start(tmp_path / "config.json", configuration)
     try:
         for line in process.stderr:
             if b"is ready" in line:
                 break
-        host, port = value["listen"].split(":")
+        host, port = configuration["listen"].split(":")
         with socket.create_connection((host, int(port)), timeout=10) as client:
             client.sendall(b"GET /ready HTTP/1.1\r\nHost: app.svc\r\n\r\n")
             assert client.recv(4096).startswith(b"HTTP/1.1 200 OK")
@@ -97,10 +97,10 @@
 
 
 def test_program_survives_running_out_of_descriptors(tmp_path):
-    """A crowd of connections must not take along those that come once it has left."""
-    value = config(limits={"sockets": 64})
+    """Connections beyond the limit must not affect those that come after they are closed."""
+    configuration = config(limits={"sockets": 64})
     path = tmp_path / "config.json"
-    path.write_text(json.dumps(value))
+    path.write_text(json.dumps(configuration))
     process = subprocess.Popen(
         [sys.executable, "-m", "fennelpoint"],
         cwd=ROOT,
@@ -108,17 +108,17 @@
         env={**os.environ, "BALANCER_CONFIG": str(path)},
         preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (64, 64)),
     )
-    host, port = value["listen"].split(":")
-    crowd = []
+    host, port = configuration["listen"].split(":")
+    connections = []
     try:
         for line in process.stderr:
             if b"is ready" in line:
                 break
         for _ in range(150):
             client = socket.create_connection((host, int(port)), timeout=10)
-            client.sendall(b"GET /api HTTP/1.1\r\nX-Txn: ")  # begun, so not idle: none may be closed for it
-            crowd.append(client)
-        for client in crowd:
+            client.sendall(b"GET /api HTTP/1.1\r\nX-Txn: ")  # a started request, so that the connection is not idle
+            connections.append(client)
+        for client in connections:
             client.close()
         end = time.monotonic() + 20.0
         answer = b""
@@ -135,7 +135,7 @@
         process.communicate()
 
 
-def test_deploy_file_names_what_is_there():
+def test_deploy_file_names_files_that_exist():
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
     assert all((ROOT / path).exists() for path in deploy["policy"] + deploy["node"])
     assert deploy["run"].endswith("-m fennelpoint") and deploy["sim"].endswith("-m fennelpoint.adapter")
--- a/tests/fennelpoint/test_upstream.py
+++ b/tests/fennelpoint/test_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to backends: what is reused, what is not, and what each way of ending proves."""
+"""Connection pool: reuse of connections, and what the end of each exchange proves."""
 
 import asyncio
 
@@ -6,12 +6,21 @@
 
 from fennelpoint.interface import BackendState, Probe, Status
 from fennelpoint.net import backends
-from fennelpoint.net.backends import Exchange, load_report
-from tests.fennelpoint.sockets import Backend, ask, member, ok, request, run, until, world
+from fennelpoint.net.backends import Exchange, parse_load_report
+from tests.fennelpoint.sockets import (
+    FakeBackend,
+    member,
+    request,
+    response,
+    run,
+    running_ingress,
+    send_request,
+    wait_until,
+)
 
-# Each request is asked in turn; what the client gets is told by the status.
+# Status codes of the client's answers.
 SERVED, REFUSED, FAILED = "200", "503", "502"
-ACCOUNT = b"%d" % 0xB4D65521  # the usual customer, as the counter is told its name
+ACCOUNT = b"%d" % 0xB4D65521  # the default customer, as named to the counter
 
 
 def status(answer: tuple) -> str:
@@ -19,41 +28,43 @@
 
 
 def test_a_connection_is_kept_and_used_again():
-    """The parser forgets whether to keep a connection once it returns; each attempt opened a new one."""
+    """Whether to keep a connection must be asked while the parser runs; it forgets it on return."""
 
-    async def play() -> None:
-        backend = Backend()
-        async with world(backend) as made:
+    async def scenario() -> None:
+        backend = FakeBackend()
+        async with running_ingress(backend) as harness:
             for _ in range(5):
-                line, _, body = await ask(made, request())
+                line, _, body = await send_request(harness, request())
                 assert line == "HTTP/1.1 200 OK" and body == b"yes"
-            assert len(backend.seen) == 5 and backend.opened == 1
-            await until(lambda: len(made.list.asked) > 4)
-            assert made.list.opened == 1
+            assert len(backend.requests) == 5 and backend.opened == 1
+            await wait_until(lambda: len(harness.discovery.requests) > 4)
+            assert harness.discovery.opened == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_request_goes_on_with_its_method_path_body_and_id():
-    async def play() -> None:
-        backend = Backend(lambda line, fields, body: ok(body[::-1]))
-        async with world(backend) as made:
-            answer = await ask(made, request("book", b"0123", left=5000, path="/api/x?y=1", X_Txn="abc"))
+    async def scenario() -> None:
+        backend = FakeBackend(lambda line, fields, body: response(body[::-1]))
+        async with running_ingress(backend) as harness:
+            answer = await send_request(
+                harness, request("book", b"0123", remaining_ms=5000, path="/api/x?y=1", X_Txn="abc")
+            )
             assert answer[2] == b"3210"
-            line, fields, body = backend.seen[0]
+            line, fields, body = backend.requests[0]
             assert (line, body, fields["x-txn"]) == ("POST /api/x?y=1 HTTP/1.1", b"0123", "abc")
             assert 0 < int(fields["x-remaining-ms"]) <= 5000
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
-    "answer, gets",
+    "answer, expected",
     [
-        (ok(b"no", "500 Internal Server Error"), FAILED),
-        (ok(b"no", "503 Service Unavailable"), FAILED),  # without the field that proves it never ran
+        (response(b"no", "500 Internal Server Error"), FAILED),
+        (response(b"no", "503 Service Unavailable"), FAILED),  # without the field that proves that it has not run
         (b"", FAILED),  # closed after the whole request
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes", None),  # cut short, then silence: the deadline
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes", None),  # truncated, then silence until the deadline
         (b"noise without sense\r\n\r\n", FAILED),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nyes", FAILED),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 33554433\r\n\r\n" + bytes(90000), FAILED),
@@ -61,133 +72,135 @@
     ],
     ids=lambda value: value if isinstance(value, str) else "answer",
 )
-def test_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(answer, gets):
-    async def play() -> None:
-        backends = [Backend(lambda *_: answer), Backend(lambda *_: answer)]
-        async with world(*backends) as made:
-            got = await ask(made, request("book", b"x", left=600))
-            assert status(got) == (gets or FAILED)
-            assert sum(len(b.seen) for b in backends) == 1
+def test_unsafe_request_that_may_have_run_fails_and_is_not_sent_again(answer, expected):
+    async def scenario() -> None:
+        backends = [FakeBackend(lambda *_: answer), FakeBackend(lambda *_: answer)]
+        async with running_ingress(*backends) as harness:
+            got = await send_request(harness, request("book", b"x", remaining_ms=600))
+            assert status(got) == (expected or FAILED)
+            assert sum(len(backend.requests) for backend in backends) == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_unsafe_request_that_was_turned_away_is_sent_again():
-    async def play() -> None:
-        answers = iter([ok(b"", "503 Busy", "X-Turned-Away: 1\r\n"), ok(b"yes")])
-        backend = Backend(lambda *_: next(answers))
-        async with world(backend) as made:
-            assert status(await ask(made, request("book", b"x", left=5000))) == SERVED
-            assert len(backend.seen) == 2 and backend.opened == 1
+    async def scenario() -> None:
+        answers = iter([response(b"", "503 Busy", "X-Turned-Away: 1\r\n"), response(b"yes")])
+        backend = FakeBackend(lambda *_: next(answers))
+        async with running_ingress(backend) as harness:
+            assert status(await send_request(harness, request("book", b"x", remaining_ms=5000))) == SERVED
+            assert len(backend.requests) == 2 and backend.opened == 1
 
-    run(play())
+    run(scenario())
 
 
 def test_refused_connect_goes_to_the_other_backend():
-    async def play() -> None:
-        down, up = Backend(), Backend()
-        async with world(down, up) as made:
+    async def scenario() -> None:
+        down, up = FakeBackend(), FakeBackend()
+        async with running_ingress(down, up) as harness:
             down.stop()
             for _ in range(4):
-                assert status(await ask(made, request("book", b"x", left=5000))) == SERVED
-            assert len(up.seen) == 4
+                assert status(await send_request(harness, request("book", b"x", remaining_ms=5000))) == SERVED
+            assert len(up.requests) == 4
 
-    run(play())
+    run(scenario())
 
 
 def test_late_answer_is_dropped_with_its_connection():
-    """Were the connection kept, the next request would get the answer of the one before."""
-
-    async def play() -> None:
-        backend = Backend(lambda *_: None)
-        async with world(backend) as made:
-            assert status(await ask(made, request("book", b"1", left=200))) == FAILED
-            backend.writers[0].write(ok(b"late"))
-            backend.answer = lambda *_: ok(b"its own")
-            assert (await ask(made, request("book", b"2", left=5000)))[2] == b"its own"
+    """If the connection were kept, the next request would get this answer."""
+
+    async def scenario() -> None:
+        backend = FakeBackend(lambda *_: None)
+        async with running_ingress(backend) as harness:
+            assert status(await send_request(harness, request("book", b"1", remaining_ms=200))) == FAILED
+            backend.writers[0].write(response(b"late"))
+            backend.answer = lambda *_: response(b"its own")
+            assert (await send_request(harness, request("book", b"2", remaining_ms=5000)))[2] == b"its own"
             assert backend.opened == 2
 
-    run(play())
+    run(scenario())
 
 
-@pytest.mark.parametrize("excess", [ok(b"another"), b"noise"])
+@pytest.mark.parametrize("excess", [response(b"another"), b"noise"])
 def test_answer_with_more_behind_it_is_served_and_its_connection_dropped(excess):
-    async def play() -> None:
-        backend = Backend(lambda *_: ok(b"yes") + excess)
-        async with world(backend) as made:
+    async def scenario() -> None:
+        backend = FakeBackend(lambda *_: response(b"yes") + excess)
+        async with running_ingress(backend) as harness:
             for _ in range(2):
-                assert (await ask(made, request()))[2] == b"yes"
+                assert (await send_request(harness, request()))[2] == b"yes"
             assert backend.opened == 2
 
-    run(play())
+    run(scenario())
 
 
 def test_interim_answer_is_passed_over():
-    async def play() -> None:
-        backend = Backend(lambda *_: b"HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n" + ok(b"yes"))
-        async with world(backend) as made:
-            assert (await ask(made, request()))[2] == b"yes"
+    async def scenario() -> None:
+        backend = FakeBackend(lambda *_: b"HTTP/1.1 103 Early Hints\r\nX: y\r\n\r\n" + response(b"yes"))
+        async with running_ingress(backend) as harness:
+            assert (await send_request(harness, request()))[2] == b"yes"
 
-    run(play())
+    run(scenario())
 
 
 def test_idle_connection_that_the_backend_closed_is_not_used():
-    async def play() -> None:
-        backend = Backend()
-        async with world(backend) as made:
-            await ask(made, request())
+    async def scenario() -> None:
+        backend = FakeBackend()
+        async with running_ingress(backend) as harness:
+            await send_request(harness, request())
             backend.writers[0].close()
-            assert status(await ask(made, request("book", b"x", left=5000))) == SERVED
+            assert status(await send_request(harness, request("book", b"x", remaining_ms=5000))) == SERVED
             assert backend.opened == 2
 
-    run(play())
+    run(scenario())
 
 
 def test_drained_backend_gets_nothing_more_and_a_restarted_one_new_connections():
-    async def play() -> None:
-        one, two = Backend(), Backend()
-        async with world(one, two) as made:
-            upstreams = made.ingress.backends.upstreams
-            made.list.tell(member("s-0", one.address, "draining"))
-            await until(lambda: not upstreams["s-0"].open)
+    async def scenario() -> None:
+        one, two = FakeBackend(), FakeBackend()
+        async with running_ingress(one, two) as harness:
+            upstreams = harness.ingress.backends.upstreams
+            harness.discovery.announce(member("s-0", one.address, "draining"))
+            await wait_until(lambda: not upstreams["s-0"].accepts_requests)
             for _ in range(6):
-                await ask(made, request())
-            assert len(one.seen) == 0 and len(two.seen) == 6
+                await send_request(harness, request())
+            assert len(one.requests) == 0 and len(two.requests) == 6
             before = two.opened
-            made.list.tell(member("s-0", one.address, "removed"), member("s-1", two.address, up_since_ms=1000))
-            await until(lambda: upstreams["s-1"].started == 1.0)
-            await ask(made, request())
+            harness.discovery.announce(
+                member("s-0", one.address, "removed"), member("s-1", two.address, up_since_ms=1000)
+            )
+            await wait_until(lambda: upstreams["s-1"].started_at == 1.0)
+            await send_request(harness, request())
             assert two.opened == before + 1 and "s-0" not in upstreams
 
-    run(play())
+    run(scenario())
 
 
 def test_backend_that_begins_to_drain_while_its_connection_comes_up_gets_no_byte():
-    async def play() -> None:
-        backend = Backend()
-        async with world(backend) as made:
-            pool, ended = made.ingress.backends, []
+    async def scenario() -> None:
+        backend = FakeBackend()
+        async with running_ingress(backend) as harness:
+            pool, ended = harness.ingress.backends, []
             pool.begin(Exchange(lambda: b"GET / HTTP/1.1\r\n\r\n", lambda *end: ended.append(end)), "s-0")
-            pool.upstreams["s-0"].state = BackendState.DRAINING  # as discovery tells meanwhile
-            await until(lambda: ended)
+            pool.upstreams["s-0"].state = BackendState.DRAINING  # discovery reports this in the meantime
+            await wait_until(lambda: ended)
             assert ended == [(Status.CONNECT_FAILED, None)]
-            await until(lambda: backend.opened)
-            assert not backend.seen and not pool.all
+            await wait_until(lambda: backend.opened)
+            assert not backend.requests and not pool.connections
 
-    run(play())
+    run(scenario())
 
 
 def test_backend_that_says_nothing_ends_at_the_deadline():
-    async def play() -> None:
-        backend = Backend(lambda *_: None)
-        async with world(backend) as made:
+    async def scenario() -> None:
+        backend = FakeBackend(lambda *_: None)
+        async with running_ingress(backend) as harness:
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert status(await ask(made, request("book", b"x", left=300))) == FAILED
+            assert status(await send_request(harness, request("book", b"x", remaining_ms=300))) == FAILED
             assert loop.time() - began >= 0.29
-            assert not made.ingress.host.tickets
+            assert not harness.ingress.host.in_flight
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
@@ -201,119 +214,121 @@
     ids=["gigabytes", "no end told", "length over what comes", "half a head"],
 )
 def test_answer_that_will_not_come_whole_does_not_hold_its_request(answer):
-    async def play() -> None:
-        backend = Backend(lambda *_: answer)
-        async with world(backend) as made:
+    async def scenario() -> None:
+        backend = FakeBackend(lambda *_: answer)
+        async with running_ingress(backend) as harness:
             loop = asyncio.get_running_loop()
             began = loop.time()
-            assert status(await ask(made, request("book", b"x", left=20_000))) == FAILED
+            assert status(await send_request(harness, request("book", b"x", remaining_ms=20_000))) == FAILED
             assert loop.time() - began < 10.0
-            await until(lambda: not made.ingress.backends.all)
+            await wait_until(lambda: not harness.ingress.backends.connections)
 
-    run(play())
+    run(scenario())
 
 
 def test_answer_cut_short_leaves_time_for_another_attempt(monkeypatch):
-    monkeypatch.setattr(backends, "STALLED", 60.0)  # so that only the aim can end it in time
+    # So that only the latency target limits the stall time.
+    monkeypatch.setattr(backends, "ANSWER_STALL_TIMEOUT_S", 60.0)
 
-    async def play() -> None:
-        answers = [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes", ok(b"whole")]
-        backend = Backend(lambda *_: answers.pop(0))
-        async with world(backend) as made:
-            line, _, body = await ask(made, request(left=20_000))
-            assert status((line,)) == SERVED and body == b"whole" and len(backend.seen) == 2
+    async def scenario() -> None:
+        answers = [b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nyes", response(b"whole")]
+        backend = FakeBackend(lambda *_: answers.pop(0))
+        async with running_ingress(backend) as harness:
+            line, _, body = await send_request(harness, request(remaining_ms=20_000))
+            assert status((line,)) == SERVED and body == b"whole" and len(backend.requests) == 2
 
-    run(play())
+    run(scenario())
 
 
 def test_our_own_lack_of_connections_is_not_the_backends_fault():
-    async def play() -> None:
-        backend = Backend(lambda *_: None)
-        async with world(backend) as made:
-            pool, ended = made.ingress.backends, []
-            reader, writer = await made.connect()
-            writer.write(request("book", b"x", left=20_000))
-            await until(lambda: backend.seen)
-            pool.most = 1
+    async def scenario() -> None:
+        backend = FakeBackend(lambda *_: None)
+        async with running_ingress(backend) as harness:
+            pool, ended = harness.ingress.backends, []
+            reader, writer = await harness.connect()
+            writer.write(request("book", b"x", remaining_ms=20_000))
+            await wait_until(lambda: backend.requests)
+            pool.max_connections = 1
             pool.begin(Exchange(lambda: b"", lambda *end: ended.append(end)), "s-0")
-            assert ended == [(Status.MOOT, None)]
-            assert status(await ask(made, request(left=2000))) == REFUSED
-            known = made.ingress.host.controller.fleet.known["s-0"]
-            assert known.fails == 0 and known.slow == 1.0
+            assert ended == [(Status.NOT_SENT, None)]
+            assert status(await send_request(harness, request(remaining_ms=2000))) == REFUSED
+            known = harness.ingress.host.controller.fleet.backends["s-0"]
+            assert known.failures == 0 and known.slowness == 1.0
             writer.close()
 
-    run(play())
+    run(scenario())
 
 
-def test_bound_that_is_lowered_closes_only_what_is_too_much():
-    async def play() -> None:
-        async with world(Backend(delay=0.05)) as made:
-            await asyncio.gather(*(ask(made, request()) for _ in range(6)))
-            pool = made.ingress.backends
-            assert len(pool.all) == len(pool.upstreams["s-0"].idle) == 6
-            pool.most = 4
+def test_lowered_limit_closes_only_excess_connections():
+    async def scenario() -> None:
+        async with running_ingress(FakeBackend(delay=0.05)) as harness:
+            await asyncio.gather(*(send_request(harness, request()) for _ in range(6)))
+            pool = harness.ingress.backends
+            assert len(pool.connections) == len(pool.upstreams["s-0"].idle) == 6
+            pool.max_connections = 4
             pool.sweep()
-            await until(lambda: len(pool.all) == 4)
+            await wait_until(lambda: len(pool.connections) == 4)
             assert len(pool.upstreams["s-0"].idle) == 4
 
-    run(play())
+    run(scenario())
 
 
 @pytest.mark.parametrize("data", [b"[" * 60_000, b'{"util": NaN}', b'{"util": 1e999}', b"\xff", b"", b"3"])
-def test_load_report_that_cannot_be_read_is_none(data):
-    assert load_report(data, ["util"]) == []
+def test_invalid_load_report_is_empty(data):
+    assert parse_load_report(data, ["util"]) == []
 
 
-def test_probe_whose_report_is_nested_too_deep_is_told_of():
-    async def play() -> None:
-        backend = Backend(lambda line, *_: ok(b"[" * 60_000))
-        async with world(backend, report={"via": "probe", "fields": "util"}) as made:
-            host, told = made.ingress.host, []
-            host.controller.handle = lambda event, now: told.append(event) or []
+def test_probe_with_a_too_deeply_nested_report_is_reported():
+    async def scenario() -> None:
+        backend = FakeBackend(lambda line, *_: response(b"[" * 60_000))
+        async with running_ingress(backend, report={"via": "probe", "fields": "util"}) as harness:
+            host, events = harness.ingress.host, []
+            host.controller.handle = lambda event, now: events.append(event) or []
             host._probe(Probe("s-0"))
-            await until(lambda: told)
-            assert told[0].report == [] and told[0].status is Status.OK
+            await wait_until(lambda: events)
+            assert events[0].report == [] and events[0].status is Status.OK
 
-    run(play())
+    run(scenario())
 
 
-def test_counter_is_told_what_was_taken_and_not_what_was_refused():
-    """Refused tries that were told as taken emptied the store of a customer at all its ingresses."""
+def test_counter_is_told_of_accepted_requests_and_not_of_refused_ones():
+    """Reporting refused requests as taken emptied the customer's quota at all ingresses."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         plan = {"name": "basic", "pays": 1.0, "quota_rate": 10.0, "store_size": 20.0}
-        async with world(Backend(), contracts=[plan]) as made:
-            gets: list[str] = []
+        async with running_ingress(FakeBackend(), contracts=[plan]) as harness:
+            statuses: list[str] = []
 
-            async def ask_on() -> None:
-                while made.count.calls.count(ACCOUNT) < 5 or gets.count(REFUSED) < 50:
-                    answer = await ask(made, request(Api_Terms="units=1,spread=1,first=0"))
-                    gets.append(status(answer))
+            async def keep_asking() -> None:
+                while harness.counter.calls.count(ACCOUNT) < 5 or statuses.count(REFUSED) < 50:
+                    answer = await send_request(harness, request(Api_Terms="units=1,spread=1,first=0"))
+                    statuses.append(status(answer))
 
-            await asyncio.gather(*(ask_on() for _ in range(30)))
-            served, total = gets.count(SERVED), made.count.totals[ACCOUNT]
+            await asyncio.gather(*(keep_asking() for _ in range(30)))
+            served, total = statuses.count(SERVED), harness.counter.totals[ACCOUNT]
             assert 0 < total <= served
-            assert sum(made.count.totals.values()) > served  # what was refused has a name of its own
+            # Refused requests are counted under a name of their own.
+            assert sum(harness.counter.totals.values()) > served
 
-    run(play())
+    run(scenario())
 
 
-def test_few_that_are_turned_away_do_not_stop_the_others():
-    """Each cut the window of attempts at once, and for a whole aim: thirty in a row brought it under one."""
+def test_a_few_rejected_attempts_do_not_stop_other_requests():
+    """Each rejection shrank the window of concurrent attempts: thirty in a row brought it below one."""
 
-    async def play() -> None:
+    async def scenario() -> None:
         turned_away = iter(range(30))
 
         def answer(line, fields, body) -> bytes:
             if next(turned_away, None) is not None:
-                return ok(b"", "503 Service Unavailable", "X-Turned-Away: 1\r\n")
-            return ok(b"yes")
+                return response(b"", "503 Service Unavailable", "X-Turned-Away: 1\r\n")
+            return response(b"yes")
 
-        async with world(*(Backend(answer, 0.02) for _ in range(8))) as made:
-            control = made.ingress.host.controller
+        async with running_ingress(*(FakeBackend(answer, 0.02) for _ in range(8))) as harness:
+            control = harness.ingress.host.controller
             before = control.window.size
-            gets = [status(a) for a in await asyncio.gather(*(ask(made, request()) for _ in range(24)))]
+            statuses = [status(a) for a in await asyncio.gather(*(send_request(harness, request()) for _ in range(24)))]
             assert next(turned_away, None) is None
-            assert gets.count(SERVED) > 12 and control.window.size > before / 4
+            assert statuses.count(SERVED) > 12 and control.window.size > before / 4
 
-    run(play())
+    run(scenario())
