--- a/crowseam/__init__.py
+++ b/crowseam/__init__.py
@@ -1,1 +1,1 @@
-"""crowseam: an API gateway for a fleet, data plane and control plane, as one program."""
+"""crowseam: an API gateway for a fleet of servers, with data plane and control plane in one program."""
--- a/crowseam/__main__.py
+++ b/crowseam/__main__.py
@@ -1,4 +1,4 @@
-"""The one program: the roles `gateway` and `controller`, and the command line."""
+"""Entry point of the program: the roles `gateway` and `controller`, and the command line."""
 
 import sys
 from pathlib import Path
@@ -6,13 +6,13 @@
 try:
     import msgspec  # noqa: F401
 except ModuleNotFoundError:
-    # Where the build puts the libraries: on the path of the roles, but not of whoever types a command.
+    # The build installs the libraries there. The roles are started with it on their path; commands in a shell are not.
     sys.path.append(str(Path(__file__).resolve().parents[1] / "target" / "deps"))
 
 
 def main(argv: list[str]) -> int:
     """Run the role or the command that the arguments name; return the exit code."""
-    # The roles load neither the command line nor its libraries, since starting takes its time on small machines.
+    # Imported on demand, so that the roles start fast on small machines, without the command line and its libraries.
     if argv == ["gateway"]:
         from crowseam.gateway.daemon import main as role
     elif argv == ["controller"]:
--- a/crowseam/capacity/code_measures.py
+++ b/crowseam/capacity/code_measures.py
@@ -17,7 +17,7 @@
 from crowseam.capacity.sample_configuration import configuration
 from crowseam.configuration.model import Configuration
 from crowseam.configuration.routing import Route, Table
-from crowseam.controller.lease_service import TERMS
+from crowseam.controller.lease_service import GRANTOR_TERMS
 from crowseam.discovery.anti_entropy import AntiEntropy
 from crowseam.discovery.server_record import ServerRecord
 from crowseam.discovery.service_registry import ServiceRegistry
@@ -105,7 +105,7 @@
     def __init__(self, gateways: int, tenants: int) -> None:
         names = [f"t-{n:05d}" for n in range(max(1, tenants // LENDERS))]
         self.gateways, self.turn = gateways, 0
-        self.lender = QuotaLeaseGrantor(1, set(), gateways, 0.0, TERMS, lambda tenant: QUOTA, lambda: names)
+        self.lender = QuotaLeaseGrantor(1, set(), gateways, 0.0, GRANTOR_TERMS, lambda tenant: QUOTA, lambda: names)
         few = max(1, ASKING_TENANTS // LENDERS)
         self.asks = [{names[(n + k) % len(names)]: 1.25 for k in range(few)} for n in range(gateways)]
         nothing = LeaseReport(1, 0.0, 0, 0, 0.0, {})
--- a/crowseam/capacity/curves.py
+++ b/crowseam/capacity/curves.py
@@ -8,7 +8,7 @@
 from math import exp
 
 from crowseam.capacity.message_costs import Deployment, costs
-from crowseam.controller.lease_service import TERMS
+from crowseam.controller.lease_service import GRANTOR_TERMS
 from crowseam.gateway.daemon import RESERVED_DESCRIPTORS, UPSTREAM_SHARE
 from crowseam.gateway.gateway import MAX_IDLE_S
 from crowseam.gateway.subsetting import SUBSET_SIZE, SUBSETTING_THRESHOLD
@@ -83,6 +83,6 @@
 
 def even_slice(gateways: int) -> float:
     """Requests a second of a tenant's QUOTA that a gateway holds while all gateways ask for the same."""
-    lender = QuotaLeaseGrantor(1, set(), gateways, 0.0, TERMS, lambda tenant: QUOTA, lambda: ("t",))
+    lender = QuotaLeaseGrantor(1, set(), gateways, 0.0, GRANTOR_TERMS, lambda tenant: QUOTA, lambda: ("t",))
     lease = lender.report("d", {}, LeaseReport(1, 0.0, 0, 0, 0.0, {}), 0.0)
     return lease.shares.get("t", 0) / SHARE_UNITS * QUOTA
--- a/crowseam/capacity/hollow_gateways.py
+++ b/crowseam/capacity/hollow_gateways.py
@@ -20,7 +20,7 @@
 from crowseam.gateway import controller_session
 from crowseam.quotas.gateway_leases import GatewayLeases
 from crowseam.quotas.shards import ROLE_KEYS, shard_of
-from crowseam.settings import SettingsError, address
+from crowseam.settings import SettingsError, parse_address
 from crowseam.transport import links
 from crowseam.transport.messages import (
     PROTOCOL_VERSION,
@@ -209,7 +209,7 @@
     def _take_controllers(self, addresses: list[str]) -> None:
         for addr in addresses:
             try:
-                address(addr)
+                parse_address(addr)
             except SettingsError:
                 continue
             self.known.setdefault(addr, 0.0)
--- a/crowseam/capacity/hollow_servers.py
+++ b/crowseam/capacity/hollow_servers.py
@@ -13,7 +13,7 @@
 from crowseam.capacity.hollow_link import Traffic
 from crowseam.capacity.hollow_protocol import Job, Order, ServersReport
 from crowseam.capacity.loads import Load
-from crowseam.settings import address
+from crowseam.settings import parse_address
 
 CONNECTIONS = 16  # of the servers to each controller
 WAITING_MOST = 40  # calls that wait on one of them
@@ -128,7 +128,7 @@
         self.loop.call_later(1.0, self._connect)
 
     async def _dial(self, addr: str, count: int) -> None:
-        host, port = address(addr)
+        host, port = parse_address(addr)
         for _ in range(count):
             try:
                 async with asyncio.timeout(0.5):
--- a/crowseam/capacity/scale_command.py
+++ b/crowseam/capacity/scale_command.py
@@ -11,7 +11,7 @@
 from crowseam.capacity.curves import SIZES, row
 from crowseam.capacity.message_costs import Costs, Deployment, costs
 from crowseam.cli import report
-from crowseam.cli.console import Args, number, print_json, print_text, write_file
+from crowseam.cli.console import Args, positive_number, print_json, print_text, write_file
 from crowseam.cli.errors import DONE, BadInputError
 from crowseam.cli.tables import table
 from crowseam.controller.gateway_sessions import LEASE_LIFETIME_S
@@ -68,7 +68,7 @@
 
 def _curve(args: Args) -> int:
     """Print the tables of all sizes, and draw them into --plot. Raises BadInputError."""
-    heartbeat = number(args, "--heartbeat", float)
+    heartbeat = positive_number(args, "--heartbeat", float)
     if args["--plot"]:
         report.curve("", "", {"": [(1.0, 1.0)]})  # says now whether it can, as measuring takes a while
     rows = [row(msgspec.structs.replace(size, heartbeat=heartbeat)) for size in SIZES]
--- a/crowseam/cli/__init__.py
+++ b/crowseam/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: commands for those who operate the system. None of it is loaded by the daemons."""
+"""The operator's command line. The daemons load none of it."""
--- a/crowseam/cli/calls.py
+++ b/crowseam/cli/calls.py
@@ -1,4 +1,4 @@
-"""Calls that the commands make to the running system, and what they print of the answers."""
+"""Calls from commands to the control interface of the running system, and printing of the answers."""
 
 import os
 import random
@@ -8,15 +8,15 @@
 import msgspec
 
 from crowseam.cli import control_client
-from crowseam.cli.console import Args, number, print_json, print_text, read_file
+from crowseam.cli.console import Args, positive_number, print_json, print_text, read_file
 from crowseam.cli.errors import DONE, BadInputError, UnclearError
 from crowseam.cli.tables import rows, table
 
 
-def _addresses(args: Args) -> list[str]:
-    listed, field = args["--at"], "--at"
-    if listed is not None:
-        addresses = [each.strip() for each in listed.split(",") if each.strip()]
+def _control_addresses(args: Args) -> list[str]:
+    address_list, field = args["--at"], "--at"
+    if address_list is not None:
+        addresses = [item.strip() for item in address_list.split(",") if item.strip()]
     else:
         path = os.environ.get("CROWSEAM_BOOT")
         if not path:
@@ -27,34 +27,34 @@
         except (msgspec.DecodeError, KeyError, TypeError):
             raise BadInputError("seeds", f"cannot be read from {path}") from None
     for address in addresses:
-        host, colon, port = str(address).rpartition(":")
-        if not (colon and host and port.isdigit() and 0 < int(port) < 65536):
+        host, separator, port = str(address).rpartition(":")
+        if not (separator and host and port.isdigit() and 0 < int(port) < 65536):
             raise BadInputError(field, f"{address!r} is not an address such as 10.1.0.5:8407")
     if not addresses:
         raise BadInputError(field, "names no address")
     return addresses
 
 
-def caller(args: Args) -> control_client.Caller:
-    """Return what makes the calls of one command. Raises BadInputError."""
+def make_client(args: Args) -> control_client.ControlClient:
+    """Return a client for the control addresses that the arguments name. Raises BadInputError."""
     rng = random.Random()
-    addresses = _addresses(args)
+    addresses = _control_addresses(args)
     rng.shuffle(addresses)
-    return control_client.Caller(
-        addresses, number(args, "--within", float), control_client.send, time.monotonic, time.sleep, rng
+    return control_client.ControlClient(
+        addresses, positive_number(args, "--within", float), control_client.send, time.monotonic, time.sleep, rng
     )
 
 
 def call(args: Args, name: str, body: bytes = b"") -> control_client.Answer:
-    """Make a call, and return its answer. Raises CommandError."""
-    result = caller(args).call(name, body)
+    """Make a call and return its answer. Raises CommandError."""
+    result = make_client(args).call(name, body)
     if result.is_error():
         raise result.error
     return result.ok
 
 
-def data_of(answer: control_client.Answer) -> Any:
-    """What an answer says in JSON. Raises UnclearError."""
+def decode_json(answer: control_client.Answer) -> Any:
+    """Decode the JSON body of an answer. Raises UnclearError."""
     try:
         return msgspec.json.decode(answer.body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -62,8 +62,8 @@
 
 
 def print_listing(args: Args, name: str) -> int:
-    """Make a call, and print the records in its answer."""
-    data = data_of(call(args, name))
+    """Make a call and print the records in its answer."""
+    data = decode_json(call(args, name))
     if args["--json"]:
         print_json(data)
     else:
--- a/crowseam/cli/config_commands.py
+++ b/crowseam/cli/config_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the configuration: get, put, diff and history."""
+"""The `config` commands: get, put, diff and history."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 
 
 def config_get(args: Args) -> int:
-    """Print the newest configuration, whole."""
+    """Print the newest configuration in full."""
     body = call(args, "config").body
     if args["--out"]:
         write_file(args["--out"], body, "--out")
@@ -23,13 +23,13 @@
 
 
 def config_put(args: Args) -> int:
-    """Send a whole configuration, or a PATCH where the file holds one, until a clear answer comes."""
+    """Send a full configuration, or a PATCH if the file holds one, and retry until there is a definite answer."""
     body = read_file(args["FILE"][0], "FILE")
     patch = file_checks.is_patch(body)
     if not args["--no-check"]:
-        found = file_checks.check_config(body)
-        if found:
-            raise BadInputError(*found[0])
+        faults = file_checks.check_config(body)
+        if faults:
+            raise BadInputError(*faults[0])
     call(args, "patch" if patch else "put", body)
     try:
         ver = msgspec.json.decode(body)["ver"]
@@ -42,7 +42,7 @@
     return DONE
 
 
-def _configuration(body: bytes, field: str) -> Configuration:
+def _parse_configuration(body: bytes, field: str) -> Configuration:
     try:
         return Configuration.from_put(body)
     except ConfigurationError as error:
@@ -50,12 +50,12 @@
 
 
 def config_diff(args: Args) -> int:
-    """Print what differs between two files, or between the configuration in force and a file."""
-    new = _configuration(read_file(args["NEW"], "NEW"), "NEW")
+    """Print the differences between two files, or between the active configuration and a file."""
+    new = _parse_configuration(read_file(args["NEW"], "NEW"), "NEW")
     if args["OLD"] is None:
-        old = _configuration(call(args, "config").body, "the configuration in force")
+        old = _parse_configuration(call(args, "config").body, "the configuration in force")
     else:
-        old = _configuration(read_file(args["OLD"], "OLD"), "OLD")
+        old = _parse_configuration(read_file(args["OLD"], "OLD"), "OLD")
     if args["--as-patch"] is not None:
         try:
             ver = version(args["--as-patch"], "--as-patch")
@@ -63,18 +63,20 @@
             raise BadInputError(error.field, error.text) from None
         if ver <= old.ver:
             raise BadInputError("--as-patch", f"{args['--as-patch']} is not above {old.ver:08x}")
-        print_text(configuration_diff.as_patch(old, new, args["--as-patch"]).decode() + "\n")
+        print_text(configuration_diff.make_patch(old, new, args["--as-patch"]).decode() + "\n")
         return DONE
-    found = configuration_diff.differences(old, new)
+    records = configuration_diff.differences(old, new)
     if args["--json"]:
-        print_json({"from": f"{old.ver:08x}", "to": f"{new.ver:08x}", "items": found})
+        print_json({"from": f"{old.ver:08x}", "to": f"{new.ver:08x}", "items": records})
     else:
         print_text(
-            "".join(f"{line}\n" for line in [f"{old.ver:08x} -> {new.ver:08x}", *configuration_diff.lines(found)])
+            "".join(
+                f"{line}\n" for line in [f"{old.ver:08x} -> {new.ver:08x}", *configuration_diff.format_lines(records)]
+            )
         )
     return DONE
 
 
 def config_history(args: Args) -> int:
-    """Print the versions the system remembers."""
+    """Print the configuration versions that the system has retained."""
     return print_listing(args, "history")
--- a/crowseam/cli/configuration_diff.py
+++ b/crowseam/cli/configuration_diff.py
@@ -1,4 +1,4 @@
-"""What differs between two configurations, for people, for programs, and as a change to be sent."""
+"""Differences between two configurations: as records, as text, and as a PATCH body."""
 
 from typing import Any
 
@@ -7,56 +7,60 @@
 from crowseam.configuration.model import Configuration
 
 
-def _flat(value: Any, path: str = "") -> dict[str, Any]:
+def _flatten(value: Any, path: str = "") -> dict[str, Any]:
     if isinstance(value, dict) and value:
         return {
-            key: each
-            for name, part in value.items()
-            for key, each in _flat(part, f"{path}.{name}" if path else name).items()
+            key: leaf
+            for name, child in value.items()
+            for key, leaf in _flatten(child, f"{path}.{name}" if path else name).items()
         }
     return {path: value}
 
 
 def differences(old: Configuration, new: Configuration) -> list[dict[str, Any]]:
-    """Return one record for each item added, removed or altered.
+    """Return one record for each item that was added, removed or altered.
 
-    A record has `type`, `name`, `how` (added, removed, altered) and, where altered, `fields`: for each field
-    its value `before` and `after`, either left out where the field is not there.
+    A record has `type`, `name`, `how` (added, removed, altered) and, if altered, `fields`: for each changed field
+    its values `before` and `after`. A side on which the field is absent is omitted.
     """
-    found = []
+    records = []
     for key in dict.fromkeys([*old.items, *new.items]):
         before, after = old.items.get(key), new.items.get(key)
         record: dict[str, Any] = {"type": key[0], "name": key[1]}
         if before is None or after is None:
-            found.append(record | {"how": "added" if before is None else "removed"})
+            records.append(record | {"how": "added" if before is None else "removed"})
         elif before.raw != after.raw:
-            one, two = _flat(msgspec.json.decode(before.raw)), _flat(msgspec.json.decode(after.raw))
+            old_fields, new_fields = _flatten(msgspec.json.decode(before.raw)), _flatten(msgspec.json.decode(after.raw))
             fields = {}
-            for name in dict.fromkeys([*one, *two]):
-                sides = {side: values[name] for side, values in (("before", one), ("after", two)) if name in values}
+            for name in dict.fromkeys([*old_fields, *new_fields]):
+                sides = {
+                    side: values[name]
+                    for side, values in (("before", old_fields), ("after", new_fields))
+                    if name in values
+                }
                 if len(sides) < 2 or sides["before"] != sides["after"]:
                     fields[name] = sides
             if fields:
-                found.append(record | {"how": "altered", "fields": fields})
-    return found
+                records.append(record | {"how": "altered", "fields": fields})
+    return records
 
 
-def lines(records: list[dict[str, Any]]) -> list[str]:
-    """Return the records as lines for people, one for each item and one for each of its altered fields."""
+def format_lines(records: list[dict[str, Any]]) -> list[str]:
+    """Format the records as text: one line per item and one per altered field."""
     signs = {"added": "+", "removed": "-", "altered": "~"}
-    out = []
+    output = []
     for record in records:
-        out.append(f"{signs[record['how']]} {record['type']} {record['name']}".rstrip())
+        output.append(f"{signs[record['how']]} {record['type']} {record['name']}".rstrip())
         for name, sides in record.get("fields", {}).items():
             before, after = (
                 msgspec.json.encode(sides[side]).decode() if side in sides else "(none)" for side in ("before", "after")
             )
-            out.append(f"    {name}: {before} -> {after}")
-    return out
+            output.append(f"    {name}: {before} -> {after}")
+    return output
 
 
-def as_patch(old: Configuration, new: Configuration, ver: str) -> bytes:
-    """Return the body of the PATCH that, on top of `old`, makes the items of `new`, as version `ver`."""
+def make_patch(old: Configuration, new: Configuration, ver: str) -> bytes:
+    """Return the body of a PATCH that turns `old` into `new` and gives the result version `ver`."""
     records = differences(old, new)
     upsert = [
         msgspec.Raw(new.items[record["type"], record["name"]].raw) for record in records if record["how"] != "removed"
--- a/crowseam/cli/console.py
+++ b/crowseam/cli/console.py
@@ -1,4 +1,4 @@
-"""What commands share: arguments, files, and what they print."""
+"""Argument, file and output helpers shared by the commands."""
 
 import sys
 from pathlib import Path
@@ -8,7 +8,7 @@
 
 from crowseam.cli.errors import BadInputError
 
-Args = dict[str, Any]  # as docopt parses them
+Args = dict[str, Any]  # the result of docopt
 
 
 def print_text(text: str) -> None:
@@ -22,7 +22,7 @@
 
 
 def read_file(path: str, field: str) -> bytes:
-    """The content of a file, of standard input for "-". Raises BadInputError naming `field`."""
+    """Return the content of a file, or of standard input for "-". Raises BadInputError naming `field`."""
     try:
         return sys.stdin.buffer.read() if path == "-" else Path(path).read_bytes()
     except OSError as error:
@@ -37,8 +37,8 @@
         raise BadInputError(field, f"{path}: {error.strerror or error}") from None
 
 
-def number(args: Args, name: str, kind: type) -> Any:
-    """An option as a number above 0. Raises BadInputError."""
+def positive_number(args: Args, name: str, kind: type) -> Any:
+    """Parse an option as a number greater than 0. Raises BadInputError."""
     try:
         value = kind(args[name])
     except ValueError:
--- a/crowseam/cli/control_client.py
+++ b/crowseam/cli/control_client.py
@@ -1,8 +1,8 @@
-"""Calls from the command line to the control interface, tried again where that is safe.
+"""Client for the control interface, with retries.
 
-Every call may be repeated: reads change nothing, a configuration that was already taken is acknowledged
-again when the very same body comes, and a retirement said twice is said once. So a call that got no clear
-answer goes, unchanged, to the next address.
+Every call is idempotent: reads change nothing, an identical configuration is acknowledged again, and repeating
+a retirement has no further effect. A call without a definite answer is therefore retried unchanged at the next
+address.
 """
 
 import http.client
@@ -15,7 +15,7 @@
 
 from crowseam.cli.errors import CommandError, RefusedError, UnclearError
 
-# name: (method, path); the whole of what the command line asks of the system.
+# Call name -> (method, path).
 CALLS = {
     "config": ("GET", "/-/config"),
     "put": ("PUT", "/-/config"),
@@ -31,17 +31,17 @@
     "operations": ("GET", "/-/operations"),
 }
 
-FINAL = frozenset((400, 409, 412, 413, 422))
-REDIRECTS = 2
-REFUSALS = 3
-SILENCE_S = 1.0
-BYTES_PER_S = 500_000.0
-FIRST_PAUSE_S = 0.1
-LONGEST_PAUSE_S = 2.0
+FINAL_STATUSES = frozenset((400, 409, 412, 413, 422))
+MAX_REDIRECTS = 2
+MAX_REFUSALS = 3
+ATTEMPT_TIMEOUT_S = 1.0
+MIN_BYTES_PER_S = 500_000.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 2.0
 
 
 class Answer(Struct, frozen=True):
-    """An answer: its HTTP status, its Location (empty if none), its body."""
+    """HTTP status, Location header (empty if absent) and body of a response."""
 
     status: int
     location: str
@@ -49,16 +49,16 @@
 
 
 class NoAnswerError(Exception):
-    """One try that brought no answer."""
+    """An attempt failed without an HTTP response."""
 
 
 Send = Callable[[str, str, str, bytes, float], Answer]
 
 
-def send(address: str, method: str, path: str, body: bytes, timeout: float) -> Answer:
-    """Make one try at `address` (host:port), waiting `timeout` seconds. Raises NoAnswerError."""
+def send(address: str, method: str, path: str, body: bytes, timeout_s: float) -> Answer:
+    """Make one attempt at `address` (host:port) with a timeout. Raises NoAnswerError."""
     host, _, port = address.rpartition(":")
-    connection = http.client.HTTPConnection(host, int(port), timeout=timeout)
+    connection = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
         headers = {"Content-Type": "application/json"} if body else {}
         connection.request(method, path, body or None, headers)
@@ -70,96 +70,98 @@
         connection.close()
 
 
-def _line(body: bytes) -> str:
+def _first_line(body: bytes) -> str:
     text = body.decode("utf-8", "replace").strip()
     return text.splitlines()[0][:300] if text else ""
 
 
-class Caller:
-    """Makes calls to any of some control addresses.
+class ControlClient:
+    """Calls the control interface at any of several addresses.
 
-    addresses: host:port each, tried in turn. within: seconds for a whole call, all tries included.
-    send, clock (seconds, steady), sleep (seconds) and rng are passed in, so that tests need none of them.
+    addresses: host:port each, tried in turn. timeout_s: limit for a whole call, including all attempts.
+    send, clock (monotonic seconds), sleep (seconds) and rng are injected so that tests can replace them.
     """
 
     def __init__(
         self,
         addresses: list[str],
-        within: float,
+        timeout_s: float,
         send: Send,
         clock: Callable[[], float],
         sleep: Callable[[float], None],
         rng: random.Random,
     ):
         self._addresses = addresses
-        self._within = within
+        self._timeout_s = timeout_s
         self._send = send
         self._clock = clock
         self._sleep = sleep
         self._rng = rng
 
-    def call(self, name: str, body: bytes = b"", ident: str = "") -> Result[Answer, CommandError]:
-        """Make the call of this name, about what `ident` names if given; Ok with a 2xx answer, else Error.
+    def call(self, name: str, body: bytes = b"", item_id: str = "") -> Result[Answer, CommandError]:
+        """Make the named call, for the item with `item_id` if given. Returns Ok for a 2xx answer, else Error.
 
-        The error is RefusedError after a clear refusal (400, 409, 412, 413 and 422 at once, any other 4xx
-        except 408 and 429 at the third), UnclearError when time ran out.
+        The error is RefusedError after a definite refusal (400, 409, 412, 413 and 422 at once, any other 4xx
+        except 408 and 429 after MAX_REFUSALS attempts), or UnclearError when the timeout has expired.
         """
         method, path = CALLS[name]
-        if ident:
-            path += "/" + quote(ident, safe="")
-        end = self._clock() + self._within
-        refusals, tries, last = 0, 0, "not tried"
+        if item_id:
+            path += "/" + quote(item_id, safe="")
+        deadline = self._clock() + self._timeout_s
+        refusals, attempts, last_error = 0, 0, "not tried"
         while True:
-            address = self._addresses[tries % len(self._addresses)]
-            left = end - self._clock()
-            if left <= 0:
+            address = self._addresses[attempts % len(self._addresses)]
+            remaining_s = deadline - self._clock()
+            if remaining_s <= 0:
                 break
             try:
-                answer = self._follow(address, method, path, body, left)
+                answer = self._send_following_redirects(address, method, path, body, remaining_s)
             except NoAnswerError as error:
-                last = f"{address}: {error}"
+                last_error = f"{address}: {error}"
             else:
                 if 200 <= answer.status < 300:
                     return Ok(answer)
-                last = f"{address}: {answer.status} {_line(answer.body)}".rstrip()
+                last_error = f"{address}: {answer.status} {_first_line(answer.body)}".rstrip()
                 if 400 <= answer.status < 500 and answer.status not in (408, 429):
                     refusals += 1
-                    if answer.status in FINAL or refusals >= REFUSALS:
-                        return Error(RefusedError(answer.status, _line(answer.body)))
-            tries += 1
-            pause = min(FIRST_PAUSE_S * 2 ** ((tries - 1) // len(self._addresses)), LONGEST_PAUSE_S)
-            self._sleep(min(pause * self._rng.uniform(0.5, 1.0), max(end - self._clock(), 0.0)))
-        caution = "" if method == "GET" else "; it may have been done or not"
-        return Error(UnclearError(f"no clear answer within {self._within:g} s{caution} (last {last})"))
-
-    def each(self, name: str, ident: str = "") -> list[tuple[str, Result[Answer, CommandError]]]:
-        """Ask every address once, and return what each of them said."""
+                    if answer.status in FINAL_STATUSES or refusals >= MAX_REFUSALS:
+                        return Error(RefusedError(answer.status, _first_line(answer.body)))
+            attempts += 1
+            backoff_s = min(INITIAL_BACKOFF_S * 2 ** ((attempts - 1) // len(self._addresses)), MAX_BACKOFF_S)
+            self._sleep(min(backoff_s * self._rng.uniform(0.5, 1.0), max(deadline - self._clock(), 0.0)))
+        note = "" if method == "GET" else "; it may have been done or not"
+        return Error(UnclearError(f"no clear answer within {self._timeout_s:g} s{note} (last {last_error})"))
+
+    def call_all(self, name: str, item_id: str = "") -> list[tuple[str, Result[Answer, CommandError]]]:
+        """Call every address once, without retries, and return the result of each."""
         method, path = CALLS[name]
-        if ident:
-            path += "/" + quote(ident, safe="")
+        if item_id:
+            path += "/" + quote(item_id, safe="")
         answers = []
         for address in self._addresses:
             try:
-                answer = self._send(address, method, path, b"", SILENCE_S)
+                answer = self._send(address, method, path, b"", ATTEMPT_TIMEOUT_S)
             except NoAnswerError as error:
                 answers.append((address, Error(UnclearError(str(error)))))
                 continue
             if 200 <= answer.status < 300:
                 answers.append((address, Ok(answer)))
             else:
-                answers.append((address, Error(RefusedError(answer.status, _line(answer.body)))))
+                answers.append((address, Error(RefusedError(answer.status, _first_line(answer.body)))))
         return answers
 
-    def _follow(self, address: str, method: str, path: str, body: bytes, left: float) -> Answer:
-        timeout = SILENCE_S + len(body) / BYTES_PER_S
-        answer = self._send(address, method, path, body, min(timeout, left))
-        for _ in range(REDIRECTS):
+    def _send_following_redirects(
+        self, address: str, method: str, path: str, body: bytes, remaining_s: float
+    ) -> Answer:
+        timeout_s = ATTEMPT_TIMEOUT_S + len(body) / MIN_BYTES_PER_S
+        answer = self._send(address, method, path, body, min(timeout_s, remaining_s))
+        for _ in range(MAX_REDIRECTS):
             if answer.status != 307:
                 break
             target = urlsplit(answer.location)
             if target.scheme != "http" or not target.netloc or not target.path:
                 raise NoAnswerError(f"sent on to no usable place {answer.location!r}")
-            answer = self._send(target.netloc, method, target.path, body, min(timeout, left))
+            answer = self._send(target.netloc, method, target.path, body, min(timeout_s, remaining_s))
         if answer.status == 307:
             raise NoAnswerError("sent on too often")
         return answer
--- a/crowseam/cli/demo.py
+++ b/crowseam/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: the small fleet played in real time, by real processes on loopback addresses, and judged."""
+"""The demonstration: runs a small fleet of real processes on loopback addresses and records what clients observe."""
 
 import contextlib
 import threading
@@ -12,57 +12,59 @@
 import msgspec
 
 from crowseam.cli import demo_files
-from crowseam.cli.demo_calls import call, ready, request_fields
+from crowseam.cli.demo_calls import call, is_ready, request_headers
 from crowseam.cli.demo_clients import Clients
-from crowseam.cli.demo_processes import Fleet, check_free, wait_until
-from crowseam.cli.demo_servers import StandInServer
+from crowseam.cli.demo_processes import Fleet, check_ports_free, wait_until
+from crowseam.cli.demo_servers import StubServer
 from crowseam.cli.demo_verdict import Observations
 
-SHORTEST_S = 10.0  # a shorter day has no room for what happens on it
+MIN_DURATION_S = 10.0  # the scripted events need this long
 ZONES = ("zone-a", "zone-b", "zone-c")
-NEW_ROUTE_S = 2.0  # s that the route which was added has to answer
+NEW_ROUTE_TIMEOUT_S = 2.0
 
 
-def _send(method: str, data: dict[str, Any]) -> bool:
-    """Send a configuration or a change; whether a controller has taken it."""
+def _send_configuration(method: str, data: dict[str, Any]) -> bool:
+    """Send a configuration (PUT or PATCH) and return whether a controller has accepted it."""
     body = msgspec.json.encode(data)
     return any(call(machine, "ctl", method, "/-/config", body).status == 200 for machine in demo_files.MACHINES)
 
 
 class Demonstration:
-    """One day of the small fleet; `seconds` of it with clients."""
+    """One run of the small fleet, with client traffic for `seconds`."""
 
-    def __init__(self, processes: list[tuple[str, Path]], seconds: float, say: Callable[[str], None]) -> None:
-        self.processes, self.seconds, self.say = processes, seconds, say
-        self.seen, self.lock = Observations(), threading.Lock()
-        self.servers = [StandInServer(zone, self.seen, self.lock) for zone in ZONES]
-        self.fleet, self.clients = Fleet(processes), Clients(self.seen, self.lock)
-        self.begun = time.monotonic()
+    def __init__(
+        self, processes: list[tuple[str, Path]], seconds: float, print_progress: Callable[[str], None]
+    ) -> None:
+        self.processes, self.seconds, self.print_progress = processes, seconds, print_progress
+        self.observations, self.lock = Observations(), threading.Lock()
+        self.servers = [StubServer(zone, self.observations, self.lock) for zone in ZONES]
+        self.fleet, self.clients = Fleet(processes), Clients(self.observations, self.lock)
+        self.started_at = time.monotonic()
 
-    def play(self) -> Observations:
-        """Play the day. Raises CommandError.
+    def run(self) -> Observations:
+        """Run the demonstration. Raises CommandError.
 
-        Ended processes are an error only until the clients begin; after that they show in what was seen.
+        A process that exits is an error only until the clients start; later exits show in the observations.
         """
         with self._servers_running(), self._fleet_running():
-            self._get_ready()
-            self.begun = time.monotonic()
-            self._at(0.0, "clients begin; pantry asks for three times its quota")
+            self._wait_until_ready()
+            self.started_at = time.monotonic()
+            self._wait_for_phase(0.0, "clients begin; pantry asks for three times its quota")
             self.clients.start()
-            self._lose_a_machine()
-            self._at(0.7, f"server {self.servers[0].identity} says that it leaves, and is left")
+            self._kill_and_restart_machine()
+            self._wait_for_phase(0.7, f"server {self.servers[0].identity} says that it leaves, and is left")
             self.servers[0].leave()
-            self._at(1.0, "clients end")
+            self._wait_for_phase(1.0, "clients end")
             self.clients.stop()
-            self._look()
-        return self.seen
+            self._collect_final_state()
+        return self.observations
 
     @contextmanager
     def _servers_running(self) -> Iterator[None]:
-        over = threading.Event()
+        stopped = threading.Event()
 
         def heartbeats() -> None:
-            while not over.wait(demo_files.HEARTBEAT_S):
+            while not stopped.wait(demo_files.HEARTBEAT_S):
                 for server in self.servers:
                     if server.phase == "up":
                         server.heartbeat()
@@ -74,7 +76,7 @@
         try:
             yield
         finally:
-            over.set()
+            stopped.set()
             for server in self.servers:
                 server.shutdown()
                 server.server_close()
@@ -88,45 +90,53 @@
             with contextlib.suppress(KeyboardInterrupt):
                 self.fleet.stop()
 
-    def _get_ready(self) -> None:
-        wait_until("taking the configuration", lambda: _send("PUT", demo_files.configuration()), self.fleet)
-        wait_until("getting ready", lambda: all(map(ready, demo_files.MACHINES)), self.fleet)
-        self.say(
+    def _wait_until_ready(self) -> None:
+        wait_until(
+            "taking the configuration", lambda: _send_configuration("PUT", demo_files.configuration()), self.fleet
+        )
+        wait_until("getting ready", lambda: all(map(is_ready, demo_files.MACHINES)), self.fleet)
+        self.print_progress(
             f"{len(self.processes)} processes on {len(demo_files.MACHINES)} machines are ready after "
-            f"{time.monotonic() - self.begun:.1f} s"
+            f"{time.monotonic() - self.started_at:.1f} s"
         )
 
-    def _lose_a_machine(self) -> None:
-        """A machine is killed, and started again after a change of the configuration."""
-        self._at(0.25, "both processes of machine 3 are killed")
+    def _kill_and_restart_machine(self) -> None:
+        """Kill a machine, change the configuration, and start the machine again."""
+        self._wait_for_phase(0.25, "both processes of machine 3 are killed")
         self.fleet.kill(2)
-        before = self._served()
-        self._at(0.4, "a configuration with one more route is sent while a voter is away")
-        wait_until("taking the change", lambda: _send("PATCH", demo_files.change()), Fleet([]))
-        self._at(0.55, "machine 3 is started again")
-        self.seen.served_while_down = self._served() - before
+        served_before = self._served_count()
+        self._wait_for_phase(0.4, "a configuration with one more route is sent while a voter is away")
+        wait_until(
+            "taking the change", lambda: _send_configuration("PATCH", demo_files.configuration_patch()), Fleet([])
+        )
+        self._wait_for_phase(0.55, "machine 3 is started again")
+        self.observations.served_while_down = self._served_count() - served_before
         self.fleet.start(2)
 
-    def _served(self) -> int:
+    def _served_count(self) -> int:
         with self.lock:
-            return sum(count.served for count in self.seen.tenants.values())
+            return sum(counts.served for counts in self.observations.tenants.values())
 
-    def _look(self) -> None:
-        """Ask each machine for its configuration, and for the route that was added."""
+    def _collect_final_state(self) -> None:
+        """Record the configuration version and the status of the added route on each machine."""
         for machine in demo_files.MACHINES:
             status = call(machine, "ctl", "GET", "/-/status")
-            self.seen.versions.append(msgspec.json.decode(status.body)["ver"] if status.status == 200 else "none")
-            fields = request_fields("kitchen", uuid.uuid4().hex[:16], NEW_ROUTE_S)
-            answer = call(machine, "http", "GET", "/notices/", b"", fields, NEW_ROUTE_S)
-            self.seen.new_route.append(answer.status)
-
-    def _at(self, part: float, what: str) -> None:
-        """Wait until this part of the day is over, and say what comes."""
-        time.sleep(max(0.0, self.begun + part * self.seconds - time.monotonic()))
-        self.say(f"{time.monotonic() - self.begun:5.1f} s  {what}")
-
-
-def play(processes: list[tuple[str, Path]], seconds: float, say: Callable[[str], None]) -> Observations:
-    """Play a day of `seconds` with clients, and return what was seen. Raises CommandError."""
-    check_free()
-    return Demonstration(processes, seconds, say).play()
+            self.observations.versions.append(
+                msgspec.json.decode(status.body)["ver"] if status.status == 200 else "none"
+            )
+            headers = request_headers("kitchen", uuid.uuid4().hex[:16], NEW_ROUTE_TIMEOUT_S)
+            response = call(machine, "http", "GET", "/notices/", b"", headers, NEW_ROUTE_TIMEOUT_S)
+            self.observations.new_route.append(response.status)
+
+    def _wait_for_phase(self, fraction: float, event: str) -> None:
+        """Wait until this fraction of the run is over, then print the next event."""
+        time.sleep(max(0.0, self.started_at + fraction * self.seconds - time.monotonic()))
+        self.print_progress(f"{time.monotonic() - self.started_at:5.1f} s  {event}")
+
+
+def run_demonstration(
+    processes: list[tuple[str, Path]], seconds: float, print_progress: Callable[[str], None]
+) -> Observations:
+    """Run the demonstration with client traffic for `seconds` and return the observations. Raises CommandError."""
+    check_ports_free()
+    return Demonstration(processes, seconds, print_progress).run()
--- a/crowseam/cli/demo_clients.py
+++ b/crowseam/cli/demo_clients.py
@@ -1,4 +1,4 @@
-"""Clients of the demonstration, which run in threads; what they count is behind one short lock."""
+"""Clients of the demonstration. They run in threads; a lock guards the shared observations."""
 
 import queue
 import threading
@@ -6,97 +6,101 @@
 import uuid
 
 from crowseam.cli import demo_files
-from crowseam.cli.demo_calls import NOT_SENT, call, ready, request_fields
-from crowseam.cli.demo_verdict import Count, Observations
+from crowseam.cli.demo_calls import NOT_SENT, call, is_ready, request_headers
+from crowseam.cli.demo_verdict import Observations, RequestCounts
 
-RATES = (
+WORKLOADS = (
     ("kitchen", "GET", "/menu/today", 30),
     ("kitchen", "POST", "/orders/lunch", 10),
     ("pantry", "GET", "/menu/week", 15),
-)  # tenant, method, path, requests a second
-DEADLINE_S = 2.0  # what a client waits
-CLIENTS = 48  # requests of clients that may be open at once
-TRIES = 3
-WATCH_S = 0.2  # s between two looks at which gateways are ready
-GONE_PAUSE_S = 0.01  # s until another gateway is tried where one has gone
-RETRY_PAUSE_S = 0.05  # s until the next try where the answer says nothing
-REFUSED = (429, 503)
-NOT_RUN = (429, 503, 408, 421)  # statuses of requests that no server has run
+)  # tenant, method, path, requests per second
+REQUEST_DEADLINE_S = 2.0
+WORKERS = 48  # maximum number of client requests in flight
+MAX_ATTEMPTS = 3
+READINESS_POLL_S = 0.2
+CONNECT_RETRY_PAUSE_S = 0.01  # after a failed connection
+DEFAULT_RETRY_PAUSE_S = 0.05  # if the response has no Retry-After
+REFUSED_STATUSES = (429, 503)
+NOT_EXECUTED_STATUSES = (429, 503, 408, 421)  # no server has executed the request
 
 
 class Clients:
-    """Clients of all tenants. Each try goes to another of the gateways that say they are ready."""
+    """Clients of all tenants. Each attempt goes to the next of the gateways that report ready."""
 
-    def __init__(self, seen: Observations, lock: threading.Lock):
-        self._seen, self._lock = seen, lock
-        self._number = 0
-        self._todo: queue.SimpleQueue = queue.SimpleQueue()
+    def __init__(self, observations: Observations, lock: threading.Lock):
+        self._observations, self._lock = observations, lock
+        self._request_count = 0
+        self._requests: queue.SimpleQueue = queue.SimpleQueue()
         self._stop = threading.Event()
-        self._threads = [threading.Thread(target=self._work, daemon=True) for _ in range(CLIENTS)]
-        self._threads += [threading.Thread(target=self._ask, args=each, daemon=True) for each in RATES]
-        self._threads.append(threading.Thread(target=self._watch, daemon=True))
-        self._ready = demo_files.MACHINES
+        self._threads = [threading.Thread(target=self._run_worker, daemon=True) for _ in range(WORKERS)]
+        self._threads += [
+            threading.Thread(target=self._generate_requests, args=workload, daemon=True) for workload in WORKLOADS
+        ]
+        self._threads.append(threading.Thread(target=self._poll_readiness, daemon=True))
+        self._ready_gateways = demo_files.MACHINES
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start sending requests."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Ask no more, and wait for what is under way."""
+        """Stop sending requests and wait for those in flight."""
         self._stop.set()
-        for thread in self._threads[CLIENTS:]:
+        for thread in self._threads[WORKERS:]:
             thread.join()
-        for _ in range(CLIENTS):
-            self._todo.put(None)
+        for _ in range(WORKERS):
+            self._requests.put(None)
         for thread in self._threads:
             thread.join()
 
-    def _watch(self) -> None:
-        # As the platform does, though more often than once a second.
-        while not self._stop.wait(WATCH_S):
-            self._ready = tuple(machine for machine in demo_files.MACHINES if ready(machine)) or demo_files.MACHINES
+    def _poll_readiness(self) -> None:
+        # The platform polls readiness in the same way, but only once per second.
+        while not self._stop.wait(READINESS_POLL_S):
+            self._ready_gateways = (
+                tuple(machine for machine in demo_files.MACHINES if is_ready(machine)) or demo_files.MACHINES
+            )
 
-    def _ask(self, tenant: str, method: str, path: str, rate: float) -> None:
-        at = time.monotonic()
-        while not self._stop.wait(max(0.0, at - time.monotonic())):
-            at += 1.0 / rate
-            self._todo.put((tenant, method, path))
+    def _generate_requests(self, tenant: str, method: str, path: str, rate: float) -> None:
+        next_at = time.monotonic()
+        while not self._stop.wait(max(0.0, next_at - time.monotonic())):
+            next_at += 1.0 / rate
+            self._requests.put((tenant, method, path))
 
-    def _work(self) -> None:
-        while (asked := self._todo.get()) is not None:
-            self._one(*asked)
+    def _run_worker(self) -> None:
+        while (request := self._requests.get()) is not None:
+            self._perform(*request)
 
-    def _one(self, tenant: str, method: str, path: str) -> None:
-        """One request with all its tries; count what became of it."""
-        status = self._status(tenant, method, path)
+    def _perform(self, tenant: str, method: str, path: str) -> None:
+        """Perform one request, including retries, and count its outcome."""
+        status = self._send_with_retries(tenant, method, path)
         with self._lock:
-            count = self._seen.tenants.setdefault(tenant, Count())
-            count.asked += 1
-            count.served += status == 200
-            count.refused += status in REFUSED
-            count.failed += status != 200 and status not in REFUSED
+            counts = self._observations.tenants.setdefault(tenant, RequestCounts())
+            counts.asked += 1
+            counts.served += status == 200
+            counts.refused += status in REFUSED_STATUSES
+            counts.failed += status != 200 and status not in REFUSED_STATUSES
             if status == 200:
-                self._seen.served_at.setdefault(tenant, []).append(time.monotonic())
+                self._observations.served_at.setdefault(tenant, []).append(time.monotonic())
 
-    def _status(self, tenant: str, method: str, path: str) -> int:
-        """The status of the last try of a request."""
+    def _send_with_retries(self, tenant: str, method: str, path: str) -> int:
+        """Return the status of the last attempt of a request."""
         with self._lock:
-            self._number += 1
-            place = self._number
+            self._request_count += 1
+            gateway_index = self._request_count
         body = b"one portion" if method == "POST" else b""
-        end, status, tries = time.monotonic() + DEADLINE_S, NOT_SENT, 0
-        while tries < TRIES and (left := end - time.monotonic()) > 0.0:
-            place, machines = place + 1, self._ready
-            fields = request_fields(tenant, uuid.uuid4().hex[:16], left)
-            answer = call(machines[place % len(machines)], "http", method, path, body, fields, left)
-            status = answer.status
+        deadline, status, attempts = time.monotonic() + REQUEST_DEADLINE_S, NOT_SENT, 0
+        while attempts < MAX_ATTEMPTS and (remaining_s := deadline - time.monotonic()) > 0.0:
+            gateway_index, gateways = gateway_index + 1, self._ready_gateways
+            headers = request_headers(tenant, uuid.uuid4().hex[:16], remaining_s)
+            response = call(gateways[gateway_index % len(gateways)], "http", method, path, body, headers, remaining_s)
+            status = response.status
             if status == NOT_SENT:
-                time.sleep(GONE_PAUSE_S)
+                time.sleep(CONNECT_RETRY_PAUSE_S)
                 continue
-            if status == 200 or (method == "POST" and status not in NOT_RUN):
-                break  # what may have run is not ours to send again
-            tries += 1
-            if status in REFUSED:
-                time.sleep(min(float(answer.headers.get("retry-after", RETRY_PAUSE_S)), left / 3.0))
+            if status == 200 or (method == "POST" and status not in NOT_EXECUTED_STATUSES):
+                break  # an unsafe request that a server may have run is not retried
+            attempts += 1
+            if status in REFUSED_STATUSES:
+                time.sleep(min(float(response.headers.get("retry-after", DEFAULT_RETRY_PAUSE_S)), remaining_s / 3.0))
         return status
--- a/crowseam/cli/demo_files.py
+++ b/crowseam/cli/demo_files.py
@@ -1,4 +1,4 @@
-"""The files of a small fleet on one computer: settings of three machines, and a configuration."""
+"""Files of a small fleet on one computer: settings of three machines and a configuration."""
 
 from pathlib import Path
 from typing import Any
@@ -7,12 +7,12 @@
 
 from crowseam.cli.errors import BadInputError
 
-# Each machine has an address of its own, as all use the same ports. All of 127.0.0.0/8 is this computer.
+# All machines use the same ports, so each has its own loopback address.
 MACHINES = ("127.0.1.1", "127.0.1.2", "127.0.1.3")
 PORTS = {"http": 8405, "readyz": 8406, "ctl": 8407}
 HOST = "menu.example"
-KEYS = {"kitchen": "demo-key", "pantry": "demo-key-2"}
-RATE, BURST = 5, 5  # of `pantry`, which asks for more
+API_KEYS = {"kitchen": "demo-key", "pantry": "demo-key-2"}
+PANTRY_RATE_PER_S, PANTRY_BURST = 5, 5  # the clients of `pantry` exceed this
 HEARTBEAT_S = 1.0
 QUOTA_WINDOW_S, QUOTA_EXCESS, QUOTA_SLACK = 5.0, 0.1, 5
 DRAIN_S = 2.5
@@ -41,28 +41,28 @@
 }
 
 
-def settings(place: int, role: str, folder: Path) -> dict[str, Any]:
-    """Return the settings of one process of the fleet; `place` is the machine's, from 0."""
-    ip = MACHINES[place]
+def settings(machine_index: int, role: str, folder: Path) -> dict[str, Any]:
+    """Return the settings of one process of the fleet; `machine_index` counts from 0."""
+    ip = MACHINES[machine_index]
     serves = ["edge"] if role == "gateway" else ["ctl"]
-    names = ("http", "readyz") if role == "gateway" else ("ctl",)
+    listeners = ("http", "readyz") if role == "gateway" else ("ctl",)
     zones = {f"zone-{letter}": "home" for letter in "abc"}
     return {
-        "hostname": f"demo-{place + 1}",
+        "hostname": f"demo-{machine_index + 1}",
         "role": role,
         "mclass": "edge",
         "serves": serves,
         "ip": ip,
-        "az": list(zones)[place],
+        "az": list(zones)[machine_index],
         "region": "home",
         "zones": zones,
-        "bind": {name: f"{ip}:{PORTS[name]}" for name in names},
+        "bind": {name: f"{ip}:{PORTS[name]}" for name in listeners},
         "port_range": [7660, 7675],
-        "seeds": [f"{each}:{PORTS['ctl']}" for each in MACHINES],
+        "seeds": [f"{address}:{PORTS['ctl']}" for address in MACHINES],
         "bootstrap": True,
         "voting": True,
         "limits": {"cpu": 1.0, "ncpu": 1, "mem_mb": 300, "nofile": 1000, "net_mbps": 1000.0, "disk_mb": 64},
-        "datadir": str(folder / f"data-{place + 1}-{role}"),
+        "datadir": str(folder / f"data-{machine_index + 1}-{role}"),
         "disco": "self_reg",
         "entry": "vip",
         "hb": f"{HEARTBEAT_S:g}s",
@@ -91,7 +91,7 @@
 
 
 def configuration() -> dict[str, Any]:
-    """Return the first configuration of the fleet."""
+    """Return the initial configuration of the fleet."""
     return {
         "ver": "00000001",
         "parent": "00000000",
@@ -105,7 +105,7 @@
             {
                 "type": "tenants",
                 "meta": {"name": "kitchen"},
-                "spec": {"apikeys": [KEYS["kitchen"]], "prio": 1, "rate_per_s": 120, "burst": 120},
+                "spec": {"apikeys": [API_KEYS["kitchen"]], "prio": 1, "rate_per_s": 120, "burst": 120},
             },
             {
                 "type": "limits",
@@ -116,14 +116,19 @@
             {
                 "type": "tenants",
                 "meta": {"name": "pantry"},
-                "spec": {"apikeys": [KEYS["pantry"]], "prio": 2, "rate_per_s": RATE, "burst": BURST},
+                "spec": {
+                    "apikeys": [API_KEYS["pantry"]],
+                    "prio": 2,
+                    "rate_per_s": PANTRY_RATE_PER_S,
+                    "burst": PANTRY_BURST,
+                },
             },
         ],
     }
 
 
-def change() -> dict[str, Any]:
-    """Return the change that follows: one more route."""
+def configuration_patch() -> dict[str, Any]:
+    """Return the body of a PATCH that adds a route."""
     return {
         "ver": "00000002",
         "parent": "00000001",
@@ -132,16 +137,16 @@
     }
 
 
-def write(folder: Path) -> list[tuple[str, Path]]:
-    """Write the files of the fleet into `folder`; return (role, settings file) of each process."""
+def write_files(folder: Path) -> list[tuple[str, Path]]:
+    """Write the files of the fleet into `folder` and return (role, settings file) of each process."""
     try:
         folder.mkdir(parents=True, exist_ok=True)
-        for name, data in (("configuration", configuration()), ("change", change())):
+        for name, data in (("configuration", configuration()), ("change", configuration_patch())):
             (folder / f"{name}.json").write_bytes(msgspec.json.format(msgspec.json.encode(data)))
         processes = []
-        for place in range(len(MACHINES)):
+        for machine_index in range(len(MACHINES)):
             for role in ("controller", "gateway"):
-                values = settings(place, role, folder)
+                values = settings(machine_index, role, folder)
                 Path(values["datadir"]).mkdir(exist_ok=True)
                 file = folder / f"{values['hostname']}-{role}.json"
                 file.write_bytes(msgspec.json.format(msgspec.json.encode(values)))
--- a/crowseam/cli/demo_verdict.py
+++ b/crowseam/cli/demo_verdict.py
@@ -1,4 +1,4 @@
-"""The checks of a demonstration: whether each promise held."""
+"""The checks on the observations of a demonstration."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -8,11 +8,11 @@
 
 from crowseam.cli import demo_files
 
-LEAST_SERVED = 0.95  # of what `kitchen` asks, which is within its quota
+MIN_SERVED_FRACTION = 0.95  # of the requests of `kitchen`, which stays within its quota
 
 
-class Count(Struct):
-    """What became of a tenant's requests, each with all of its tries."""
+class RequestCounts(Struct):
+    """Outcomes of a tenant's requests; retries of a request are not counted separately."""
 
     asked: int = 0
     served: int = 0
@@ -21,72 +21,77 @@
 
 
 class Observations(Struct):
-    """The observations that the verdict is based on. Times are seconds of the steady clock."""
+    """What clients and servers observed. Times are in seconds of the monotonic clock."""
 
-    tenants: dict[str, Count] = {}
+    tenants: dict[str, RequestCounts] = {}
     served_at: dict[str, list[float]] = {}
-    runs: Counter[str] = msgspec.field(default_factory=Counter)  # of each order, by its id
-    late_at_left: int = 0  # requests at the server that left, beyond the time allowed
+    runs: Counter[str] = msgspec.field(default_factory=Counter)  # executions of each order, by attempt id
+    late_at_left: int = 0  # requests at a server that left, after the drain time
     served_while_down: int = 0
-    versions: list[str] = []  # of the configuration, at each controller
-    new_route: list[int] = []  # status of the route that was added, at each gateway
+    versions: list[str] = []  # configuration version at each controller
+    new_route: list[int] = []  # status of the added route at each gateway
 
 
 class Check(Struct, frozen=True):
-    """Whether one promise held, and in words what was seen of it."""
+    """The result of one check, and a description of what was observed."""
 
     ok: bool
     what: str
 
 
-def most_within(times: Iterable[float], span: float) -> int:
-    """Return how many of `times` lie in the fullest window of `span` seconds."""
+def max_in_window(times: Iterable[float], window_s: float) -> int:
+    """Return the largest number of `times` in any window of `window_s` seconds."""
     times = sorted(times)
-    most = first = 0
-    for last, at in enumerate(times):
-        while at - times[first] >= span:
+    largest = first = 0
+    for last, time in enumerate(times):
+        while time - times[first] >= window_s:
             first += 1
-        most = max(most, last - first + 1)
-    return most
+        largest = max(largest, last - first + 1)
+    return largest
 
 
-def verdict(seen: Observations) -> list[Check]:
-    """Return whether each thing that the day was to show held."""
-    kitchen, machines = seen.tenants["kitchen"], len(demo_files.MACHINES)
-    twice = sum(count > 1 for count in seen.runs.values())
+def verdict(observations: Observations) -> list[Check]:
+    """Return the result of each check of the demonstration."""
+    kitchen, machines = observations.tenants["kitchen"], len(demo_files.MACHINES)
+    repeated = sum(count > 1 for count in observations.runs.values())
     return [
         Check(
-            kitchen.served >= LEAST_SERVED * kitchen.asked > 0.0,
+            kitchen.served >= MIN_SERVED_FRACTION * kitchen.asked > 0.0,
             f"within its quota: {kitchen.served} of {kitchen.asked} requests of kitchen were served",
         ),
-        _quota(seen),
-        Check(bool(seen.runs) and not twice, f"orders: {len(seen.runs)} run, {twice} of them more than once"),
+        _check_quota(observations),
         Check(
-            seen.served_while_down > 0,
-            f"machine killed: {seen.served_while_down} requests served by the others until it was back",
+            bool(observations.runs) and not repeated,
+            f"orders: {len(observations.runs)} run, {repeated} of them more than once",
         ),
         Check(
-            len(seen.versions) == machines and set(seen.versions) == {demo_files.change()["ver"]},
-            f"configuration: {', '.join(seen.versions)} at the controllers",
+            observations.served_while_down > 0,
+            f"machine killed: {observations.served_while_down} requests served by the others until it was back",
         ),
         Check(
-            seen.new_route == [200] * machines,
-            f"added route: answered with {', '.join(map(str, seen.new_route))} by the gateways",
+            len(observations.versions) == machines
+            and set(observations.versions) == {demo_files.configuration_patch()["ver"]},
+            f"configuration: {', '.join(observations.versions)} at the controllers",
         ),
         Check(
-            seen.late_at_left == 0,
-            f"server taken out: {seen.late_at_left} requests reached it more than {demo_files.DRAIN_S:g} s after",
+            observations.new_route == [200] * machines,
+            f"added route: answered with {', '.join(map(str, observations.new_route))} by the gateways",
+        ),
+        Check(
+            observations.late_at_left == 0,
+            f"server taken out: {observations.late_at_left} requests reached it "
+            f"more than {demo_files.DRAIN_S:g} s after",
         ),
     ]
 
 
-def _quota(seen: Observations) -> Check:
-    pantry, span = seen.tenants["pantry"], demo_files.QUOTA_WINDOW_S
-    most = most_within(seen.served_at.get("pantry", ()), span)
-    quota = demo_files.RATE * span + demo_files.BURST
+def _check_quota(observations: Observations) -> Check:
+    pantry, window_s = observations.tenants["pantry"], demo_files.QUOTA_WINDOW_S
+    peak = max_in_window(observations.served_at.get("pantry", ()), window_s)
+    quota = demo_files.PANTRY_RATE_PER_S * window_s + demo_files.PANTRY_BURST
     bound = quota * (1.0 + demo_files.QUOTA_EXCESS) + demo_files.QUOTA_SLACK
     return Check(
-        pantry.served > 0 and pantry.refused > 0 and most <= bound,
-        f"beyond its quota: at most {most} of pantry in {span:g} s, where the rule allows {bound:g}; "
+        pantry.served > 0 and pantry.refused > 0 and peak <= bound,
+        f"beyond its quota: at most {peak} of pantry in {window_s:g} s, where the rule allows {bound:g}; "
         f"{pantry.refused} refused",
     )
--- a/crowseam/cli/dispatch.py
+++ b/crowseam/cli/dispatch.py
@@ -1,4 +1,4 @@
-"""From the words of the command line to the command."""
+"""Parses the command line and runs the selected command."""
 
 import sys
 
@@ -10,17 +10,17 @@
 
 
 def _store_commands():
-    # The store and consensus are loaded only for the commands that work on them.
+    # Imported lazily: only these commands need the store and consensus.
     from crowseam.cli import store_commands
 
     return store_commands
 
 
-def _simulation():
-    # So is the simulator, which is most of the command line.
+def _simulation_commands():
+    # Imported lazily: the simulator loads most of the code base.
     from crowseam.cli import simulation_commands
 
-    simulation_commands.steady()
+    simulation_commands.ensure_fixed_hash_seed()
     return simulation_commands
 
 
@@ -93,10 +93,10 @@
     "scale-run": _scale_run,
     "capacity": _capacity,
     "detection": _detection,
-    "simulate": lambda args: _simulation().simulate(args),
-    "experiment": lambda args: _simulation().experiment(args),
-    "plan": lambda args: _simulation().plan(args),
-    "replay": lambda args: _simulation().again(args),
+    "simulate": lambda args: _simulation_commands().simulate(args),
+    "experiment": lambda args: _simulation_commands().experiment(args),
+    "plan": lambda args: _simulation_commands().plan(args),
+    "replay": lambda args: _simulation_commands().replay_logs(args),
 }
 CONFIG_COMMANDS = {
     "get": config_commands.config_get,
@@ -107,9 +107,9 @@
 
 
 def run(argv: list[str]) -> int:
-    """Run one command of the command line, given the words after the program's name; return its exit code.
+    """Run the command that `argv` (without the program's name) selects, and return its exit code.
 
-    Bad input and failures are reported in one line on standard error.
+    Bad input and failures are reported as one line on standard error.
     """
     try:
         args = docopt(USAGE, argv)
@@ -117,7 +117,7 @@
         words = " ".join(argv) or "no command"
         sys.stderr.write(f"arguments: {words!r} is not understood; `crowseam --help` shows what is\n")
         return BAD_INPUT
-    # `check config` holds a word that begins other commands, so those come last.
+    # `check config` also sets the `config` flag, so the `config` commands are matched last.
     command = next((COMMANDS[name] for name in COMMANDS if args[name]), None)
     if command is None:
         command = next(CONFIG_COMMANDS[name] for name in CONFIG_COMMANDS if args[name])
@@ -127,7 +127,7 @@
         sys.stderr.write(f"{error}\n")
         return error.code
     except BrokenPipeError:
-        # Whoever read our output has seen enough.
+        # The reader of standard output has closed the pipe.
         sys.stderr.close()
         return FAILED
     except KeyboardInterrupt:
--- a/crowseam/cli/errors.py
+++ b/crowseam/cli/errors.py
@@ -1,16 +1,16 @@
-"""The errors of the command line, each with its exit code."""
+"""Exit codes of the command line, and the errors that lead to them."""
 
 DONE, FAILED, BAD_INPUT, REFUSED = 0, 1, 2, 3
 
 
 class CommandError(Exception):
-    """A command that did not succeed. `code` is the exit code; the text is one plain line."""
+    """A command failed. `code` is the exit code; the message is a single line."""
 
     code = FAILED
 
 
 class BadInputError(CommandError):
-    """An argument or a file that cannot be used; `field` names the place."""
+    """An argument or a file is invalid; `field` names the option or the field."""
 
     code = BAD_INPUT
 
@@ -20,7 +20,7 @@
 
 
 class RefusedError(CommandError):
-    """The system gave a clear refusal, with this HTTP status."""
+    """The system definitely refused the request with this HTTP status."""
 
     code = REFUSED
 
@@ -30,4 +30,4 @@
 
 
 class UnclearError(CommandError):
-    """No clear answer came in the time given; what was asked may have been done or not."""
+    """No definite answer arrived in time, so the request may or may not have taken effect."""
--- a/crowseam/cli/file_checks.py
+++ b/crowseam/cli/file_checks.py
@@ -1,6 +1,6 @@
-"""Checks of the files that people write: settings, deploy file, configuration.
+"""Validation of settings files, deploy files and configuration files.
 
-Each check returns every fault it finds as (field, reason), not just the first.
+Each check returns all faults as (field, reason), not just the first.
 """
 
 import re
@@ -20,52 +20,56 @@
 
 _ADDRESS = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})", re.ASCII)
 SERVES = ("edge", "ctl")
-BINDS = {"edge": ("http", "readyz"), "ctl": ("ctl",)}
-HELPERS = ("env", "npx", "sh", "bash", "nohup", "sudo", "exec")
-# Names of Debian packages, by its policy (5.6.1).
+REQUIRED_LISTENERS = {"edge": ("http", "readyz"), "ctl": ("ctl",)}
+WRAPPER_PROGRAMS = ("env", "npx", "sh", "bash", "nohup", "sudo", "exec")
+# Debian package names, Debian policy section 5.6.1.
 _PACKAGE = re.compile(r"[a-z0-9][a-z0-9+.-]+", re.ASCII)
-PORT_MOST = 65535
-ROLES_A_MACHINE = 2
-NEVER_ZERO = ("cpu", "ncpu", "mem_mb", "nofile", "net_mbps")  # of the limits
+MAX_PORT = 65535
+MAX_ROLES_PER_MACHINE = 2
+NONZERO_LIMITS = ("cpu", "ncpu", "mem_mb", "nofile", "net_mbps")
 
 
-def _where(error: Exception, field: str) -> Fault:
-    text, _, place = str(error).partition(" - at `$")
-    return field + place.rstrip("`"), text
+def _fault_at(error: Exception, field: str) -> Fault:
+    text, _, path = str(error).partition(" - at `$")
+    return field + path.rstrip("`"), text
 
 
-def _fields(data: Any, kind: type[Struct], field: str, found: list[Fault], deep: dict | None = None) -> dict:
-    """Convert each field of an object on its own, so that one fault does not hide the next."""
-    good: dict[str, Any] = {}
+def _convert_fields(
+    data: Any, struct_type: type[Struct], field: str, found: list[Fault], nested: dict | None = None
+) -> dict:
+    """Convert each field separately, so that all faults are found. Returns the valid fields."""
+    valid: dict[str, Any] = {}
     if not isinstance(data, dict):
         found.append((field.rstrip("."), f"has to be an object, not {type(data).__name__}"))
-        return good
-    for each in msgspec.structs.fields(kind):
-        if each.name not in data:
-            if each.required:
-                found.append((field + each.name, "is missing"))
+        return valid
+    for member in msgspec.structs.fields(struct_type):
+        if member.name not in data:
+            if member.required:
+                found.append((field + member.name, "is missing"))
             continue
-        if deep and each.name in deep:
-            good[each.name] = _fields(data[each.name], deep[each.name], f"{field}{each.name}.", found)
+        if nested and member.name in nested:
+            valid[member.name] = _convert_fields(
+                data[member.name], nested[member.name], f"{field}{member.name}.", found
+            )
             continue
         try:
-            good[each.name] = msgspec.convert(data[each.name], each.type)
+            valid[member.name] = msgspec.convert(data[member.name], member.type)
         except msgspec.ValidationError as error:
-            found.append(_where(error, field + each.name))
-    return good
+            found.append(_fault_at(error, field + member.name))
+    return valid
 
 
 def address_fault(text: str) -> str:
-    """Return why a text is no address (ip:port), or nothing if it is one."""
+    """Return why a text is not an address (ip:port), or an empty string if it is one."""
     match = _ADDRESS.fullmatch(text)
     if match is None or any(int(part) > 255 for part in match.groups()[:4]):
         return f"{text!r} is not an address such as 10.1.0.5:8407"
-    if not 0 < int(match[5]) <= PORT_MOST:
+    if not 0 < int(match[5]) <= MAX_PORT:
         return f"{match[5]} is not a port"
     return ""
 
 
-def _times(found: list[Fault], field: str, values: dict[str, Any]) -> None:
+def _check_durations(found: list[Fault], field: str, values: dict[str, Any]) -> None:
     for name, value in values.items():
         if isinstance(value, str):
             try:
@@ -75,97 +79,97 @@
 
 
 def check_settings(body: bytes) -> list[Fault]:
-    """Return every fault of a settings file (JSON)."""
+    """Return all faults of a settings file (JSON)."""
     try:
         data = msgspec.json.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         return [("", str(error))]
     found: list[Fault] = []
-    good = _fields(data, SettingsFile, "", found, {"limits": Machine, "bounds": Bounds, "survive": Survive})
-    found += _faults_of_serves(good) + _faults_of_addresses(good) + _faults_of_zones(good)
-    if good.get("voting") and not good.get("datadir"):
+    valid = _convert_fields(data, SettingsFile, "", found, {"limits": Machine, "bounds": Bounds, "survive": Survive})
+    found += _faults_of_serves(valid) + _faults_of_addresses(valid) + _faults_of_zones(valid)
+    if valid.get("voting") and not valid.get("datadir"):
         found.append(("datadir", "is missing, though the machine votes"))
-    _times(found, "", {"hb": good["hb"]} if "hb" in good else {})
-    _times(found, "bounds.", good.get("bounds", {}))
-    return found + _faults_of_numbers(good)
+    _check_durations(found, "", {"hb": valid["hb"]} if "hb" in valid else {})
+    _check_durations(found, "bounds.", valid.get("bounds", {}))
+    return found + _faults_of_numbers(valid)
 
 
-def _faults_of_serves(good: dict[str, Any]) -> list[Fault]:
+def _faults_of_serves(valid: dict[str, Any]) -> list[Fault]:
     found: list[Fault] = []
-    for place, what in enumerate(good.get("serves", [])):
-        if what not in SERVES:
-            found.append((f"serves[{place}]", f"{what!r} is none of {', '.join(SERVES)}"))
-        elif "bind" in good:
-            missing = [name for name in BINDS[what] if name not in good["bind"]]
-            found += [(f"bind.{name}", f"is missing, though the process serves {what}") for name in missing]
+    for index, service in enumerate(valid.get("serves", [])):
+        if service not in SERVES:
+            found.append((f"serves[{index}]", f"{service!r} is none of {', '.join(SERVES)}"))
+        elif "bind" in valid:
+            missing = [name for name in REQUIRED_LISTENERS[service] if name not in valid["bind"]]
+            found += [(f"bind.{name}", f"is missing, though the process serves {service}") for name in missing]
     return found
 
 
-def _faults_of_addresses(good: dict[str, Any]) -> list[Fault]:
-    addresses = [(f"bind.{name}", text) for name, text in good.get("bind", {}).items()]
-    addresses += [(f"seeds[{place}]", text) for place, text in enumerate(good.get("seeds", []))]
+def _faults_of_addresses(valid: dict[str, Any]) -> list[Fault]:
+    addresses = [(f"bind.{name}", text) for name, text in valid.get("bind", {}).items()]
+    addresses += [(f"seeds[{index}]", text) for index, text in enumerate(valid.get("seeds", []))]
     found = [(field, fault) for field, text in addresses if (fault := address_fault(text))]
-    if "ip" in good and (fault := address_fault(f"{good['ip']}:1")):
+    if "ip" in valid and (fault := address_fault(f"{valid['ip']}:1")):
         found.append(("ip", fault.replace(":1'", "'").replace(":8407", "")))
-    if "seeds" in good and not good["seeds"]:
+    if "seeds" in valid and not valid["seeds"]:
         found.append(("seeds", "is empty, so no other process can be found"))
-    first, last = good.get("port_range", (1, 1))
-    if not 0 < first <= last <= PORT_MOST:
+    first, last = valid.get("port_range", (1, 1))
+    if not 0 < first <= last <= MAX_PORT:
         found.append(("port_range", f"{first} to {last} is no range of ports"))
     return found
 
 
-def _faults_of_zones(good: dict[str, Any]) -> list[Fault]:
-    zones = good.get("zones")
-    if zones is None or "az" not in good:
+def _faults_of_zones(valid: dict[str, Any]) -> list[Fault]:
+    zones = valid.get("zones")
+    if zones is None or "az" not in valid:
         return []
-    if good["az"] not in zones:
-        return [("az", f"{good['az']!r} is not among the zones")]
-    if "region" in good and zones[good["az"]] != good["region"]:
-        return [("region", f"{good['region']!r} is not the region of zone {good['az']!r}")]
+    if valid["az"] not in zones:
+        return [("az", f"{valid['az']!r} is not among the zones")]
+    if "region" in valid and zones[valid["az"]] != valid["region"]:
+        return [("region", f"{valid['region']!r} is not the region of zone {valid['az']!r}")]
     return []
 
 
-def _faults_of_numbers(good: dict[str, Any]) -> list[Fault]:
+def _faults_of_numbers(valid: dict[str, Any]) -> list[Fault]:
     found = [
         (f"{group}.{name}", f"{value} is below 0")
         for group in ("limits", "survive", "bounds")
-        for name, value in good.get(group, {}).items()
+        for name, value in valid.get(group, {}).items()
         if isinstance(value, int | float) and value < 0
     ]
-    limits = good.get("limits", {})
-    return found + [(f"limits.{name}", "is 0") for name in NEVER_ZERO if limits.get(name) == 0]
+    limits = valid.get("limits", {})
+    return found + [(f"limits.{name}", "is 0") for name in NONZERO_LIMITS if limits.get(name) == 0]
 
 
 def check_deploy(body: bytes) -> list[Fault]:
-    """Return every fault of a deploy file (TOML)."""
+    """Return all faults of a deploy file (TOML)."""
     try:
         data = tomllib.loads(body.decode())
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         return [("", str(error))]
-    fields = {each.name for each in msgspec.structs.fields(DeployFile)}
+    fields = {member.name for member in msgspec.structs.fields(DeployFile)}
     found: list[Fault] = [(name, "is no field of a deploy file") for name in data.keys() - fields]
-    good = _fields({"roles": {}} | data, DeployFile, "", found, {"roles": _NoFields})
-    if not good.get("build", "x").strip():
+    valid = _convert_fields({"roles": {}} | data, DeployFile, "", found, {"roles": _NoFields})
+    if not valid.get("build", "x").strip():
         found.append(("build", "is empty"))
-    found += _faults_of_packages(good.get("packages"))
+    found += _faults_of_packages(valid.get("packages"))
     tables = data.get("roles")
     if not isinstance(tables, dict) or not tables:
         return [*found, ("roles", "names no role")]
-    roles = {name: _fields(table, Role, f"roles.{name}.", found) for name, table in tables.items()}
+    roles = {name: _convert_fields(table, Role, f"roles.{name}.", found) for name, table in tables.items()}
     for name, table in tables.items():
         found += _faults_of_role(f"roles.{name}.", table, roles[name])
-    return found + _faults_of_served(roles) + _faults_of_crowding(roles)
+    return found + _faults_of_service_coverage(roles) + _faults_of_role_placement(roles)
 
 
 def _faults_of_role(field: str, table: Any, role: dict[str, Any]) -> list[Fault]:
-    """What is wrong with one role by itself: `table` as written, `role` its good fields."""
+    """Return the faults of a single role; `table` is the role as written, `role` its valid fields."""
     found: list[Fault] = []
     if isinstance(table, dict):
-        known = {each.name for each in msgspec.structs.fields(Role)}
-        found += [(field + each, "is no field of a role") for each in table if each not in known]
+        known_fields = {item.name for item in msgspec.structs.fields(Role)}
+        found += [(field + item, "is no field of a role") for item in table if item not in known_fields]
     words = role.get("run", "x").split(" ")
-    if not words[0] or words[0].rpartition("/")[2] in HELPERS:
+    if not words[0] or words[0].rpartition("/")[2] in WRAPPER_PROGRAMS:
         found.append((field + "run", "has to begin with the program itself"))
     if re.search(r"[|&;<>$`\"'\\*]", role.get("run", "")):
         found.append((field + "run", "is not handed to a shell"))
@@ -181,48 +185,48 @@
     return found
 
 
-def _faults_of_served(roles: dict[str, dict[str, Any]]) -> list[Fault]:
-    """What is served by no role, by two on one class, or is unknown."""
+def _faults_of_service_coverage(roles: dict[str, dict[str, Any]]) -> list[Fault]:
+    """Return faults for services that are unknown, have no role, or have two roles on one machine class."""
     found: list[Fault] = []
     served: dict[tuple[str, str], str] = {}
     for name, role in roles.items():
-        for place, what in enumerate(role.get("serves", [])):
-            field = f"roles.{name}.serves[{place}]"
-            if what not in SERVES:
-                found.append((field, f"{what!r} is none of {', '.join(SERVES)}"))
+        for index, service in enumerate(role.get("serves", [])):
+            field = f"roles.{name}.serves[{index}]"
+            if service not in SERVES:
+                found.append((field, f"{service!r} is none of {', '.join(SERVES)}"))
                 continue
-            other = served.setdefault((role.get("on", ""), what), name)
-            if other != name:
-                found.append((field, f"{what!r} is served by {other} on that class"))
-    missing = [what for what in SERVES if what not in {each for _, each in served}]
-    return found + [("roles", f"no role serves {what!r}") for what in missing]
+            other_role = served.setdefault((role.get("on", ""), service), name)
+            if other_role != name:
+                found.append((field, f"{service!r} is served by {other_role} on that class"))
+    missing = [service for service in SERVES if service not in {service_name for _, service_name in served}]
+    return found + [("roles", f"no role serves {service!r}") for service in missing]
 
 
-def _faults_of_crowding(roles: dict[str, dict[str, Any]]) -> list[Fault]:
-    """More roles than a machine takes, that would run on each machine of a class."""
+def _faults_of_role_placement(roles: dict[str, dict[str, Any]]) -> list[Fault]:
+    """Return faults for machine classes whose every machine would run more than MAX_ROLES_PER_MACHINE roles."""
     everywhere: dict[str, list[str]] = {}
     for name, role in roles.items():
         if role.get("share") == 1 or "edge" in role.get("serves", []):
             everywhere.setdefault(role.get("on", ""), []).append(name)
     return [
-        ("roles", f"{', '.join(names)} would all run on each {on!r} machine, which takes two")
-        for on, names in everywhere.items()
-        if len(names) > ROLES_A_MACHINE
+        ("roles", f"{', '.join(names)} would all run on each {machine_class!r} machine, which takes two")
+        for machine_class, names in everywhere.items()
+        if len(names) > MAX_ROLES_PER_MACHINE
     ]
 
 
 def _faults_of_packages(packages: list[str] | None) -> list[Fault]:
-    """Return the faults of the list of Debian packages; None is a list whose fault was found before."""
+    """Return the faults of the list of Debian packages; None means that the list was already rejected."""
     if packages is None:
         return []
     if not packages:
         return [("packages", "is empty, so a machine would have no interpreter")]
     found: list[Fault] = []
-    for place, name in enumerate(packages):
-        field = f"packages[{place}]"
+    for index, name in enumerate(packages):
+        field = f"packages[{index}]"
         if _PACKAGE.fullmatch(name) is None:
             found.append((field, f"{name!r} is not the name of a Debian package"))
-        elif name in packages[:place]:
+        elif name in packages[:index]:
             found.append((field, f"{name!r} is named twice"))
     return found
 
@@ -232,7 +236,7 @@
 
 
 def check_config(body: bytes) -> list[Fault]:
-    """Return every fault of a configuration file: a whole one, or the first fault of a PATCH."""
+    """Return all faults of a full configuration, or the first fault of a PATCH."""
     if is_patch(body):
         try:
             parse_change("PATCH", body)
@@ -243,7 +247,7 @@
 
 
 def is_patch(body: bytes) -> bool:
-    """Tell whether a body changes named items (PATCH) and is no whole configuration (PUT)."""
+    """Return whether a body is a PATCH (changes to named items) and not a full configuration (PUT)."""
     try:
         top = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError):
--- a/crowseam/cli/file_formats.py
+++ b/crowseam/cli/file_formats.py
@@ -1,4 +1,4 @@
-"""The files that people and the platform write: settings and deploy file, field by field."""
+"""Structs of the settings file and the deploy file."""
 
 from msgspec import Struct
 
--- a/crowseam/cli/operation_commands.py
+++ b/crowseam/cli/operation_commands.py
@@ -1,11 +1,11 @@
-"""The command `operations`: what the controllers keep of keyed operations, and what became of one."""
+"""The command `operations`: records of idempotent operations that the controllers hold."""
 
 from __future__ import annotations
 
 import sys
 from typing import Any
 
-from crowseam.cli.calls import caller, data_of
+from crowseam.cli.calls import decode_json, make_client
 from crowseam.cli.console import Args, print_json, print_text
 from crowseam.cli.errors import DONE, FAILED, CommandError
 from crowseam.cli.tables import table
@@ -13,26 +13,26 @@
 
 
 def operations(args: Args) -> int:
-    """Print a record for each controller, or for each claim of one operation. FAILED if no controller answers."""
-    ident = ""
+    """Print a summary per controller, or the records of one operation. FAILED if no controller answers."""
+    operation_id = ""
     if args["--key"] is not None:
-        ident = operation_digest(args["--tenant"] or "", args["--key"].encode()).hex()
+        operation_id = operation_digest(args["--tenant"] or "", args["--key"].encode()).hex()
     records: list[dict[str, Any]] = []
-    is_answered = False
-    for address, result in sorted(caller(args).each("operations", ident), key=lambda each: each[0]):
+    any_answered = False
+    for address, result in sorted(make_client(args).call_all("operations", operation_id), key=lambda item: item[0]):
         try:
             if result.is_error():
                 raise result.error
-            found = data_of(result.ok)
+            data = decode_json(result.ok)
         except CommandError as error:
             sys.stderr.write(f"{address}: {error}\n")
             continue
-        is_answered = True
-        records += [{"addr": address} | each for each in (found if isinstance(found, list) else [found])]
+        any_answered = True
+        records += [{"addr": address} | item for item in (data if isinstance(data, list) else [data])]
     if args["--json"]:
         print_json(records)
     elif records:
         print_text(table(records))
-    elif is_answered:
+    elif any_answered:
         print_text("no controller that was asked has a record of this operation\n")
-    return DONE if is_answered else FAILED
+    return DONE if any_answered else FAILED
--- a/crowseam/cli/report.py
+++ b/crowseam/cli/report.py
@@ -1,4 +1,4 @@
-"""The report of an experiment: one HTML file with its tables, and plots where matplotlib is there."""
+"""HTML report of an experiment: tables, and plots if matplotlib is installed."""
 
 from __future__ import annotations
 
@@ -36,28 +36,30 @@
     return out.getvalue().partition("<svg")[1] + out.getvalue().partition("<svg")[2]
 
 
-def _figure_type(option: str, instead: str) -> Any:
-    """The class of matplotlib's figures. Raises BadInputError naming the option that asked for them."""
+def _figure_type(option: str, alternative: str) -> Any:
+    """Import matplotlib and return its Figure class. Raises BadInputError naming the option that needs it."""
     try:
         import matplotlib
 
         matplotlib.use("svg")
-        matplotlib.rcParams["svg.hashsalt"] = "crowseam"  # the same file for the same results
+        matplotlib.rcParams["svg.hashsalt"] = "crowseam"  # makes the output reproducible
         from matplotlib.figure import Figure
     except ImportError:
-        raise BadInputError(option, f"plots need what requirements-tools.txt lists; install it, or {instead}") from None
+        raise BadInputError(
+            option, f"plots need what requirements-tools.txt lists; install it, or {alternative}"
+        ) from None
     return Figure
 
 
-def curve(across: str, up: str, lines: dict[str, list[tuple[float, float]]]) -> str:
-    """SVG of lines by name, both axes by powers of ten; `across` and `up` say what is on them, with units.
+def curve(x_label: str, y_label: str, lines: dict[str, list[tuple[float, float]]]) -> str:
+    """Return an SVG of named lines on logarithmic axes; the axis labels include the units.
 
     Raises BadInputError, which names --plot.
     """
     new_figure = _figure_type("--plot", "leave --plot out")
     import matplotlib
 
-    # Words stay words, in any plain letters: a third of the size.
+    # Text stays text instead of glyph outlines, which makes the file smaller.
     with matplotlib.rc_context({"svg.fonttype": "none", "font.sans-serif": ["DejaVu Sans"]}):
         figure = new_figure(figsize=(5.2, 3.2), layout="constrained")
         axes = figure.subplots()
@@ -65,57 +67,57 @@
             axes.plot(*zip(*points, strict=True), "o-", markersize=4, label=name)
         axes.set_xscale("log")
         axes.set_yscale("log")
-        marks = sorted({place for points in lines.values() for place, _ in points})
-        axes.set_xticks(marks, [f"{mark:,.0f}" for mark in marks])
+        ticks = sorted({x for points in lines.values() for x, _ in points})
+        axes.set_xticks(ticks, [f"{tick:,.0f}" for tick in ticks])
         values = [value for points in lines.values() for _, value in points]
         axes.set_ylim(10.0 ** floor(log10(min(values))), 10.0 ** (floor(log10(max(values))) + 1))
         axes.yaxis.set_major_formatter(lambda value, _: f"{value:,g}")
         axes.minorticks_off()
         axes.grid(True, alpha=0.3)
-        axes.set_xlabel(across)
-        axes.set_ylabel(up)
+        axes.set_xlabel(x_label)
+        axes.set_ylabel(y_label)
         if len(lines) > 1:
             axes.legend(fontsize="small")
         return _svg(figure)
 
 
-def plots(values: dict, spans: dict[str, list[list[float]]], measures: list[str]) -> list[str]:
-    """SVG: each measure by variant, a dot a seed, and the worth along the day. Raises BadInputError."""
+def plots(values: dict, worth_series: dict[str, list[list[float]]], measures: list[str]) -> list[str]:
+    """Return SVGs: a plot per measure with a dot per seed, and the worth over time. Raises BadInputError."""
     new_figure = _figure_type("--report", "give --no-plots")
     names = list(values)
-    drawn = []
+    drawings = []
     for name in measures:
         figure = new_figure(figsize=(7, 0.9 + 0.45 * len(names)), layout="constrained")
         axes = figure.subplots()
-        for place, variant in enumerate(names):
-            figures = [run[name] for run in values[variant].values()]
-            axes.plot(figures, [place] * len(figures), "o", alpha=0.5, color="tab:blue")
-            axes.plot([sum(figures) / len(figures)], [place], "|", markersize=18, color="black")
+        for position, variant in enumerate(names):
+            samples = [run[name] for run in values[variant].values()]
+            axes.plot(samples, [position] * len(samples), "o", alpha=0.5, color="tab:blue")
+            axes.plot([sum(samples) / len(samples)], [position], "|", markersize=18, color="black")
         axes.set_yticks(range(len(names)), names)
         axes.set_ylim(len(names) - 0.5, -0.5)
         axes.set_xlabel(name)
-        drawn.append(_svg(figure))
+        drawings.append(_svg(figure))
     figure = new_figure(figsize=(8, 3.2), layout="constrained")
     axes = figure.subplots()
-    for variant, runs in spans.items():
+    for variant, runs in worth_series.items():
         length = min(map(len, runs))
-        means = [sum(run[at] for run in runs) / len(runs) for at in range(length)]
-        axes.plot([5.0 * at for at in range(length)], means, label=variant)
+        means = [sum(run[index] for run in runs) / len(runs) for index in range(length)]
+        axes.plot([5.0 * index for index in range(length)], means, label=variant)
     axes.set_xlabel("s of the load")
     axes.set_ylabel("worth earned / owed")
     axes.legend(fontsize="small")
-    return [*drawn, _svg(figure)]
+    return [*drawings, _svg(figure)]
 
 
-def write(
+def write_report(
     path: str,
     title: str,
     rows: list[dict[str, Any]],
     earlier: list[dict[str, Any]],
-    broken: list[str],
+    violations: list[str],
     drawings: list[str],
 ) -> None:
-    """Write the report. Raises BadInputError."""
+    """Write the HTML file. Raises BadInputError."""
     parts = [
         f"<!doctype html><meta charset=utf-8><title>{html.escape(title)}</title><style>{STYLE}</style>",
         f"<h1>{html.escape(title)}</h1>",
@@ -125,8 +127,8 @@
     ]
     if earlier:
         parts += ["<h2>Against the results kept last</h2>", _table(earlier)]
-    if broken:
-        parts += ["<h2>Broken rules</h2><ul>", *(f"<li>{html.escape(line)}</li>" for line in broken), "</ul>"]
+    if violations:
+        parts += ["<h2>Broken rules</h2><ul>", *(f"<li>{html.escape(line)}</li>" for line in violations), "</ul>"]
     parts += drawings
     try:
         with open(path, "w", encoding="utf-8") as file:
--- a/crowseam/cli/retirement_commands.py
+++ b/crowseam/cli/retirement_commands.py
@@ -1,4 +1,4 @@
-"""Commands that take servers out of use: retire and retiring."""
+"""The commands retire and retiring, which take servers out of service."""
 
 import sys
 import time
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from crowseam.cli.calls import call, caller, data_of
-from crowseam.cli.console import Args, number, print_json, print_text
+from crowseam.cli.calls import call, decode_json, make_client
+from crowseam.cli.console import Args, positive_number, print_json, print_text
 from crowseam.cli.errors import DONE, BadInputError
-from crowseam.cli.retirement_wait import Wait
+from crowseam.cli.retirement_wait import RetirementWait
 from crowseam.cli.tables import cell, rows, table
 
 
 def retire(args: Args) -> int:
-    """Take servers out of use, or put them back."""
+    """Retire servers, or with --undo put them back in service."""
     body: dict[str, Any] = {"undo": bool(args["--undo"])}
     for option, field in (("--server", "id"), ("--version", "ver"), ("--zone", "az"), ("--svc", "svc")):
         if args[option] is not None:
@@ -27,49 +27,49 @@
         raise BadInputError("--wait", "does not go with --undo")
     if args["--force"]:
         body["force"] = True
-    most = number(args, "--most", float)
+    max_wait_s = positive_number(args, "--most", float)
     answer = call(args, "retire", msgspec.json.encode(body))
-    data = data_of(answer) if answer.body.strip() else {}
+    data = decode_json(answer) if answer.body.strip() else {}
     if not args["--json"]:
         print_text(("back in use" if body["undo"] else "retired") + f": {cell(data)}\n")
     if args["--wait"]:
-        data["servers"] = _until_safe(args, data.get("found") or [], most)
+        data["servers"] = _wait_until_safe(args, data.get("found") or [], max_wait_s)
     if args["--json"]:
         print_json(data)
     return DONE
 
 
-def _until_safe(args: Args, idents: list[str], most: float) -> list[dict[str, Any]]:
-    """Wait, `most` s at the longest, until servers are safe to switch off. Raises CommandError."""
-    ask = caller(args)
+def _wait_until_safe(args: Args, server_ids: list[str], max_wait_s: float) -> list[dict[str, Any]]:
+    """Wait up to `max_wait_s` until servers are safe to switch off. Raises CommandError."""
+    client = make_client(args)
 
-    def look(ident: str) -> dict[str, Any]:
-        result = ask.call("retiring", ident=ident)
+    def query_status(item_id: str) -> dict[str, Any]:
+        result = client.call("retiring", item_id=item_id)
         if result.is_error():
             raise result.error
-        return data_of(result.ok)
+        return decode_json(result.ok)
 
-    def say(line: str) -> None:
+    def print_progress(line: str) -> None:
         print(line, file=sys.stderr, flush=True)
 
-    safe = Wait(look, time.monotonic, time.sleep, say).until_safe(idents, most)
+    safe = RetirementWait(query_status, time.monotonic, time.sleep, print_progress).until_safe(server_ids, max_wait_s)
     if not args["--json"]:
         print_text(f"safe to switch off: {cell([row['id'] for row in safe])}\n")
     return safe
 
 
 def retiring(args: Args) -> int:
-    """Print servers that leave and who still has requests under way there; with --wait, until none has."""
-    most = number(args, "--most", float)
+    """Print retiring servers and the gateways with requests in flight there; with --wait, wait until there are none."""
+    max_wait_s = positive_number(args, "--most", float)
     if args["--wait"]:
-        found = _until_safe(args, [args["ID"]] if args["ID"] else [], most)
+        servers = _wait_until_safe(args, [args["ID"]] if args["ID"] else [], max_wait_s)
         if args["--json"]:
-            print_json({"servers": found})
+            print_json({"servers": servers})
         return DONE
-    result = caller(args).call("retiring", ident=args["ID"] or "")
+    result = make_client(args).call("retiring", item_id=args["ID"] or "")
     if result.is_error():
         raise result.error
-    data = data_of(result.ok)
+    data = decode_json(result.ok)
     if args["--json"]:
         print_json(data)
         return DONE
--- a/crowseam/cli/retirement_wait.py
+++ b/crowseam/cli/retirement_wait.py
@@ -1,111 +1,112 @@
-"""Waiting until servers that leave are safe to switch off, and what is reported meanwhile."""
+"""Waits until retiring servers are safe to switch off, and reports progress."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
 
 from crowseam.cli.errors import CommandError, RefusedError, UnclearError
 
-EVERY_S = 0.5
-SURE = 3  # looks in a row that must find a server back in use, or unknown: a controller may be behind
+POLL_INTERVAL_S = 0.5
+CONFIRMATIONS = 3  # consecutive answers before a server counts as in use or unknown, as a controller may lag
 
 Row = dict[str, Any]
 
 
 def progress(view: dict[str, Any], rows: Iterable[Row]) -> str:
-    """Return one line on what holds back the word that these servers are safe; empty if nothing does."""
-    waiting = [row for row in rows if not row.get("safe")]
-    if not waiting:
+    """Return one line on why servers are not safe to switch off yet; empty if all are."""
+    unsafe = [row for row in rows if not row.get("safe")]
+    if not unsafe:
         return ""
-    busy: dict[str, int] = {}
-    for row in waiting:
+    in_flight: dict[str, int] = {}
+    for row in unsafe:
         for gateway, count in row.get("under_way", {}).items():
-            busy[gateway] = busy.get(gateway, 0) + count
-    lines = [
-        f"{len(waiting)} not yet safe ({', '.join(row['id'] for row in waiting[:3])}"
-        + (", ..." if len(waiting) > 3 else "")
+            in_flight[gateway] = in_flight.get(gateway, 0) + count
+    parts = [
+        f"{len(unsafe)} not yet safe ({', '.join(row['id'] for row in unsafe[:3])}"
+        + (", ..." if len(unsafe) > 3 else "")
         + ")"
     ]
-    if busy:
-        lines.append(
-            f"{sum(busy.values())} requests under way at {', '.join(sorted(busy)[:5])}"
-            + (f" and {len(busy) - 5} more" if len(busy) > 5 else "")
+    if in_flight:
+        parts.append(
+            f"{sum(in_flight.values())} requests under way at {', '.join(sorted(in_flight)[:5])}"
+            + (f" and {len(in_flight) - 5} more" if len(in_flight) > 5 else "")
         )
-    if late := sorted({gateway for row in waiting for gateway in row.get("unconfirmed", [])}):
-        lines.append(f"not confirmed by {', '.join(late[:5])}" + (", ..." if len(late) > 5 else ""))
+    if unconfirmed := sorted({gateway for row in unsafe for gateway in row.get("unconfirmed", [])}):
+        parts.append(f"not confirmed by {', '.join(unconfirmed[:5])}" + (", ..." if len(unconfirmed) > 5 else ""))
     if away := view.get("away"):
-        lines.append("away: " + ", ".join(f"{gateway} for {span:.0f} s" for gateway, span in sorted(away.items())))
+        parts.append("away: " + ", ".join(f"{gateway} for {away_s:.0f} s" for gateway, away_s in sorted(away.items())))
     if not view.get("in_touch"):
-        lines.append("the controller asked has no majority")
-    return "; ".join(lines)
+        parts.append("the controller asked has no majority")
+    return "; ".join(parts)
 
 
-class Wait:
-    """Asks again and again until all of some servers are safe in one look.
+class RetirementWait:
+    """Polls until all of the given servers are safe to switch off in one answer.
 
-    look(id) gives the answer of the call `retiring` for one server, for all that leave with an empty id.
-    clock and sleep are in seconds; say gets each line of progress that differs from the one before.
+    query_status(id) returns the answer to the call `retiring` for one server, or for all retiring servers if the
+    id is empty. clock and sleep are in seconds; print_progress receives each progress line that differs from the
+    previous one.
     """
 
     def __init__(
         self,
-        look: Callable[[str], dict[str, Any]],
+        query_status: Callable[[str], dict[str, Any]],
         clock: Callable[[], float],
         sleep: Callable[[float], None],
-        say: Callable[[str], None],
+        print_progress: Callable[[str], None],
     ):
-        self._look, self._clock, self._sleep, self._say = look, clock, sleep, say
-        self._strikes: dict[str, int] = {}
-        self._said = ""
+        self._query_status, self._clock, self._sleep, self._print_progress = query_status, clock, sleep, print_progress
+        self._mismatches: dict[str, int] = {}
+        self._last_progress = ""
 
-    def until_safe(self, idents: list[str], most: float) -> list[Row]:
-        """Return a row for each server (no ids: all that leave now) once all are safe or gone.
+    def until_safe(self, server_ids: list[str], max_wait_s: float) -> list[Row]:
+        """Return a row for each server (without ids: all now retiring) once all are safe or gone.
 
-        Raises CommandError when one is back in use, RefusedError when one is not known (any more), and
-        UnclearError after `most` seconds.
+        Raises CommandError if one is back in use, RefusedError if one is unknown, and UnclearError after
+        `max_wait_s`.
         """
-        end = self._clock() + most
+        deadline = self._clock() + max_wait_s
         while True:
             line = "no clear answer"
             try:
-                view = self._look("")
-                idents = idents or [row["id"] for row in view["servers"]]
-                rows = self._rows(idents, view)
+                view = self._query_status("")
+                server_ids = server_ids or [row["id"] for row in view["servers"]]
+                rows = self._status_rows(server_ids, view)
                 line = progress(view, rows)
                 if not line:
                     return rows
             except UnclearError as error:
                 line = str(error)
-            if line != self._said:
-                self._said = line
-                self._say(line)
-            if self._clock() >= end:
-                raise UnclearError(f"after {most:g} s: {line}")
-            self._sleep(EVERY_S)
+            if line != self._last_progress:
+                self._last_progress = line
+                self._print_progress(line)
+            if self._clock() >= deadline:
+                raise UnclearError(f"after {max_wait_s:g} s: {line}")
+            self._sleep(POLL_INTERVAL_S)
 
-    def _rows(self, idents: list[str], view: dict[str, Any]) -> list[Row]:
-        named = {row["id"]: row for row in view["servers"]}
+    def _status_rows(self, server_ids: list[str], view: dict[str, Any]) -> list[Row]:
+        rows_by_id = {row["id"]: row for row in view["servers"]}
         rows = []
-        for ident in idents:
-            row = named.get(ident)
+        for server_id in server_ids:
+            row = rows_by_id.get(server_id)
             if row is None:
-                row = self._single(ident)
+                row = self._query_one(server_id)
             if row["state"] in ("in_use", "unknown"):
-                self._strikes[ident] = self._strikes.get(ident, 0) + 1
-                if self._strikes[ident] >= SURE and row["state"] == "in_use":
-                    raise CommandError(f"{ident} is in use: its retirement was taken back, or never was")
-                if self._strikes[ident] >= SURE:
-                    raise RefusedError(404, f"{ident} is not known")
+                self._mismatches[server_id] = self._mismatches.get(server_id, 0) + 1
+                if self._mismatches[server_id] >= CONFIRMATIONS and row["state"] == "in_use":
+                    raise CommandError(f"{server_id} is in use: its retirement was taken back, or never was")
+                if self._mismatches[server_id] >= CONFIRMATIONS:
+                    raise RefusedError(404, f"{server_id} is not known")
             else:
-                self._strikes.pop(ident, None)
+                self._mismatches.pop(server_id, None)
             rows.append(row)
         return rows
 
-    def _single(self, ident: str) -> Row:
+    def _query_one(self, server_id: str) -> Row:
         try:
-            return self._look(ident)["servers"][0]
+            return self._query_status(server_id)["servers"][0]
         except RefusedError as error:
             if error.status != 404:
                 raise
         except IndexError:
-            pass  # it left while we asked
-        return {"id": ident, "state": "unknown", "safe": False}
+            pass  # the server left during the query
+        return {"id": server_id, "state": "unknown", "safe": False}
--- a/crowseam/cli/schema.py
+++ b/crowseam/cli/schema.py
@@ -1,4 +1,4 @@
-"""The written schema (JSON Schema) of the files and bodies, drawn from the structs that read them."""
+"""JSON Schemas of files and request bodies, generated from the structs that decode them."""
 
 from typing import Any
 
@@ -67,5 +67,5 @@
 
 
 def schema_of(name: str) -> dict[str, Any]:
-    """Return the JSON Schema of one of SCHEMAS."""
+    """Return the JSON Schema of an entry of SCHEMAS."""
     return {"$schema": "https://json-schema.org/draft/2020-12/schema"} | msgspec.json.schema(SCHEMAS[name])
--- a/crowseam/cli/soak_command.py
+++ b/crowseam/cli/soak_command.py
@@ -1,4 +1,4 @@
-"""The command `soak`: real processes on loopback, seeded faults, and what the history shows."""
+"""The command `soak`: runs real processes on loopback with seeded faults and checks the call history."""
 
 from __future__ import annotations
 
@@ -9,64 +9,64 @@
 
 import msgspec
 
-from crowseam.cli.console import number
+from crowseam.cli.console import positive_number
 from crowseam.cli.errors import DONE, FAILED, CommandError
 from crowseam.soak.fleet import AddressInUseError
 from crowseam.soak.soak import Plan, Result, run
 
-FIRST_NETWORK = 64  # second number of the loopback addresses of the first soak; others at the same time have the next
-CLIENTS_A_MACHINE = 6
+FIRST_SUBNET = 64  # second octet of the first soak's loopback addresses; parallel soaks use the next
+CLIENTS_PER_MACHINE = 6
 MAX_CLIENTS = 120
-MAX_LINES = 10  # violations of a soak that are printed
-LARGE_FROM = 12  # machines, from which on six of them have a controller
+MAX_VIOLATIONS_SHOWN = 10
+MIN_LARGE_FLEET = 12  # machines; from this size on there are six controllers instead of three
 
 
 def soak(args: dict[str, Any]) -> int:
-    """Play soaks; FAILED if a promise was broken in any."""
-    first = int(args["--from"]) if args["--from"].isdigit() else 0
-    seeds = range(first, first + number(args, "--seeds", int))
-    machines = number(args, "--machines", int)
-    seconds = number(args, "--seconds", float)
-    jobs = 1 if args["--jobs"] is None else number(args, "--jobs", int)
-    keep = Path(args["--out"]) if args["--out"] else None
+    """Run soaks. FAILED if an invariant was violated in any."""
+    first_seed = int(args["--from"]) if args["--from"].isdigit() else 0
+    seeds = range(first_seed, first_seed + positive_number(args, "--seeds", int))
+    machines = positive_number(args, "--machines", int)
+    seconds = positive_number(args, "--seconds", float)
+    jobs = 1 if args["--jobs"] is None else positive_number(args, "--jobs", int)
+    output_directory = Path(args["--out"]) if args["--out"] else None
     plans = [
         Plan(
             machines=machines,
-            controllers=6 if machines >= LARGE_FROM else 3,
-            clients=min(MAX_CLIENTS, CLIENTS_A_MACHINE * machines),
+            controllers=6 if machines >= MIN_LARGE_FLEET else 3,
+            clients=min(MAX_CLIENTS, CLIENTS_PER_MACHINE * machines),
             seconds=seconds,
-            network=FIRST_NETWORK + place % jobs,
+            network=FIRST_SUBNET + index % jobs,
         )
-        for place in range(len(seeds))
+        for index in range(len(seeds))
     ]
-    work = list(zip(seeds, plans, [keep] * len(seeds), strict=True))
-    broken = 0
-    # One after the other on each network, whose addresses the next soak takes over.
-    lanes = [work[place::jobs] for place in range(jobs)]
+    soaks = list(zip(seeds, plans, [output_directory] * len(seeds), strict=True))
+    failed_soaks = 0
+    # Soaks in the same subnet run one after the other, since they reuse its addresses.
+    batches = [soaks[index::jobs] for index in range(jobs)]
     with multiprocessing.get_context("spawn").Pool(jobs) as pool:
         try:
-            for results in pool.imap_unordered(_lane, lanes):
+            for results in pool.imap_unordered(_run_batch, batches):
                 for result in results:
-                    broken += bool(result.violations)
-                    _write(result, bool(args["--json"]))
+                    failed_soaks += bool(result.violations)
+                    _print_result(result, bool(args["--json"]))
         except AddressInUseError as error:
             raise CommandError(f"another soak or demonstration runs here: {error}") from error
-    sys.stdout.write(f"{len(seeds)} soaks, {broken} with a broken promise\n")
-    return FAILED if broken else DONE
+    sys.stdout.write(f"{len(seeds)} soaks, {failed_soaks} with a broken promise\n")
+    return FAILED if failed_soaks else DONE
 
 
-def _lane(work: list[tuple[int, Plan, Path | None]]) -> list[Result]:
-    return [run(*each) for each in work]
+def _run_batch(soaks: list[tuple[int, Plan, Path | None]]) -> list[Result]:
+    return [run(*arguments) for arguments in soaks]
 
 
-def _write(result: Result, as_json: bool) -> None:
+def _print_result(result: Result, as_json: bool) -> None:
     if as_json:
         sys.stdout.write(msgspec.json.encode(result).decode() + "\n")
         return
     statuses = ", ".join(f"{status}: {count}" for status, count in sorted(result.statuses.items()))
-    acts = ", ".join(f"{count} {act}" for act, count in sorted(result.acts.items()))
-    sys.stdout.write(f"seed {result.seed}: {result.runs} runs, {result.repeats} repeats; {statuses}; {acts}\n")
-    for violation in result.violations[:MAX_LINES]:
+    fault_counts = ", ".join(f"{count} {fault}" for fault, count in sorted(result.acts.items()))
+    sys.stdout.write(f"seed {result.seed}: {result.runs} runs, {result.repeats} repeats; {statuses}; {fault_counts}\n")
+    for violation in result.violations[:MAX_VIOLATIONS_SHOWN]:
         sys.stdout.write(f"seed {result.seed}: VIOLATION {violation}\n")
     if result.violations:
         sys.stdout.write(f"seed {result.seed}: {len(result.violations)} violations; {result.folder or 'not kept'}\n")
--- a/crowseam/cli/store_commands.py
+++ b/crowseam/cli/store_commands.py
@@ -1,4 +1,4 @@
-"""Commands that work on a store's file, with no process running on it."""
+"""The commands snapshot and restore, which work on the store file of a stopped process."""
 
 import shutil
 import sqlite3
@@ -18,8 +18,8 @@
 Args = dict[str, Any]
 
 
-def _free(path: Path) -> None:
-    """Raise CommandError where a process has the store open. Nothing in the store changes."""
+def _check_not_in_use(path: Path) -> None:
+    """Raise CommandError if a process has the store open. The store is not modified."""
     try:
         connection = sqlite3.connect(f"file:{path}?mode=rw", uri=True, timeout=0.0, isolation_level=None)
         try:
@@ -36,19 +36,19 @@
         raise CommandError(f"{path} is damaged: {error}") from None
 
 
-def _last(durable: DurableState) -> int:
-    """Return the last slot up to which every chosen entry is present."""
+def _last_contiguous_slot(durable: DurableState) -> int:
+    """Return the last slot up to which all chosen entries are present."""
     last = durable.snapshot.slot if durable.snapshot is not None else 0
     while last + 1 in durable.chosen:
         last += 1
     return last
 
 
-def _newest(durable: DurableState) -> str:
-    changes = [
+def _version_suffix(durable: DurableState) -> str:
+    configurations = [
         durable.chosen[slot] for slot in sorted(durable.chosen) if isinstance(durable.chosen[slot], ConfigurationEntry)
     ]
-    return f", version {version_text(changes[-1].ver)}" if changes else ""
+    return f", version {version_text(configurations[-1].ver)}" if configurations else ""
 
 
 def snapshot(args: Args) -> int:
@@ -56,8 +56,8 @@
     path = Path(args["STORE"])
     if not path.is_file():
         raise BadInputError("STORE", f"{path} is no file")
-    _free(path)
-    # Opening a damaged store sets it aside, which is not for a copier to do; so a copy is opened.
+    _check_not_in_use(path)
+    # Opening a damaged store quarantines its file, so a copy is opened instead.
     try:
         with tempfile.TemporaryDirectory() as folder:
             for suffix in ("", "-wal"):
@@ -75,16 +75,16 @@
                 store.close()
     except (StoreError, OSError) as error:
         raise CommandError(f"snapshot: {error}") from None
-    sys.stdout.write(f"slot {_last(durable)}{_newest(durable)}, digest {digest}\n")
+    sys.stdout.write(f"slot {_last_contiguous_slot(durable)}{_version_suffix(durable)}, digest {digest}\n")
     return DONE
 
 
-def _voters(args: Args, digest: str) -> tuple[Voter, list[Voter]]:
+def _parse_voters(args: Args, digest: str) -> tuple[Voter, list[Voter]]:
     if args["--me"] is None:
         raise BadInputError("--me", "is missing beside --voters")
-    addresses = sorted({each.strip() for each in args["--voters"].split(",") if each.strip()})
-    for field, listed in (("--voters", addresses), ("--me", [args["--me"]])):
-        for address in listed:
+    addresses = sorted({item.strip() for item in args["--voters"].split(",") if item.strip()})
+    for field, values in (("--voters", addresses), ("--me", [args["--me"]])):
+        for address in values:
             fault = address_fault(address)
             if fault:
                 raise BadInputError(field, fault)
@@ -95,14 +95,14 @@
 
 
 def restore(args: Args) -> int:
-    """Make a store out of a snapshot; with --voters, of a system whose voters are all gone for good."""
+    """Create a store from a snapshot; with --voters, replace the voters of a system that has lost all of them."""
     path, file = Path(args["STORE"]), Path(args["FILE"][0])
     if path.exists():
         raise BadInputError("STORE", f"{path} is there already")
     if not file.is_file():
         raise BadInputError("FILE", f"{file} is no file")
     if args["--voters"] is not None:
-        _voters(args, "")
+        _parse_voters(args, "")
     elif args["--me"] is not None:
         raise BadInputError("--voters", "is missing beside --me")
     store = Store(path)
@@ -111,19 +111,19 @@
         try:
             digest = store.restore(file)
             durable = store.load()
-            last = _last(durable)
+            last_slot = _last_contiguous_slot(durable)
             if args["--voters"] is not None:
-                if last < durable.highest_chosen_slot:
-                    raise CommandError(f"the snapshot lacks entries after slot {last}; use another one")
-                me, voters = _voters(args, digest)
-                # Every machine restored from this snapshot writes the same entry, so that it is as chosen.
+                if last_slot < durable.highest_chosen_slot:
+                    raise CommandError(f"the snapshot lacks entries after slot {last_slot}; use another one")
+                me, voters = _parse_voters(args, digest)
+                # Every machine restored from this snapshot writes the same entry, so it counts as chosen.
                 entry = VotersEntry(f"restored/{digest[:24]}", voters)
-                store.write([IdentityRecord(me.id), ChosenRecord(last + 1, entry)])
+                store.write([IdentityRecord(me.id), ChosenRecord(last_slot + 1, entry)])
         finally:
             store.close()
     except (StoreError, CommandError) as error:
         for suffix in ("", "-wal", "-shm"):
             path.with_name(path.name + suffix).unlink(missing_ok=True)
         raise CommandError(f"restore: {error}") from None
-    sys.stdout.write(f"slot {last}{_newest(durable)}, digest {digest}\n")
+    sys.stdout.write(f"slot {last_slot}{_version_suffix(durable)}, digest {digest}\n")
     return DONE
--- a/crowseam/cli/tables.py
+++ b/crowseam/cli/tables.py
@@ -2,14 +2,14 @@
 
 from typing import Any
 
-FIRST = ("id", "name", "addr", "svc", "az", "ver", "phase", "state", "slots")
+LEADING_COLUMNS = ("id", "name", "addr", "svc", "az", "ver", "phase", "state", "slots")
 
 
 def rows(data: Any, kind: str) -> list[dict[str, Any]]:
-    """Return the records in an answer, as a list of objects.
+    """Return the records in an answer as a list of objects.
 
-    data: a list of objects, an object that holds such a list under `kind`, or an object of objects, whose
-    keys then become `id`.
+    data: a list of objects, an object with such a list under `kind`, or an object of objects, whose keys become
+    `id`.
     """
     if isinstance(data, dict) and isinstance(data.get(kind), list | dict):
         data = data[kind]
@@ -22,7 +22,7 @@
 
 
 def cell(value: Any) -> str:
-    """Return a value as a cell of a table."""
+    """Format a value as a table cell."""
     if value is None:
         return "-"
     if isinstance(value, bool):
@@ -32,18 +32,20 @@
     if isinstance(value, list):
         return ",".join(map(cell, value)) or "-"
     if isinstance(value, dict):
-        return ",".join(f"{key}={cell(each)}" for key, each in value.items()) or "-"
-    # A name in the table may come from anyone; it must not steer the terminal.
+        return ",".join(f"{key}={cell(item)}" for key, item in value.items()) or "-"
+    # Values may be untrusted: strip terminal control characters.
     return "".join(letter if letter.isprintable() else "?" for letter in str(value)) or "-"
 
 
 def table(records: list[dict[str, Any]]) -> str:
-    """Return the records as a table, one line each, columns in the order in which they are best read."""
+    """Format the records as a table with one line each, LEADING_COLUMNS first."""
     names = dict.fromkeys(name for record in records for name in record)
-    columns = [name for name in FIRST if name in names] + [name for name in names if name not in FIRST]
+    columns = [name for name in LEADING_COLUMNS if name in names] + [
+        name for name in names if name not in LEADING_COLUMNS
+    ]
     if not columns:
         return "none\n"
     lines = [[name.upper() for name in columns]]
     lines += [[cell(record.get(name)) for name in columns] for record in records]
-    widths = [max(len(line[place]) for line in lines) for place in range(len(columns))]
+    widths = [max(len(line[index]) for line in lines) for index in range(len(columns))]
     return "".join("  ".join(map(str.ljust, line, widths)).rstrip() + "\n" for line in lines)
--- a/crowseam/cli/trace.py
+++ b/crowseam/cli/trace.py
@@ -1,4 +1,4 @@
-"""Following one request through the logs of many processes.
+"""Finds the events of one request in the logs of several processes.
 
 A log has one line of key=value pairs for each event.
 """
@@ -8,40 +8,40 @@
 from typing import Any
 
 _PAIR = re.compile(r'([A-Za-z_][\w.-]*)=("(?:[^"\\]|\\.)*"|\S*)')
-TIMES = ("t", "at", "time", "ts")
+TIME_FIELDS = ("t", "at", "time", "ts")
 
 
-def pairs(line: str) -> dict[str, str]:
-    """Return the key=value pairs of a line. A value with blanks is in double quotes."""
-    found = {}
+def parse_pairs(line: str) -> dict[str, str]:
+    """Return the key=value pairs of a line. Values that contain spaces are in double quotes."""
+    fields = {}
     for name, value in _PAIR.findall(line):
         if len(value) > 1 and value[0] == value[-1] == '"':
             value = re.sub(r"\\(.)", r"\1", value[1:-1])
-        found[name] = value
-    return found
+        fields[name] = value
+    return fields
 
 
-def follow(wanted: str, logs: Iterable[tuple[str, Iterable[str]]]) -> list[dict[str, Any]]:
-    """Return the events whose pairs hold `wanted` as a value, in the order of their times.
+def find_events(wanted: str, logs: Iterable[tuple[str, Iterable[str]]]) -> list[dict[str, Any]]:
+    """Return the events that have `wanted` as a value, ordered by time.
 
-    logs: (name, lines). Each event is its pairs with `log` and `line` (from 1) added. Events that tell no
-    time stay behind the event before them in their own log.
+    logs: (name, lines). Each event consists of its pairs plus `log` and `line` (from 1). An event without a time
+    takes the time of the preceding event in its log.
     """
-    found = []
-    for place, (log, text) in enumerate(logs):
-        last = 0.0
-        for number, line in enumerate(text, 1):
+    matches = []
+    for log_index, (log, log_lines) in enumerate(logs):
+        last_time = 0.0
+        for line_number, line in enumerate(log_lines, 1):
             if wanted not in line:
                 continue
-            event = pairs(line)
+            event = parse_pairs(line)
             if wanted not in event.values():
                 continue
-            for name in TIMES:
+            for name in TIME_FIELDS:
                 try:
-                    last = float(event[name])
+                    last_time = float(event[name])
                     break
                 except (KeyError, ValueError):
                     continue
-            found.append((last, place, number, {"log": log, "line": number} | event))
-    found.sort(key=lambda each: each[:3])
-    return [event for *_, event in found]
+            matches.append((last_time, log_index, line_number, {"log": log, "line": line_number} | event))
+    matches.sort(key=lambda match: match[:3])
+    return [event for *_, event in matches]
--- a/crowseam/clock.py
+++ b/crowseam/clock.py
@@ -1,7 +1,7 @@
-"""The clocks that daemons read. The simulator replaces them by virtual ones; nothing else changes them."""
+"""The clocks of the daemons, which read them through this module because the simulator replaces them."""
 
 import time as _time
 
-monotonic = _time.monotonic  # seconds of the steady clock
-time = _time.time  # seconds of the time of day
-time_ns = _time.time_ns  # the same in whole nanoseconds
+monotonic = _time.monotonic  # seconds of the monotonic clock
+time = _time.time  # seconds since the epoch
+time_ns = _time.time_ns  # nanoseconds since the epoch
--- a/crowseam/control_calls.py
+++ b/crowseam/control_calls.py
@@ -6,9 +6,9 @@
 
 
 class ControlCall(NamedTuple):
-    """A call: its method, its path, and the name of the handler that serves it.
+    """A call, with the name of its handler.
 
-    A path that ends with a slash is followed by one name, which is handed to the handler.
+    A path that ends with a slash is a prefix: one name follows it, which is passed to the handler.
     """
 
     method: str
@@ -17,7 +17,7 @@
 
 
 class Match(NamedTuple):
-    """The handler of a call, and the name in its path (empty if it has none)."""
+    """The name of a call's handler, and the name at the end of its path (empty if there is none)."""
 
     handler: str
     name: str
@@ -42,22 +42,22 @@
     ControlCall("GET", "/-/operations", "operations"),
     ControlCall("GET", "/-/operations/", "operations"),
 )
-_EXACT = {(call.method, call.path): call for call in TABLE if not call.path.endswith("/")}
-_EXACT_PATHS = {path for _, path in _EXACT}
-_NAMED = [call for call in TABLE if call.path.endswith("/")]
+_EXACT_CALLS = {(call.method, call.path): call for call in TABLE if not call.path.endswith("/")}
+_EXACT_PATHS = {path for _, path in _EXACT_CALLS}
+_PREFIX_CALLS = [call for call in TABLE if call.path.endswith("/")]
 
 NOT_FOUND, METHOD_NOT_ALLOWED = 404, 405
 
 
 def find(method: str, path: str) -> Match | int:
-    """The handler of a call, or the HTTP status that says why there is none."""
-    if (call := _EXACT.get((method, path))) is not None:
+    """Return the handler of a call, or the HTTP status if there is none."""
+    if (call := _EXACT_CALLS.get((method, path))) is not None:
         return Match(call.handler, "")
-    known = path in _EXACT_PATHS
-    for call in _NAMED:
+    is_known_path = path in _EXACT_PATHS
+    for call in _PREFIX_CALLS:
         name = path.removeprefix(call.path)
         if path.startswith(call.path) and name and "/" not in name:
-            known = True
+            is_known_path = True
             if method == call.method:
                 return Match(call.handler, name)
-    return METHOD_NOT_ALLOWED if known else NOT_FOUND
+    return METHOD_NOT_ALLOWED if is_known_path else NOT_FOUND
--- a/crowseam/controller/__init__.py
+++ b/crowseam/controller/__init__.py
@@ -1,4 +1,4 @@
-"""The controller process: agreement on the configuration, service discovery, membership and quota leases.
+"""The controller process: consensus on the configuration, service discovery, membership and quota leases.
 
-`daemon.Controller` is the entry point; `parts` puts the parts together.
+`daemon.Controller` is the entry point; `parts` creates and connects the components.
 """
--- a/crowseam/controller/agreement.py
+++ b/crowseam/controller/agreement.py
@@ -1,4 +1,4 @@
-"""Carries out what the consensus node decides: its messages, writes and answers."""
+"""Runs the consensus node: sends its messages, writes its records and answers the calls that wait for it."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
 from crowseam.controller.state_machine import (
     AlreadyApplied,
     ConfigurationStateMachine,
-    Forgotten,
+    OutcomeForgotten,
     UnknownParent,
 )
 from crowseam.transport.http import Call
 from crowseam.transport.messages import Message
 
-TICK_INTERVAL_S = 0.05  # between two calls of `tick`; what is due sooner gets a timer
-CHANGE_TIMEOUT_S = 0.85  # within which a change is answered; callers move on after one second
+TICK_INTERVAL_S = 0.05  # between calls of `tick`; a timer is set for anything due sooner
+CHANGE_TIMEOUT_S = 0.85  # shorter than the one second after which callers try another controller
 READ_TIMEOUT_S = 0.85
 _MIN_DELAY_S = 0.001
 _RETRY_AFTER = (("Retry-After", "0.2"),)
 
 
 class Agreement:
-    """The owner of the consensus node.
+    """Connects the consensus node with the network, the disk and the control API.
 
-    `post(addr, message)` sends; `on_applied(applied)` is called with each slot that was chosen, in order.
+    `post(addr, message)` sends a message. `on_applied(applied)` is called with each chosen slot, in order.
     """
 
     def __init__(
@@ -58,38 +58,38 @@
         self.on_applied = on_applied
 
     def on_message(self, addr: str, message: consensus.Message, now: float) -> None:
-        """Take another controller's message, or our own to ourselves."""
-        self._carry_out(self.node.handle(addr, message, now))
+        """Handle a consensus message from another controller, or from this controller to itself."""
+        self._execute(self.node.handle(addr, message, now))
 
     def observe_slot(self, addr: str, last_slot: int, now: float) -> None:
-        """Note that another controller knows the log up to `last_slot`."""
-        self._carry_out(self.node.observe_slot(addr, last_slot, now))
+        """Record that another controller knows the log up to `last_slot`."""
+        self._execute(self.node.observe_slot(addr, last_slot, now))
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the node's timers if they are due; to be called every `TICK_INTERVAL_S`."""
         if now >= self.node.next_tick:
-            self._carry_out(self.node.tick(now))
+            self._execute(self.node.tick(now))
         else:
             self._schedule()
 
     def leave(self, now: float) -> None:
-        """Ask the other voters to remove this controller, as it ends."""
-        self._carry_out(self.node.leave(now))
+        """Ask the other voters to remove this controller, which is stopping."""
+        self._execute(self.node.leave(now))
 
     def read(self, call: Call, now: float) -> None:
-        """Answer with a configuration as new as any that was acknowledged before."""
-        self._carry_out(self.node.read(self.pending_calls.add(call), now, READ_TIMEOUT_S))
+        """Answer with a linearizable read: a configuration at least as new as any acknowledged before the call."""
+        self._execute(self.node.read(self.pending_calls.add(call), now, READ_TIMEOUT_S))
 
     def change(self, call: Call, change: Change, proposal_id: str, now: float) -> None:
-        """Propose a change under an id that no other has; the call is answered with what became of it."""
-        logs.say("change_received", ver=version_text(change.ver), parent=version_text(change.parent))
+        """Propose a change under a unique id; the call is answered with the outcome."""
+        logs.emit("change_received", ver=version_text(change.ver), parent=version_text(change.parent))
 
         def build(machine: ConfigurationStateMachine) -> object:
             return machine.propose(change, proposal_id)
 
-        self._carry_out(self.node.submit(self.pending_calls.add(call), build, now, CHANGE_TIMEOUT_S))
+        self._execute(self.node.submit(self.pending_calls.add(call), build, now, CHANGE_TIMEOUT_S))
 
-    def _carry_out(self, effects: Iterable[Effect]) -> None:
+    def _execute(self, effects: Iterable[Effect]) -> None:
         for effect in effects:
             match effect:
                 case Send(addr=addr, message=message):
@@ -105,7 +105,7 @@
         self._schedule()
 
     def _schedule(self) -> None:
-        # A caller that waits for its answer until the time-out moves on soon after.
+        # Requests must time out punctually, because callers try another controller soon after.
         delay = self.node.next_tick - clock.monotonic()
         if delay < TICK_INTERVAL_S:
             self.loop.call_later(max(_MIN_DELAY_S, delay), self._on_timer)
@@ -116,7 +116,7 @@
     def _persist(self, persist: Persist) -> None:
         def done(ok: bool) -> None:
             if ok:
-                self._carry_out(persist.then)
+                self._execute(persist.then)
             else:
                 self.node.persist_failed(persist, clock.monotonic())
 
@@ -133,16 +133,16 @@
             case ReadReady():
                 call.reply(HTTPStatus.OK, self.machine.config.dump())
             case ConfigurationError():
-                logs.say("change_rejected", status=outcome.status, reason=outcome)
+                logs.emit("change_rejected", status=outcome.status, reason=outcome)
                 call.reply(outcome.status, error_body(str(outcome)))
-            case Forgotten():
-                # A rejection might be wrong, and so might an acknowledgement.
-                logs.say("change_outcome_unknown")
+            case OutcomeForgotten():
+                # The change may or may not have been applied, so neither a rejection nor an acknowledgement is safe.
+                logs.emit("change_outcome_unknown")
                 body = error_body("whether this change was taken is not remembered")
                 call.reply(HTTPStatus.SERVICE_UNAVAILABLE, body)
             case UnknownParent():
                 current, parent = version_text(outcome.current), version_text(outcome.parent)
-                logs.say("parent_unknown", current=current, parent=parent)
+                logs.emit("parent_unknown", current=current, parent=parent)
                 reply_unavailable(call, f"version {current} is current, and {parent} is not known yet")
             case _:
                 body = error_body("no majority has answered in time")
--- a/crowseam/controller/api.py
+++ b/crowseam/controller/api.py
@@ -1,4 +1,4 @@
-"""The control API: calls of servers and operators to a controller, by the table in `crowseam.control_calls`."""
+"""The control API of a controller, for servers and operators; `crowseam.control_calls` lists the calls."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 _PROPOSAL_ID_BITS = 48
 
 
-def _digest(text: str) -> bytes:
+def _parse_digest(text: str) -> bytes:
     try:
         return bytes.fromhex(text)
     except ValueError as error:
@@ -43,7 +43,7 @@
 
 
 class ControlApi:
-    """Hands each call to the part that serves it, and shows operators what the parts know."""
+    """Passes each call to the component that serves it, and shows operators the state of the components."""
 
     def __init__(
         self,
@@ -76,107 +76,109 @@
         self.operations = operations
         self.node = agreement.node
         self.machine = agreement.machine
-        self.is_closing = False  # the process is about to end, so that no more calls should come
+        self.is_closing = False  # the process is stopping and should get no more calls
         self._handlers: dict[str, Callable[[Call, str, float], None]] = {
             name: getattr(self, f"call_{name}") for _, _, name in control_calls.TABLE
         }
-        self.counts: dict[str, int] = {}
+        self.call_counts: dict[str, int] = {}  # by handler
 
     def serve(self, call: Call) -> None:
-        """Answer a call, at once or later. Nothing is raised: a fault of the program is answered with 500."""
+        """Answer a call, at once or later. Unexpected errors are answered with 500, not raised."""
         found = control_calls.find(call.method, call.path)
         if isinstance(found, int):
             call.reply(found, error_body(f"{call.method} {call.path} is no call of this system"))
             return
         name, ident = found
-        self.counts[name] = self.counts.get(name, 0) + 1
+        self.call_counts[name] = self.call_counts.get(name, 0) + 1
         try:
             self._handlers[name](call, ident, clock.monotonic())
         except (DiscoveryError, ConfigurationError) as error:
             status = error.status if isinstance(error, ConfigurationError) else HTTPStatus.BAD_REQUEST
             call.reply(status, error_body(str(error)))
-        except Exception:  # noqa: BLE001 - a fault of one call must not end the connection of others
-            logs.failure("call_failed")
+        except Exception:  # noqa: BLE001 - a failed call must not end the connection for others
+            logs.exception("call_failed")
             call.reply(HTTPStatus.INTERNAL_SERVER_ERROR, error_body("the call failed"))
 
     # Servers
 
     def call_heartbeat(self, call: Call, ident: str, now: float) -> None:
-        """Take a server's report."""
+        """Handle a server's heartbeat."""
         self.reports.heartbeat(call, ident, parse_heartbeat(ident, call.body), now)
 
     def call_leave(self, call: Call, ident: str, now: float) -> None:
-        """Take a server's word that it has ended."""
+        """Handle the notice of a server that it has ended."""
         self.reports.leave(call, check_id(ident), now)
 
     # Operators
 
     def call_config_get(self, call: Call, _: str, now: float) -> None:
-        """Return the newest configuration."""
+        """Answer with the current configuration."""
         self.agreement.read(call, now)
 
     def call_config_change(self, call: Call, _: str, now: float) -> None:
-        """Take a configuration, or a patch of it."""
+        """Replace or patch the configuration."""
         try:
             change = parse_change(call.method, call.body)
         except ConfigurationError as error:
-            logs.say("change_rejected", status=error.status, reason=error)
+            logs.emit("change_rejected", status=error.status, reason=error)
             raise
         proposal_id = f"{self.peers.me}/{self.peers.incarnation}/{self.rng.getrandbits(_PROPOSAL_ID_BITS):012x}"
         self.agreement.change(call, change, proposal_id, now)
 
     def call_retire(self, call: Call, _: str, now: float) -> None:
-        """Take servers out of use, or put them back."""
+        """Retire servers, or put them back into use."""
         self.retirements.on_call(call, now)
 
     def call_retiring(self, call: Call, ident: str, now: float) -> None:
-        """Return the servers that leave, and who still has requests in flight there."""
+        """Answer with the leaving servers, and the gateways that still have requests in flight to them."""
         self.drain_status.on_call(call, ident, now)
 
-    # What is known here: it is served in touch or not, and says how old it may be
+    # Local state: also served without a majority, with a header that says how stale it may be
 
-    def _show(self, call: Call, body: object, now: float) -> None:
+    def _reply_json(self, call: Call, body: object, now: float) -> None:
         call.reply(HTTPStatus.OK, msgspec.json.encode(body), fields=self.peers.age_header(now))
 
     def call_history(self, call: Call, _: str, now: float) -> None:
-        """Return the changes remembered."""
-        self._show(call, self.machine.history(), now)
+        """Answer with the remembered changes of the configuration."""
+        self._reply_json(call, self.machine.history(), now)
 
     def call_servers(self, call: Call, _: str, now: float) -> None:
-        """Return all servers in the registry."""
-        self._show(call, [msgspec.structs.asdict(record) for record in self.registry.records(now)], now)
+        """Answer with all servers in the registry."""
+        self._reply_json(call, [msgspec.structs.asdict(record) for record in self.registry.records(now)], now)
 
     def call_members(self, call: Call, _: str, now: float) -> None:
-        """Return gateways by the controller of their session, controllers by their state, and who votes."""
+        """Answer with the gateways by controller, the states of the controllers, and the voters."""
         states = {addr: self.peers.detector.state(addr, now) for addr in self.peers.dialers}
         members = {
             "gateways": self.session_table.members(now),
             "controllers": states | {self.peers.me: "self"},
             "voters": self.peers.voters(),
         }
-        self._show(call, members, now)
+        self._reply_json(call, members, now)
 
     def call_duties(self, call: Call, _: str, now: float) -> None:
-        """Return who holds which role."""
-        self._show(call, {key: self.role_leases.holder(key, now) for key in ROLE_KEYS}, now)
+        """Answer with the holder of each role."""
+        self._reply_json(call, {key: self.role_leases.holder(key, now) for key in ROLE_KEYS}, now)
 
     def call_operations(self, call: Call, key: str, now: float) -> None:
-        """Return what this controller keeps of keyed operations, or of one, named by its digest in hexadecimal."""
+        """Answer with a summary of the stored keyed operations, or with the records of one (key digest in hex)."""
         replica = self.operations.replica
         if key:
-            self._show(call, [self._operation(record, now) for record in replica.records_of(_digest(key))], now)
+            self._reply_json(
+                call, [self._describe_operation(record, now) for record in replica.records_of(_parse_digest(key))], now
+            )
             return
         summary = replica.count_states() | {
             "expired": replica.expired,
             "bytes": replica.used_bytes,
             "max_bytes": replica.max_bytes,
-            "votes": self.operations.catch_up.counts,
+            "votes": self.operations.catch_up.is_caught_up,
             "rounds": len(self.operations.coordinator),
         }
-        self._show(call, summary, now)
+        self._reply_json(call, summary, now)
 
     @staticmethod
-    def _operation(record: OperationRecord, now: float) -> dict[str, object]:
+    def _describe_operation(record: OperationRecord, now: float) -> dict[str, object]:
         name = record.name
         return {
             "state": record.state.value,
@@ -188,14 +190,14 @@
         }
 
     def call_status(self, call: Call, _: str, now: float) -> None:
-        """Return the state of this controller."""
-        self._show(
+        """Answer with the state of this controller."""
+        self._reply_json(
             call,
             {
                 "addr": self.peers.me,
                 "ver": version_text(self.machine.config.ver),
                 "slot": self.node.last_slot,
-                "in_touch": self.peers.is_in_touch(now),
+                "in_touch": self.peers.is_majority_reachable(now),
                 "age_s": round(self.peers.age_s(now), 3),
                 "voters": self.peers.voters(),
                 "voting": self.node.voting,
@@ -210,14 +212,15 @@
         )
 
     def call_metrics(self, call: Call, _: str, now: float) -> None:
-        """Return the metrics, for Prometheus."""
+        """Answer with the metrics in Prometheus format."""
         from crowseam.metrics import exposition, families
 
         exposition.answer_scrape(call, self.loop, families.of_controller(self, now))
 
     def call_readyz(self, call: Call, _: str, __: float) -> None:
-        """Return whether calls should come here.
+        """Answer whether this controller accepts calls.
 
-        Also while it is out of touch: if all are, nobody would take heartbeats or tell operators why.
+        It does without a majority, too: otherwise, if all controllers lack one, none would accept heartbeats or answer
+        operators.
         """
         call.reply(HTTPStatus.SERVICE_UNAVAILABLE if self.is_closing else HTTPStatus.OK)
--- a/crowseam/controller/configuration_feed.py
+++ b/crowseam/controller/configuration_feed.py
@@ -1,4 +1,4 @@
-"""What gateways are sent of the configuration: entries of the log as steps, or the state, in chunks if large."""
+"""Keeps gateways up to date with the configuration: by log entries as steps, or by its state, chunked if large."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 from crowseam.transport.links import Link, frame
 from crowseam.transport.messages import ConfigurationState, ConfigurationStep, FollowingLog
 
-CHUNK_BYTES = 32 << 10  # of a packed configuration, from which on it goes in chunks; and of steps at a time
-MAX_SMALL_STEPS_BYTES = 4 << 10  # of steps that are sent rather than any configuration
-SNAPSHOT_RETENTION_S = 10.0  # after a chunk of it was last requested
+CHUNK_BYTES = 32 << 10  # largest packed configuration sent whole; also the limit of steps sent at a time
+MAX_SMALL_STEPS_BYTES = 4 << 10  # steps up to this size are always preferred to a state
+SNAPSHOT_RETENTION_S = 10.0  # after the last request for one of its chunks
 _ENTRY_OVERHEAD_BYTES = 20
-_MAX_PACKING_FACTOR = 10  # a state larger by this than a chunk is not packed to see whether it fits
+_MAX_COMPRESSION_RATIO = 10  # a state that is larger by this factor than a chunk cannot be packed into one
 
 
 class LogFollower:
-    """Up to where a gateway knows the log.
+    """How far a gateway has followed the log.
 
-    `accepts_chunks`: the gateway can download a configuration; `is_downloading`: it does, and is sent no steps until
-    it has it; `is_behind`: it is sent those that it lacks a few at a time.
+    `accepts_chunks`: it can download a configuration in chunks. `is_downloading`: it is doing so, and is sent no steps
+    meanwhile. `is_behind`: it lacks steps, which are sent a few at a time.
     """
 
     __slots__ = ("accepts_chunks", "is_behind", "is_downloading", "link", "slot")
@@ -43,14 +43,14 @@
 
 
 class _PackedState(NamedTuple):
-    """A slot, and the packed configuration after it if that is small, else b""."""
+    """The packed configuration as of a slot, or b"" if it exceeds a chunk."""
 
     slot: int
     body: bytes
 
 
 class ConfigurationFeed:
-    """Keeps gateways at the newest slot of the log."""
+    """Sends gateways the configuration up to the newest slot of the log."""
 
     def __init__(self, node: Node, machine: ConfigurationStateMachine) -> None:
         self.node = node
@@ -60,8 +60,8 @@
         self._packed = _PackedState(-1, b"")
 
     def send_entry(self, followers: list[LogFollower], slot: int, entry: Entry | None) -> None:
-        """Send what was chosen at `slot` to each gateway that knows the slots before; None: the state was replaced."""
-        step = None if entry is None else _step(slot, entry)
+        """Send the entry chosen at `slot` to the gateways that know all earlier slots; None: the state was replaced."""
+        step = None if entry is None else _encode_step(slot, entry)
         for follower in followers:
             if step is not None and self._may_send_step(follower, slot, step):
                 follower.link.write(step)
@@ -74,19 +74,19 @@
         return is_next and (len(step) <= CHUNK_BYTES or not follower.accepts_chunks)
 
     def catch_up(self, follower: LogFollower) -> None:
-        """Bring a gateway to our slot: by the log where that is kept and little, else by a state.
+        """Bring a gateway to our slot: by log entries if they are available and small, else by the state.
 
-        What is more than a chunk comes a little at a time, for heartbeats and leases wait behind it.
+        More than a chunk is not sent at once, because heartbeats and leases would be delayed behind it.
         """
         follower.is_behind = False
         if follower.is_downloading or follower.slot >= self.node.last_slot:
             return
-        if self._send_steps_if_little(follower):
+        if self._send_steps_if_small(follower):
             return
         if not follower.accepts_chunks:
             self._send_state(follower, pack(self.machine.config.dump()))
-        elif (small := self._small_state()) is not None:
-            self._send_state(follower, small)
+        elif (small_state := self._small_state()) is not None:
+            self._send_state(follower, small_state)
         else:
             follower.is_downloading = True
             follower.link.send(SnapshotOffer(self.node.last_slot))
@@ -95,13 +95,13 @@
         follower.slot = self.node.last_slot
         follower.link.send(ConfigurationState(self.node.last_slot, body))
 
-    def _send_steps_if_little(self, follower: LogFollower) -> bool:
-        """Send the entries that a gateway lacks, if they are fewer than the state; whether that was done."""
+    def _send_steps_if_small(self, follower: LogFollower) -> bool:
+        """Send the entries that a gateway lacks, if they are smaller than the state; return whether they were sent."""
         entries = self.node.entries_from(follower.slot + 1)
         limit = max(MAX_SMALL_STEPS_BYTES, self.node.state_size_bound // 4)
-        if entries is None or sum(map(_size, entries)) > limit:
+        if entries is None or sum(map(_entry_bytes, entries)) > limit:
             return False
-        steps = [_step(slot, entry) for slot, entry in enumerate(entries, follower.slot + 1)]
+        steps = [_encode_step(slot, entry) for slot, entry in enumerate(entries, follower.slot + 1)]
         if max(map(len, steps)) > CHUNK_BYTES and follower.accepts_chunks:
             return False
         sent = 0
@@ -115,17 +115,17 @@
         return True
 
     def _small_state(self) -> bytes | None:
-        """Return the packed configuration, if it goes in one message."""
+        """Return the packed configuration, if it fits into one message."""
         last_slot = self.node.last_slot
         if self._packed.slot != last_slot:
-            # A large one is not packed for this: a tenth of its size at the least is left.
-            is_large = self.node.state_size_bound > _MAX_PACKING_FACTOR * CHUNK_BYTES
+            # A large state is not packed here: compression cannot make it small enough.
+            is_large = self.node.state_size_bound > _MAX_COMPRESSION_RATIO * CHUNK_BYTES
             body = b"" if is_large else pack(self.machine.config.dump())
             self._packed = _PackedState(last_slot, body if len(body) <= CHUNK_BYTES else b"")
         return self._packed.body or None
 
     def on_chunk_request(self, follower: LogFollower, request: SnapshotChunkRequest, now: float) -> None:
-        """Answer a gateway that downloads a large configuration."""
+        """Answer the request of a gateway for a chunk of a large configuration."""
 
         def create() -> CompressedSnapshot:
             return snapshot_with_digest(self.node.last_slot, pack(self.machine.config.dump()), now)
@@ -140,17 +140,17 @@
         follower.link.send(chunk)
 
     def on_following(self, follower: LogFollower, message: FollowingLog) -> None:
-        """Note that a gateway has downloaded a configuration, or given it up."""
+        """Handle the notice that a gateway has finished or abandoned a download."""
         follower.is_downloading = False
         follower.slot = message.slot
         self.catch_up(follower)
 
 
-def _step(slot: int, entry: Entry) -> bytes:
+def _encode_step(slot: int, entry: Entry) -> bytes:
     if isinstance(entry, ConfigurationEntry):
         return frame(ConfigurationStep(slot, entry.whole, pack(entry.body)))
     return frame(ConfigurationStep(slot))
 
 
-def _size(entry: Entry) -> int:
+def _entry_bytes(entry: Entry) -> int:
     return _ENTRY_OVERHEAD_BYTES + (len(entry.body) if isinstance(entry, ConfigurationEntry) else 0)
--- a/crowseam/controller/daemon.py
+++ b/crowseam/controller/daemon.py
@@ -1,6 +1,6 @@
-"""One controller process: its listeners, its timers, and which part gets which message.
+"""A controller process: its listeners, its timers, and the routing of messages to components.
 
-Nothing is decided here; see `parts` for what the process consists of.
+The module contains no decision logic; `parts` lists the components.
 """
 
 from __future__ import annotations
@@ -56,10 +56,10 @@
     ReserveDrawReply,
 )
 
-UPDATE_INTERVAL_S = 0.5  # between updates of sessions and reports to other controllers
-REPAIR_INTERVAL_S = 1.0  # between comparisons of registries
+UPDATE_INTERVAL_S = 0.5  # between updates to other controllers about sessions and server reports
+REPAIR_INTERVAL_S = 1.0  # between comparisons of the registry with another controller
 SAVE_INTERVAL_S = 1.0
-SILENCE_HEARTBEATS = 2.6  # of a server that are missing, after which gateways are told that it is silent
+SILENT_AFTER_HEARTBEATS = 2.6  # heartbeat intervals without a report, after which a server is reported as silent
 STOP_CHECK_INTERVAL_S = 0.1
 FIRST_STOP_CHECK_S = 0.3
 MAX_STOP_CHECKS = 12
@@ -67,8 +67,8 @@
 _EXIT_FAILED, _EXIT_BAD_SETTINGS = 1, 2
 
 
-class DueTimes:
-    """When periodic work is due next (steady clock, s)."""
+class TimerDeadlines:
+    """When each periodic task is due next, in seconds of the monotonic clock."""
 
     def __init__(self, now: float) -> None:
         self.heartbeat_at = 0.0
@@ -78,17 +78,17 @@
 
 
 class Controller:
-    """The process: owner of the parts, of the listeners and of the timers.
+    """The controller process: owns the components, the listeners and the timers.
 
-    `settings` are the settings, read from the file at `path` (None: where the environment says).
+    `settings` were read from the file at `settings_path`; None stands for the file that the environment names.
 
     Raises
     ------
     crowseam.storage.errors.StoreError
-        If the disk can't be read.
+        If the store cannot be read.
     """
 
-    # The simulator has its own.
+    # The simulator overrides these.
     store_type: Callable[[str], Store] = Store
     writer_type: Callable[[asyncio.AbstractEventLoop, Store], DiskWriter] = DiskWriter
 
@@ -96,12 +96,12 @@
         self,
         loop: asyncio.AbstractEventLoop,
         settings: settings_file.Settings,
-        path: str | None = None,
+        settings_path: str | None = None,
         rng: Random | None = None,
     ) -> None:
         self.loop = loop
         self.settings = settings
-        self.path = path
+        self.settings_path = settings_path
         self.rng = rng or Random()
         now = self.now()
         parts = build_parts(
@@ -128,22 +128,22 @@
         self.api = parts.api
         self._controller_messages = self._route_controllers()
         self._gateway_messages = self._route_gateways()
-        self._timers = DueTimes(now)
-        self._silence_s = SILENCE_HEARTBEATS * settings_file.seconds(settings.hb, "hb")
+        self._deadlines = TimerDeadlines(now)
+        self._silent_after_s = SILENT_AFTER_HEARTBEATS * settings_file.parse_duration_s(settings.hb, "hb")
         self._servers: list[asyncio.Server] = []
         self.is_stopping = False
         self.stopped: asyncio.Future[None] = loop.create_future()
         try:
             self.reports.restore(self.store.notes(), now)
         except msgspec.DecodeError as error:
-            logs.say("registry_unreadable", error=error)
+            logs.emit("registry_unreadable", error=error)
 
     def now(self) -> float:
-        """Return the seconds of the steady clock."""
+        """Return the time of the monotonic clock in seconds."""
         return clock.monotonic()
 
     def _route_controllers(self) -> MessageRouter[str]:
-        """Return what handles the messages of controllers; senders are addresses."""
+        """Return the router for messages from controllers; a sender is an address."""
         router: MessageRouter[str] = MessageRouter()
         router.add(PeerGreeting, self.peers.on_returned_greeting)
         router.add(PeerHeartbeat, self._on_peer_heartbeat)
@@ -174,7 +174,7 @@
         return router
 
     def _route_gateways(self) -> MessageRouter[GatewaySession]:
-        """Return what handles the messages of gateways; senders are their sessions."""
+        """Return the router for messages from gateways; a sender is a session."""
         router: MessageRouter[GatewaySession] = MessageRouter()
         router.add(GatewayReport, self._on_gateway_report)
         router.add(ReserveDraw, self.lease_service.on_gateway_draw)
@@ -191,13 +191,13 @@
     # Start and stop
 
     async def start(self) -> None:
-        """Listen, dial the seeds and begin. Raises OSError where an address can't be had."""
+        """Listen, connect to the seeds and start the timers. Raises OSError if an address cannot be bound."""
         await self._listen(self.settings.peer, lambda: Link(self._on_link_message, self._on_link_ended))
         await self._listen(self.settings.bind.ctl, lambda: HttpConnection(self.api.serve), _BACKLOG)
         for seed in self.settings.seeds:
             self.peers.add(seed)
         self._tick()
-        logs.say(
+        logs.emit(
             "started",
             addr=self.peers.me,
             voting=self.node.voting,
@@ -207,27 +207,27 @@
         )
 
     async def _listen(self, addr: str, protocol: Callable[[], asyncio.Protocol], backlog: int = 100) -> None:
-        host, port = settings_file.address(addr)
+        host, port = settings_file.parse_address(addr)
         server = await self.loop.create_server(protocol, host, port, reuse_address=True, backlog=backlog)
         self._servers.append(server)
 
     def reload(self) -> None:
-        """Read the settings anew, which may name other seeds."""
+        """Read the settings file again; only a change of the seeds takes effect."""
         try:
-            settings = settings_file.read(self.path)
+            settings = settings_file.read(self.settings_path)
         except settings_file.SettingsError as error:
-            logs.say("settings_invalid", error=error)
+            logs.emit("settings_invalid", error=error)
             return
         for seed in settings.seeds:
             self.peers.add(seed)
         self.node.bootstrap_addrs = [seed for seed in settings.seeds if seed != self.peers.me]
 
     def stop(self) -> None:
-        """Release roles, leave the voters, answer what waits, end: `stopped` is then done."""
+        """Release roles, leave the voters and drain pending calls; `stopped` completes afterwards."""
         if self.is_stopping:
             return
         self.is_stopping = self.api.is_closing = True
-        logs.say("stopping", waiting=len(self.pending_calls))
+        logs.emit("stopping", waiting=len(self.pending_calls))
         self.peers.post_all(self.role_leases.release_all(self.now()))
         self.agreement.leave(self.now())
         self.loop.call_later(FIRST_STOP_CHECK_S, self._check_stopped, 0)
@@ -240,7 +240,7 @@
             self.stopped.set_result(None)
 
     def close(self) -> None:
-        """Let go of sockets and disk."""
+        """Close the sockets and the store."""
         for server in self._servers:
             server.close()
         self.peers.close()
@@ -256,8 +256,8 @@
                 self._gateway_messages.dispatch(session, message, self.now())
             else:
                 self._on_message(link.peer, message)
-        except Exception:  # noqa: BLE001 - a fault over one message must not end the process
-            logs.failure("message_failed")
+        except Exception:  # noqa: BLE001 - a failure to handle one message must not end the process
+            logs.exception("message_failed")
             link.close()
 
     def _on_greeting(self, link: Link, message: Message) -> None:
@@ -269,20 +269,20 @@
             link.close()
 
     def _on_message(self, addr: str, message: Message) -> None:
-        """Take a message of another controller, or our own to ourselves."""
+        """Handle a message from another controller, or from this controller to itself."""
         now = self.now()
         self.voter_sync.update(now)
         self._controller_messages.dispatch(addr, message, now)
 
     def _on_link_ended(self, link: Link) -> None:
-        """Note that a link that was dialled from elsewhere has ended."""
+        """Handle the end of a link that another process opened."""
         now = self.now()
         if self.gateways.on_link_ended(link, now):
             return
         if link.peer in self.peers.dialers and not self.is_stopping:
             self.reports.on_peer_lost(link.peer, now)
 
-    # Messages that concern more than one part
+    # Messages for more than one component
 
     def _on_peer_heartbeat(self, addr: str, heartbeat: PeerHeartbeat, now: float) -> None:
         self.peers.on_heartbeat(addr, heartbeat, now)
@@ -298,17 +298,17 @@
         self.session_table.renew(session.gateway, now)
         self.lease_service.on_gateway_report(session, report, now)
 
-    # DueTimes
+    # Periodic tasks
 
     def _tick(self) -> None:
         now = self.now()
         try:
-            self._do_due(now)
-        except Exception:  # noqa: BLE001 - a fault in one tick must not end all that follow
-            logs.failure("tick_failed")
+            self._run_due_work(now)
+        except Exception:  # noqa: BLE001 - a failure in one tick must not prevent the next
+            logs.exception("tick_failed")
         self.loop.call_later(TICK_INTERVAL_S, self._tick)
 
-    def _do_due(self, now: float) -> None:
+    def _run_due_work(self, now: float) -> None:
         self.agreement.tick(now)
         voters = set(self.peers.voters())
         self.node.learners = [addr for addr in self.peers.dialers if addr not in voters]
@@ -316,24 +316,24 @@
         self.voter_sync.update(now)
         if self.node.voting:
             self.voter_sync.tick(now)
-        self.gateways.borrowers.update(now, self.peers.is_in_touch(now))
+        self.gateways.borrowers.update(now, self.peers.is_majority_reachable(now))
         self.lease_service.tick(now, reachable, voters)
         self.reports.tick(now)
         self.operations.tick(now)
-        timers = self._timers
-        if now >= timers.heartbeat_at:
-            timers.heartbeat_at = now + HEARTBEAT_INTERVAL_S
+        deadlines = self._deadlines
+        if now >= deadlines.heartbeat_at:
+            deadlines.heartbeat_at = now + HEARTBEAT_INTERVAL_S
             self.peers.send_heartbeats(now)
             self.gateways.send_heartbeats(now)
-        if now >= timers.update_at:
-            timers.update_at = now + UPDATE_INTERVAL_S
+        if now >= deadlines.update_at:
+            deadlines.update_at = now + UPDATE_INTERVAL_S
             self._send_updates(now, voters)
-        if now >= timers.repair_at:
-            timers.repair_at = now + REPAIR_INTERVAL_S * self.rng.uniform(0.8, 1.2)
+        if now >= deadlines.repair_at:
+            deadlines.repair_at = now + REPAIR_INTERVAL_S * self.rng.uniform(0.8, 1.2)
             if reachable:
                 self.reports.start_repair(self.rng.choice(sorted(reachable)), now)
-        if now >= timers.save_at:
-            timers.save_at = now + SAVE_INTERVAL_S
+        if now >= deadlines.save_at:
+            deadlines.save_at = now + SAVE_INTERVAL_S
             self._save(now)
 
     def _send_updates(self, now: float, voters: set[str]) -> None:
@@ -341,7 +341,7 @@
         self.reports.send_heard(now)
         self.peers.send_session_updates(now)
         self.gateways.expire(now)
-        server_feed.check_silence(now, self._silence_s)
+        server_feed.check_silence(now, self._silent_after_s)
         if server_feed.ejected:
             server_feed.check_outliers(now)
         self.peers.forget_silent(now, voters.union(self.settings.seeds))
@@ -353,7 +353,7 @@
 
 
 async def serve(settings: settings_file.Settings) -> None:
-    """Run one controller until it is told to stop."""
+    """Run a controller until a signal stops it."""
     loop = asyncio.get_running_loop()
     controller = Controller(loop, settings)
     loop.add_signal_handler(signal.SIGHUP, controller.reload)
@@ -367,19 +367,19 @@
 
 
 def main() -> int:
-    """Run the role; returns the exit code."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the file is about to be read anyway
+    """Run the role; return the exit code."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the settings are read below; the reload handler is installed later
     try:
         settings = settings_file.read()
         if not settings.bind.ctl:
-            raise settings_file.SettingsError("bind.ctl is missing")  # noqa: TRY301 - reported as all faults of the file
+            raise settings_file.SettingsError("bind.ctl is missing")  # noqa: TRY301 - reported like all errors of the file
     except settings_file.SettingsError as error:
         print(f"crowseam: {error}", file=sys.stderr)
         return _EXIT_BAD_SETTINGS
-    logs.begin("controller", settings.hostname)
+    logs.configure("controller", settings.hostname)
     try:
         uvloop.run(serve(settings))
     except (OSError, StoreError) as error:
-        logs.say("ended", error=error)
+        logs.emit("ended", error=error)
         return _EXIT_FAILED
     return 0
--- a/crowseam/controller/drain_status_calls.py
+++ b/crowseam/controller/drain_status_calls.py
@@ -1,4 +1,4 @@
-"""What an operator is shown of servers that leave: who still has requests in flight there, asked of all gateways."""
+"""The status of leaving servers for operators: the gateways with requests in flight, as reported by all gateways."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from crowseam.transport.http import Call
 from crowseam.transport.messages import InFlightCountRequest, InFlightCounts, InFlightQuery, InFlightReply, Message
 
-QUERY_TIMEOUT_S = 0.6  # for all gateways to answer what they have in flight
-OWN_QUERY_TIMEOUT_S = 0.35  # for those of one controller
+QUERY_TIMEOUT_S = 0.6  # for the gateways of all controllers to answer
+LOCAL_QUERY_TIMEOUT_S = 0.35  # for the gateways of this controller, asked by another one
 
 
 class DrainedServerState(msgspec.Struct, frozen=True):
-    """What an operator gets to see of a server that no longer leaves."""
+    """The reported state of a server that is gone or in use."""
 
     id: str
     state: str
@@ -34,25 +34,25 @@
 
 
 class _OpenQuery(NamedTuple):
-    """A query, the position in the registry that gateways must have, and what is done with the answers."""
+    """A query, the registry position that gateways must have reached, and the callback for the answers."""
 
     query: DrainStatusQuery
     position: int
-    done: Callable[[DrainStatusQuery], None]
+    on_complete: Callable[[DrainStatusQuery], None]
 
 
 class Gateways(Protocol):
-    """The gateways here, as far as they are needed."""
+    """The sessions of gateways, as used here."""
 
     sessions: dict[str, GatewaySession]
     last_seen: dict[str, float]
 
     def broadcast(self, message: Message) -> None:
-        """Send to each gateway."""
+        """Send a message to each gateway."""
 
 
 class DrainStatusCalls:
-    """Asks the gateways, here and by way of the other controllers. Times are seconds of the steady clock."""
+    """Asks all gateways, directly or through their controllers. Times are seconds of the monotonic clock."""
 
     def __init__(
         self,
@@ -74,8 +74,8 @@
         self._queries: dict[int, _OpenQuery] = {}
 
     def on_call(self, call: Call, ident: str, now: float) -> None:
-        """Show servers that leave, or what has become of one. Raises DiscoveryError: that is no id."""
-        self.server_feed.push_changes(now)  # before gateways are asked up to where they follow
+        """Answer with the leaving servers, or with the state of one. Raises DiscoveryError for an invalid id."""
+        self.server_feed.push_changes(now)  # gateways answer with their registry position
         leaving = self.registry.leaving(now)
         if ident:
             record = self.registry.get(check_id(ident), now)
@@ -84,11 +84,11 @@
                 return
             if record.phase == "gone" or record.usable:
                 state = "gone" if record.phase == "gone" else "in_use"
-                self._show(call, DrainStatusQuery(()), [DrainedServerState(ident, state, state == "gone")])
+                self._reply(call, DrainStatusQuery(()), [DrainedServerState(ident, state, state == "gone")])
                 return
             leaving = [server for server in leaving if server.record.id == ident]
         if not leaving:
-            self._show(call, DrainStatusQuery(()), [])
+            self._reply(call, DrainStatusQuery(()), [])
             return
         reachable = self.peers.reachable(now)
         members = self.session_table.members(now)
@@ -97,9 +97,9 @@
         def done(query: DrainStatusQuery) -> None:
             self.pending_calls.take(number)
             query.add_controller(self.peers.me, {}, self._lost_gateways(), {})
-            # Those that answered are in touch: what the detector says may be from before the call.
-            is_in_touch = self.peers.is_majority(reachable - query.waiting_controllers)
-            self._show(call, query, query.report(leaving, is_in_touch, clock.time()))
+            # Based on the answers to this call: the failure detector may be outdated.
+            has_majority = self.peers.is_majority(reachable - query.waiting_controllers)
+            self._reply(call, query, query.report(leaving, has_majority, clock.time()))
 
         query = DrainStatusQuery(self.gateways.sessions, reachable, members)
         self._ask_gateways(number, query, QUERY_TIMEOUT_S, done)
@@ -107,11 +107,13 @@
         for addr in reachable:
             self.peers.post(addr, request)
 
-    def _show(self, call: Call, query: DrainStatusQuery, servers: Iterable[DrainedServer | DrainedServerState]) -> None:
+    def _reply(
+        self, call: Call, query: DrainStatusQuery, servers: Iterable[DrainedServer | DrainedServerState]
+    ) -> None:
         now = clock.monotonic()
         silent = self.peers.dialers.keys() - self.peers.reachable(now)
         body = {
-            "in_touch": self.peers.is_in_touch(now),
+            "in_touch": self.peers.is_majority_reachable(now),
             "silent": sorted(silent | query.waiting_controllers),
             "away": {gateway: round(lost_s, 1) for gateway, lost_s in query.missing_gateways().items()},
             "servers": list(servers),
@@ -119,7 +121,7 @@
         call.reply(HTTPStatus.OK, msgspec.json.encode(body), fields=self.peers.age_header(now))
 
     def on_in_flight_query(self, addr: str, request: InFlightQuery, now: float) -> None:
-        """Ask our gateways for another controller; they hear of the servers that it knows first."""
+        """Ask our gateways on behalf of another controller, after sending them the servers that it knows."""
         for record in request.records:
             self.registry.merge(record, now)
         self.server_feed.push_changes(now)
@@ -131,28 +133,28 @@
             self.peers.post(addr, reply)
 
         number = self.pending_calls.next_number()
-        self._ask_gateways(number, DrainStatusQuery(self.gateways.sessions), OWN_QUERY_TIMEOUT_S, done)
+        self._ask_gateways(number, DrainStatusQuery(self.gateways.sessions), LOCAL_QUERY_TIMEOUT_S, done)
 
     def on_in_flight_reply(self, addr: str, reply: InFlightReply, _: float) -> None:
-        """Take another controller's answer."""
-        opened = self._queries.get(reply.number)
-        if opened is not None:
-            opened.query.add_controller(addr, reply.gateways, reply.lost_gateways, reply.ages_s)
+        """Handle the answer of another controller."""
+        open_query = self._queries.get(reply.number)
+        if open_query is not None:
+            open_query.query.add_controller(addr, reply.gateways, reply.lost_gateways, reply.ages_s)
             self._finish_if_complete(reply.number)
 
     def on_in_flight_counts(self, session: GatewaySession, counts: InFlightCounts, _: float) -> None:
-        """Take a gateway's requests in flight, if it has followed the registry far enough."""
-        opened = self._queries.get(counts.number)
-        if opened is None:
+        """Record a gateway's counts of requests in flight, if it has followed the registry far enough."""
+        open_query = self._queries.get(counts.number)
+        if open_query is None:
             return
-        if counts.registry == self.registry.incarnation and counts.position >= opened.position:
-            opened.query.add_gateway(session.gateway, counts.in_flight)
+        if counts.registry == self.registry.incarnation and counts.position >= open_query.position:
+            open_query.query.add_gateway(session.gateway, counts.in_flight)
             self._finish_if_complete(counts.number)
 
     def _ask_gateways(
-        self, number: int, query: DrainStatusQuery, timeout_s: float, done: Callable[[DrainStatusQuery], None]
+        self, number: int, query: DrainStatusQuery, timeout_s: float, on_complete: Callable[[DrainStatusQuery], None]
     ) -> None:
-        self._queries[number] = _OpenQuery(query, self.registry.position.number, done)
+        self._queries[number] = _OpenQuery(query, self.registry.position.number, on_complete)
         self.gateways.broadcast(InFlightCountRequest(number))
         self.loop.call_later(timeout_s, self._finish_query, number)
         self._finish_if_complete(number)
@@ -162,12 +164,12 @@
             self._finish_query(number)
 
     def _finish_query(self, number: int) -> None:
-        opened = self._queries.pop(number, None)
-        if opened is not None:
-            opened.done(opened.query)
+        open_query = self._queries.pop(number, None)
+        if open_query is not None:
+            open_query.on_complete(open_query.query)
 
     def _lost_gateways(self) -> dict[str, float]:
-        """Return gateways that were members and are not, by the seconds since they last were."""
+        """Return recent members that are members no longer, with the seconds since they last were."""
         now = clock.monotonic()
         members = self.session_table.members(now)
         return {
--- a/crowseam/controller/durable_state.py
+++ b/crowseam/controller/durable_state.py
@@ -1,4 +1,4 @@
-"""What a controller keeps on its disk, and the one thread that waits on it, so that the loop never does."""
+"""The durable state of a controller, and the writer thread that keeps disk writes off the event loop."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from crowseam.storage.records import Member, Note, OperationRow
 from crowseam.storage.store import Store
 
-SLOW_WRITE_S = 0.5  # after which a write that is still out is reported
+SLOW_WRITE_S = 0.5  # age of a pending write above which it is reported as overdue
 # Keys of notes in the store.
-COMPLETE_MEMBERS_KEY = "known/whole"  # the gateways on disk are all that may hold leases
-COUNTED_VOTER_KEY = "counted"  # this voter has learned all that the voters before it knew
-COUNTED_FOR_OPERATIONS_KEY = "operations/counted"  # the same of keyed operations
-ROLE_KEY_PREFIX = "duty/"  # before the key of a role: to whom it was granted last
+COMPLETE_MEMBERS_KEY = "known/whole"  # the gateways on disk are all those that may hold leases
+CAUGHT_UP_VOTER_KEY = "counted"  # id under which this voter has caught up (see `majority_catch_up`)
+CAUGHT_UP_ON_OPERATIONS_KEY = "operations/counted"  # the same for keyed operations
+ROLE_KEY_PREFIX = "duty/"  # followed by the key of a role: its last grant
 DATABASE_FILE = "crowseam.db"
 
 StoredRecord = Record | Note | Member | OperationRow
@@ -31,7 +31,7 @@
 
 
 class _Write(NamedTuple):
-    """A write, and how many failures were known when it was requested."""
+    """A write, and the number of failed batches known when it was requested."""
 
     known_failures: int
     records: Sequence[StoredRecord]
@@ -39,17 +39,17 @@
 
 
 class DiskWriter:
-    """Writes records in the order given; what waits behind one write goes into the next transaction."""
+    """Writes records in order, in a thread. Writes that arrive during a transaction are batched into the next one."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, store: Store) -> None:
         self.loop = loop
         self.store = store
         self._writes: queue.SimpleQueue[_Write | None] = queue.SimpleQueue()
-        self._pending_since: float | None = None  # when the oldest write that is out was requested
+        self._pending_since: float | None = None  # when the oldest pending write was requested
         self._pending = 0
-        # Writes requested before a failure is known fail with it.
-        self._known_failures = 0  # as the loop knows
-        self._failures = 0  # as the thread knows
+        # A write that was requested before the event loop knew of a failure fails too.
+        self._known_failures = 0  # as seen by the event loop
+        self._failures = 0  # as seen by the thread
         threading.Thread(target=self._run, daemon=True, name="disk").start()
 
     def write(self, records: Sequence[StoredRecord], done: WriteCallback) -> None:
@@ -60,12 +60,12 @@
         self._writes.put(_Write(self._known_failures, records, done))
 
     def overdue_s(self) -> float:
-        """Return for how many seconds the oldest write has been out beyond what is usual; 0 if none has."""
+        """Return the age of the oldest pending write, or 0 if it is not overdue."""
         waited = 0.0 if self._pending_since is None else self.loop.time() - self._pending_since
         return waited if waited > SLOW_WRITE_S else 0.0
 
     def close(self) -> None:
-        """End the thread once it has written what waits."""
+        """End the thread after the pending writes."""
         self._writes.put(None)
 
     def _run(self) -> None:
@@ -80,7 +80,7 @@
                 self._write_batch(writes)
 
     def _write_batch(self, writes: list[_Write]) -> None:
-        # What was requested behind a write that failed may rest on it, so it must not be kept either.
+        # A write requested after a failed one may depend on it, so it must not be stored.
         stale = [write for write in writes if write.known_failures < self._failures]
         valid = [write for write in writes if write.known_failures >= self._failures]
         ok = not valid or self._store([record for write in valid for record in write.records])
@@ -93,7 +93,7 @@
         try:
             self.store.write(records)
         except StoreError as error:
-            logs.say("disk_write_failed", error=error)
+            logs.emit("disk_write_failed", error=error)
             return False
         return True
 
@@ -106,15 +106,15 @@
 
 
 class ControllerStore:
-    """What this controller keeps over restarts, on its disk if it has one.
+    """The state of this controller that survives restarts, if it has a disk.
 
-    `durable` is the voter's part as read back; `writer` is None without a directory for data. `has_counted`: this
-    voter had learned what those before it knew. `has_complete_members`: `members` are all that may hold a lease.
+    `durable` is the consensus state as of the start; `writer` is None without a data directory. `was_caught_up`: this
+    voter was caught up before the start. `has_complete_members`: `members` are all gateways that may hold a lease.
 
     Raises
     ------
     crowseam.storage.errors.StoreError
-        If the store can't be opened.
+        If the store cannot be opened.
     """
 
     def __init__(
@@ -126,13 +126,13 @@
         writer_type: Callable[[asyncio.AbstractEventLoop, Store], DiskWriter] = DiskWriter,
     ) -> None:
         self.writer: DiskWriter | None = None
-        self.has_counted = False
-        self.has_counted_for_operations = False
+        self.was_caught_up = False
+        self.was_caught_up_on_operations = False
         self.has_complete_members = settings.bootstrap
         self._may_have_forgotten_grants = True
         me = settings.bind.ctl
         if not settings.datadir:
-            # A seed without a disk is a founder all the same, until machines with disks have replaced it.
+            # A seed without a disk is a founding voter too, until controllers with disks have replaced it.
             self.durable = DurableState()
             assign_identity(self.durable, me, settings.seeds, settings.bootstrap, rng)
             return
@@ -145,12 +145,12 @@
         self._may_have_forgotten_grants = is_new_disk and not settings.bootstrap
         records = assign_identity(durable, me, settings.seeds, settings.bootstrap, rng)
         founder_id = f"genesis/{me}"
-        self.has_counted = durable.id in (notes.get(COUNTED_VOTER_KEY, b"").decode(), founder_id)
-        operations_id = notes.get(COUNTED_FOR_OPERATIONS_KEY, b"").decode()
-        self.has_counted_for_operations = durable.id in (operations_id, founder_id)
+        self.was_caught_up = durable.id in (notes.get(CAUGHT_UP_VOTER_KEY, b"").decode(), founder_id)
+        operations_id = notes.get(CAUGHT_UP_ON_OPERATIONS_KEY, b"").decode()
+        self.was_caught_up_on_operations = durable.id in (operations_id, founder_id)
         if records:
             store.write(records)
-        logs.say(
+        logs.emit(
             "store_opened",
             id=durable.id,
             highest_slot=durable.highest_chosen_slot,
@@ -159,19 +159,19 @@
         self.writer = writer_type(loop, store)
 
     def notes(self) -> dict[str, bytes]:
-        """Return what was kept under keys before the start."""
+        """Return the notes stored before the start, by key."""
         return {} if self.writer is None else self.writer.store.notes()
 
     def members(self) -> set[str]:
-        """Return the gateways that may hold a lease, as of before the start."""
+        """Return the gateways that may hold a lease, as stored before the start."""
         return set() if self.writer is None else set(self.writer.store.members())
 
     def operations(self) -> list[bytes]:
-        """Return the records of keyed operations, as of before the start."""
+        """Return the records of keyed operations, as stored before the start."""
         return [] if self.writer is None else self.writer.store.operations()
 
     def granted_roles(self) -> dict[str, str] | None:
-        """Return the note of each role that this voter granted; None if its disk has lost that."""
+        """Return the note of each role that this voter granted; None if the disk may have lost some."""
         granted = {
             key.removeprefix(ROLE_KEY_PREFIX): value.decode()
             for key, value in self.notes().items()
@@ -183,8 +183,7 @@
     def write(self, records: Sequence[StoredRecord], done: WriteCallback) -> None:
         """Call `done(ok)` on the loop once the records are synced, or could not be written.
 
-        Without a disk it is called at once: such a controller does not vote, so nothing that others rely on
-        depends on what it keeps.
+        Without a disk it is called at once: such a controller does not vote, so others do not depend on its records.
         """
         if self.writer is None:
             done(True)
@@ -192,10 +191,10 @@
             self.writer.write(records, done)
 
     def overdue_s(self) -> float:
-        """Return for how many seconds the oldest write has been out beyond what is usual; 0 if none has."""
+        """Return the age of the oldest pending write, or 0 if it is not overdue."""
         return 0.0 if self.writer is None else self.writer.overdue_s()
 
     def close(self) -> None:
-        """Write what waits, and end."""
+        """Finish the pending writes and end the thread."""
         if self.writer is not None:
             self.writer.close()
--- a/crowseam/controller/gateway_sessions.py
+++ b/crowseam/controller/gateway_sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of gateways with this controller: opened, kept alive, ended, and who may hold leases."""
+"""The sessions of gateways with this controller, and the record of gateways that may hold leases."""
 
 from __future__ import annotations
 
@@ -27,15 +27,15 @@
 )
 from crowseam.transport.protocol_check import ProtocolCheck
 
-RECENT_MEMBER_S = 120.0  # for which it is known when a gateway was last a member
-LEASE_LIFETIME_S = 9.0  # after it was last a member, for which a gateway may still hold a lease
+RECENT_MEMBER_S = 120.0  # how long the time when a gateway was last a member is kept
+LEASE_LIFETIME_S = 9.0  # how long a gateway may hold a lease after it was last a member
 
 
 class GatewaySession:
-    """A gateway's session here.
+    """A gateway's session with this controller.
 
-    `incarnation` is that of the gateway's process, `number` that of the session within it. `registry_position` is
-    up to where the gateway knows the registry, `log` up to where it knows the log.
+    `incarnation` identifies the gateway's process, `number` the session within it. `registry_position` and `log` say
+    how far the gateway has followed the registry and the log.
     """
 
     __slots__ = ("gateway", "incarnation", "link", "log", "number", "registry_position")
@@ -50,9 +50,10 @@
 
 
 class GatewaySessions:
-    """The gateways that follow this controller, and what all of them are sent. Times are steady seconds.
+    """The gateways that follow this controller. Times are seconds of the monotonic clock.
 
-    `stored_members` are those that may hold a lease, as of before the start; `has_complete_members`: these are all.
+    `stored_members` are the gateways that might hold a lease before the start, as read from the disk;
+    `has_complete_members` says that there are no others.
     """
 
     def __init__(
@@ -74,16 +75,16 @@
         self.configuration_feed = ConfigurationFeed(self.node, machine)
         self.server_feed = ServerFeed(registry, peers, self)
         self.borrowers = KnownBorrowers(stored_members, has_complete_members, now, LEASE_LIFETIME_S)
-        self.last_seen = dict.fromkeys(stored_members, now)  # when each was last a member
+        self.last_seen = dict.fromkeys(stored_members, now)  # time when each gateway was last a member
         self._stored_members = stored_members
-        self._stored_completeness: bool | None = None  # what the disk says of whether these are all
+        self._stored_completeness: bool | None = None  # the stored value of whether these are all; None: not known
 
     # Sessions
 
     def open(self, link: Link, message: OpenSession, now: float) -> None:
-        """Begin a session, in place of any that the gateway had here, and bring the gateway up to date."""
+        """Open a session, replacing any earlier one of the gateway, and send it the current state."""
         if not self.protocol_check.matches(message.gateway, message.protocol):
-            # It is told our version, logs that, and tries another controller.
+            # The answer has our version; the gateway logs the mismatch and tries another controller.
             link.send(SessionOpened(self.peers.me, [], self.protocol_check.ours))
             link.close_when_flushed()
             return
@@ -96,42 +97,42 @@
         self.session_table.open(message.gateway, incarnation, now, message.session_number, message.az)
         controllers = [self.peers.me, *self.peers.recently_heard(now)]
         link.send(SessionOpened(self.peers.me, controllers, self.protocol_check.ours))
-        # Servers first: a large configuration takes a while to come, and some of them may have left.
+        # Servers first: a large configuration takes a while, and requests must not go to servers that have left.
         was_sent_all = self.server_feed.send_all(session, message.registry, message.position, now)
         session.log.slot = message.slot
         self.configuration_feed.catch_up(session.log)
         link.send(self._heartbeat(now))
-        logs.say("session_opened", gateway=message.gateway, slot=message.slot, complete=was_sent_all)
+        logs.emit("session_opened", gateway=message.gateway, slot=message.slot, complete=was_sent_all)
 
     def session_of(self, link: Link) -> GatewaySession | None:
-        """Return the session that stands on this link."""
+        """Return the session on this link."""
         session = self.sessions.get(link.peer)
         return session if session is not None and session.link is link else None
 
     def on_link_ended(self, link: Link, now: float) -> bool:
-        """End the session of a link that has ended; whether it had one."""
+        """Close the session on a link that has ended; return whether there was one."""
         session = self.session_of(link)
         if session is None:
             return False
         del self.sessions[link.peer]
         self.session_table.close(session.gateway, str(session.incarnation), now)
-        logs.say("session_closed", gateway=session.gateway)
+        logs.emit("session_closed", gateway=session.gateway)
         return True
 
     def on_close(self, session: GatewaySession, _: CloseSession, now: float) -> None:
-        """Note that the gateway stops; it counts as a member no longer."""
+        """Handle the notice that a gateway stops; it is no longer a member."""
         self.session_table.close(session.gateway, str(session.incarnation), now, is_leaving=True)
 
     def expire(self, now: float) -> None:
-        """End the sessions of gateways that have reported nothing for too long."""
+        """Close the sessions of gateways that have not reported for too long."""
         for gateway in self.session_table.tick(now):
             session = self.sessions.pop(gateway, None)
             if session is not None:
-                logs.say("session_expired", gateway=gateway)
+                logs.emit("session_expired", gateway=gateway)
                 session.link.close()
 
     def unsaved(self, now: float) -> list[Member | Note]:
-        """Return what is to be saved of gateways that may hold a lease, or no longer do; it then counts as saved."""
+        """Return the changes to save in the gateways that may hold a lease, and consider them saved."""
         members = self.session_table.members(now)
         self.borrowers.record(members, now)
         self.last_seen = {
@@ -151,36 +152,36 @@
     # The configuration
 
     def on_applied(self, applied: NotifyApplied) -> None:
-        """Send the gateways what was chosen."""
+        """Send a chosen log entry to the gateways."""
         entry = applied.entry
         if isinstance(entry, ConfigurationEntry):
-            logs.say("change_applied", slot=applied.slot, ver=version_text(entry.ver))
+            logs.emit("change_applied", slot=applied.slot, ver=version_text(entry.ver))
         elif entry is None:
-            logs.say("snapshot_installed", slot=applied.slot, ver=version_text(self.machine.config.ver))
+            logs.emit("snapshot_installed", slot=applied.slot, ver=version_text(self.machine.config.ver))
         elif isinstance(entry, VotersEntry):
-            logs.say("voters_changed", slot=applied.slot, voters=",".join(voter.addr for voter in entry.voters))
+            logs.emit("voters_changed", slot=applied.slot, voters=",".join(voter.addr for voter in entry.voters))
         followers = [session.log for session in self.sessions.values()]
         self.configuration_feed.send_entry(followers, applied.slot, entry)
 
     def on_chunk_request(self, session: GatewaySession, request: SnapshotChunkRequest, now: float) -> None:
-        """Answer a gateway that downloads a large configuration."""
+        """Answer the request of a gateway for a chunk of a large configuration."""
         self.configuration_feed.on_chunk_request(session.log, request, now)
 
     def on_following(self, session: GatewaySession, message: FollowingLog, _: float) -> None:
-        """Note that a gateway has downloaded a configuration, or given it up."""
+        """Handle the notice that a gateway has finished or abandoned a download."""
         self.configuration_feed.on_following(session.log, message)
 
     # Servers
 
     def on_outlier_report(self, session: GatewaySession, report: OutlierReport, now: float) -> None:
-        """Take what a gateway here has seen of servers."""
+        """Handle request outcomes by server, as a gateway here has observed them."""
         self.server_feed.on_gateway_report(session, report, now)
 
     # All sessions
 
     def send_heartbeats(self, now: float) -> None:
-        """Send each gateway a sign of life."""
-        # One for all sessions: to count the members goes through all of them.
+        """Send a heartbeat to each gateway."""
+        # The same message for all sessions, because counting the members iterates over all of them.
         self.broadcast(self._heartbeat(now))
         for session in self.sessions.values():
             if session.log.is_behind:
@@ -191,13 +192,13 @@
         return SessionHeartbeat(members, self.node.last_slot, self.peers.is_current(now))
 
     def broadcast(self, message: Message) -> None:
-        """Send to each gateway that has a session here."""
+        """Send a message to each gateway with a session here."""
         data = frame(message)
         for session in self.sessions.values():
             session.link.write(data)
 
     def forward(self, gateway: str, message: Message) -> None:
-        """Send to one gateway; it is lost where that has no session here."""
+        """Send a message to one gateway; it is lost if the gateway has no session here."""
         session = self.sessions.get(gateway)
         if session is not None:
             session.link.send(message)
--- a/crowseam/controller/parts.py
+++ b/crowseam/controller/parts.py
@@ -1,7 +1,7 @@
-"""The composition root: the parts of a controller, each given what it works with.
+"""The composition root: creates the components of a controller and connects them.
 
-What decides is in `consensus`, `discovery`, `membership` and `quotas`; the parts here carry it out. They get the clock
-from `daemon`, which also hands them the messages that come.
+Decisions are made in `consensus`, `discovery`, `membership`, `operations` and `quotas`; the components of this package
+carry them out. `daemon` passes them the time and the received messages.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 from crowseam.transport.links import Link
 from crowseam.transport.messages import Message
 
-# Numbers of calls begin at the microseconds at which the process began, above so many bits of its own.
+# Call numbers start at the start time of the process in microseconds, shifted left by this many bits.
 _CALL_NUMBER_BITS = 10
 _NS_PER_US = 1000
 _INCARNATION_RANDOM_BITS = 32
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerParts:
-    """All that one controller consists of, but for its listeners and timers."""
+    """The components of a controller, apart from its listeners and timers."""
 
     store: ControllerStore
     machine: ConfigurationStateMachine
@@ -84,14 +84,14 @@
     store_type: Callable[[str], Store],
     writer_type: Callable[[asyncio.AbstractEventLoop, Store], DiskWriter],
 ) -> ControllerParts:
-    """Put a controller together.
+    """Create and connect the components of a controller.
 
-    `on_link_message` gets what comes on links, `on_own_message` what the controller sends to itself.
+    `on_link_message` handles messages received on links, `on_own_message` messages of the controller to itself.
 
     Raises
     ------
     crowseam.storage.errors.StoreError
-        If the disk can't be read.
+        If the store cannot be read.
     """
     me = settings.bind.ctl
     started_us = clock.time_ns() // _NS_PER_US
@@ -114,7 +114,7 @@
     role_leases = RoleLeases(me, rng, now, ROLE_KEYS, saved_notes=store.granted_roles())
     anti_entropy = AntiEntropy(registry)
     acknowledgements = PendingAcknowledgements(me, first_number)
-    catch_up = VoterCatchUp(store.durable.id or "", store.has_counted)
+    catch_up = VoterCatchUp(store.durable.id or "", store.was_caught_up)
     pending_calls = PendingCalls(first_number)
     port, _ = settings.port_range
     peers = Peers(loop, me, incarnation, port, node, session_table, anti_entropy.offer, on_link_message, on_own_message)
@@ -123,7 +123,7 @@
     lease_service = LeaseService(role_leases, machine, session_table, gateways, peers, store)
 
     def on_applied(applied: NotifyApplied) -> None:
-        lease_service.sort_tenants()
+        lease_service.index_tenants()
         gateways.on_applied(applied)
 
     agreement = Agreement(loop, node, machine, store, pending_calls, peers.post, on_applied)
