--- a/crowseam/controller/retirements.py
+++ b/crowseam/controller/retirements.py
@@ -1,4 +1,4 @@
-"""Retirements: an operator's call to take servers out of use, until a majority of the voters has it on disk."""
+"""Retirements: calls of operators to take servers out of use, answered once a majority of the voters stored them."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from crowseam.transport.http import Call
 from crowseam.transport.messages import ChangedServers
 
-REJECTION_CHECK_INTERVAL_S = 0.02  # between two looks whether a call may be rejected
+REJECTION_CHECK_INTERVAL_S = 0.02  # between checks whether a call may be rejected
 _SELECTORS = ("id", "ver", "az", "svc")
 
 
-class RetirementOrder(msgspec.Struct):
-    """The body of a call to retire servers: those that all the fields given match."""
+class RetirementRequest(msgspec.Struct):
+    """The body of a retirement call; it selects the servers that match all given fields."""
 
     id: str = ""
     ver: str = ""
@@ -37,14 +37,14 @@
 
 
 class PendingServer(NamedTuple):
-    """A server of a retirement that waits for a majority: the number of the call, and the id."""
+    """A server of a retirement that waits for a majority, by the number of the call."""
 
     call_number: int
     ident: str
 
 
-class _OpenRetirement(NamedTuple):
-    """A call, what each service keeps of its slots, and when it began (s)."""
+class _PendingRetirement(NamedTuple):
+    """A call, the fraction of slots that each service keeps, and the start time."""
 
     retirement: RetirementCall
     remaining: dict[str, float]
@@ -52,13 +52,13 @@
 
 
 class SilenceFeed(RegistryFeed, Protocol):
-    """What gateways are sent of servers, as far as it is needed here."""
+    """The server feed, as used here."""
 
     silent: list[str]
 
 
 class Retirements:
-    """The part of a controller that takes servers out of use. Times are seconds of the steady clock."""
+    """Takes servers out of use for operators. Times are seconds of the monotonic clock."""
 
     def __init__(
         self,
@@ -75,42 +75,42 @@
         self.peers = peers
         self.server_feed = server_feed
         self.pending_calls = pending_calls
-        self._open: dict[int, _OpenRetirement] = {}
+        self._in_progress: dict[int, _PendingRetirement] = {}
 
     def on_call(self, call: Call, now: float) -> None:
-        """Retire servers, or put them back; answered once a majority of the voters has it on disk."""
+        """Retire servers or put them back; the call is answered once a majority of the voters has that on disk."""
         try:
-            order = msgspec.json.decode(call.body, type=RetirementOrder)
+            request = msgspec.json.decode(call.body, type=RetirementRequest)
         except msgspec.DecodeError as error:
             call.reply(HTTPStatus.BAD_REQUEST, error_body(str(error)))
             return
-        fields = {name: value for name in _SELECTORS if (value := getattr(order, name))}
+        fields = {name: value for name in _SELECTORS if (value := getattr(request, name))}
         if not fields.keys() & {"id", "ver", "az"}:
             call.reply(HTTPStatus.BAD_REQUEST, error_body("id, ver or az: one of them is needed"))
-        elif not self.peers.is_in_touch(now):
+        elif not self.peers.is_majority_reachable(now):
             reply_unavailable(call, "in touch with no majority of the voters")
         else:
-            self._decide(call, order, fields, now, now)
+            self._decide(call, request, fields, now, now)
 
     def _decide(
-        self, call: Call, order: RetirementOrder, fields: dict[str, str], started_at: float, now: float
+        self, call: Call, request: RetirementRequest, fields: dict[str, str], started_at: float, now: float
     ) -> None:
-        """Carry an order out, or reject it; that only with a majority in touch since the call came."""
-        found = self.registry.matching(**fields)
-        capacity = self.registry.capacity(found, not order.undo, self.server_feed.silent)
-        short = [] if order.undo or order.force else services_below_minimum(capacity)
-        if (not found or short) and not self.peers.was_in_touch_since(started_at, now):
-            self._decide_later(call, order, fields, started_at, now)
-        elif not found:
+        """Carry out or reject a request. It is rejected only if a majority has answered since the call arrived."""
+        server_ids = self.registry.matching(**fields)
+        capacity = self.registry.capacity(server_ids, not request.undo, self.server_feed.silent)
+        short_services = [] if request.undo or request.force else services_below_minimum(capacity)
+        if (not server_ids or short_services) and not self.peers.has_majority_answered_since(started_at, now):
+            self._decide_later(call, request, fields, started_at, now)
+        elif not server_ids:
             call.reply(HTTPStatus.NOT_FOUND, error_body("no server that is known fits"))
-        elif short:
-            logs.say("retirement_rejected", found=len(found), short=",".join(short))
-            self._reject_short(call, short, remaining_fractions(capacity))
+        elif short_services:
+            logs.emit("retirement_rejected", found=len(server_ids), short=",".join(short_services))
+            self._reject_short(call, short_services, remaining_fractions(capacity))
         else:
-            self._start(call, order, found, remaining_fractions(capacity), now)
+            self._start(call, request, server_ids, remaining_fractions(capacity), now)
 
     def _decide_later(
-        self, call: Call, order: RetirementOrder, fields: dict[str, str], started_at: float, now: float
+        self, call: Call, request: RetirementRequest, fields: dict[str, str], started_at: float, now: float
     ) -> None:
         if now == started_at:
             self.peers.probe_voters(now)
@@ -119,24 +119,24 @@
             return
 
         def decide_again() -> None:
-            self._decide(call, order, fields, started_at, clock.monotonic())
+            self._decide(call, request, fields, started_at, clock.monotonic())
 
         self.loop.call_later(REJECTION_CHECK_INTERVAL_S, decide_again)
 
-    def _reject_short(self, call: Call, short: list[str], remaining: dict[str, float]) -> None:
-        text = ", ".join(f"{service} would keep {remaining[service]:.0%} of its slots" for service in short)
+    def _reject_short(self, call: Call, short_services: list[str], remaining: dict[str, float]) -> None:
+        text = ", ".join(f"{service} would keep {remaining[service]:.0%} of its slots" for service in short_services)
         body = {"error": f"{text}; with force it is done all the same", "room": remaining}
         call.reply(HTTPStatus.CONFLICT, msgspec.json.encode(body))
 
     def _start(
-        self, call: Call, order: RetirementOrder, found: list[str], remaining: dict[str, float], now: float
+        self, call: Call, request: RetirementRequest, server_ids: list[str], remaining: dict[str, float], now: float
     ) -> None:
-        retirement = RetirementCall(found, not order.undo)
+        retirement = RetirementCall(server_ids, not request.undo)
         number = self.pending_calls.add(call)
-        self._open[number] = _OpenRetirement(retirement, remaining, now)
-        self._write(retirement, found, now)
-        logs.say("retirement_started", undo=order.undo, found=len(found), changed=len(retirement.changed))
-        for ident in found:
+        self._in_progress[number] = _PendingRetirement(retirement, remaining, now)
+        self._write(retirement, server_ids, now)
+        logs.emit("retirement_started", undo=request.undo, found=len(server_ids), changed=len(retirement.changed))
+        for ident in server_ids:
             self._replicate(PendingServer(number, ident), now)
 
     def _write(self, retirement: RetirementCall, idents: list[str], now: float) -> None:
@@ -147,7 +147,7 @@
             self.server_feed.push_changes(now)
 
     def _replicate(self, server: PendingServer, now: float) -> None:
-        if server.call_number not in self._open:
+        if server.call_number not in self._in_progress:
             return
         voters = self.peers.voter_ids()
         reachable = self.peers.reachable(now, voters.keys() - {self.peers.me})
@@ -158,18 +158,18 @@
             self._finish(server.call_number, HTTPStatus.SERVICE_UNAVAILABLE, error_body(str(error)))
 
     def on_ack(self, ack: ReplicationAck, now: float) -> None:
-        """Take over a later decision of the operator that a voter knows of."""
+        """Adopt a later decision about a server that a voter reports."""
         record = self.registry.get(ack.id, now)
         if record is not None and ack.retired > record.retired:
             self.registry.merge(msgspec.structs.replace(record, retired=ack.retired), now)
             self.server_feed.push_changes(now)
 
     def on_replicated(self, server: PendingServer, now: float) -> None:
-        """Note that a majority of the voters has the record of this server on disk."""
+        """Handle the confirmation that a majority of the voters has the record of this server on disk."""
         number, ident = server
-        if number not in self._open:
+        if number not in self._in_progress:
             return
-        retirement, remaining, started_at = self._open[number]
+        retirement, remaining, started_at = self._in_progress[number]
         try:
             needs_rewrite = retirement.needs_rewrite(ident, self.registry.get(ident, now))
         except RetirementRaceError as error:
@@ -180,21 +180,21 @@
             self._replicate(server, now)
         elif not retirement.pending:
             took_s = now - started_at
-            logs.say(
+            logs.emit(
                 "retirement_replicated", undo=not retirement.is_retired, found=len(retirement.idents), seconds=took_s
             )
             body = {"found": retirement.idents, "changed": sorted(retirement.changed), "room": remaining}
             self._finish(number, HTTPStatus.OK, msgspec.json.encode(body))
 
     def on_timeout(self, server: PendingServer) -> None:
-        """Give up the call, as no majority has confirmed this server in time."""
+        """Answer the call with 503, because no majority has confirmed this server in time."""
         body = error_body("no majority has confirmed it in time")
         self._finish(server.call_number, HTTPStatus.SERVICE_UNAVAILABLE, body)
 
     def _finish(self, number: int, status: int, body: bytes) -> None:
-        opened = self._open.pop(number, None)
-        if opened is None:
+        pending_retirement = self._in_progress.pop(number, None)
+        if pending_retirement is None:
             return
-        for ident in opened.retirement.pending:
+        for ident in pending_retirement.retirement.pending:
             self.acknowledgements.cancel(PendingServer(number, ident))
         self.pending_calls.reply(number, status, body)
--- a/crowseam/controller/router.py
+++ b/crowseam/controller/router.py
@@ -1,4 +1,4 @@
-"""Which handler gets which message."""
+"""Routing of messages to handlers by their type."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 
 class MessageRouter(Generic[SenderT]):
-    """Hands each message to the handler of its type, with its sender and the time (steady clock, s)."""
+    """Passes each message to the handler of its type, with the sender and the time (monotonic clock, s)."""
 
     def __init__(self) -> None:
         self._handlers: dict[type, Callable[[SenderT, Any, float], None]] = {}
 
     def add(self, message_type: type[MessageT], handler: Callable[[SenderT, MessageT, float], None]) -> None:
-        """Have messages of one type handled."""
+        """Register the handler of a message type."""
         self._handlers[message_type] = handler
 
     def add_all(self, message_types: Iterable[type], handler: Callable[[SenderT, Any, float], None]) -> None:
-        """Have messages of several types handled alike."""
+        """Register one handler for several message types."""
         for message_type in message_types:
             self._handlers[message_type] = handler
 
     def dispatch(self, sender: SenderT, message: object, now: float) -> bool:
-        """Handle a message; False if no handler takes its type, as may be with a newer version."""
+        """Handle a message; return False if its type has no handler, as with a sender of a newer version."""
         handler = self._handlers.get(type(message))
         if handler is None:
             return False
--- a/crowseam/controller/server_feed.py
+++ b/crowseam/controller/server_feed.py
@@ -1,4 +1,4 @@
-"""What gateways are sent of servers: changes of the registry, who is silent, and who is ejected."""
+"""Keeps gateways up to date with the servers: changes of the registry, silent servers and ejected servers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class RegistryFollower(Protocol):
-    """A session, as far as it is needed here: its link, and up to where its gateway knows the registry."""
+    """A session, as used here: its link, its gateway, and how far the gateway has followed the registry."""
 
     link: Link
     gateway: str
@@ -24,32 +24,32 @@
 
 
 class FollowerTable(Protocol):
-    """The sessions, as far as they are needed here."""
+    """The sessions, as used here."""
 
     @property
     def sessions(self) -> Mapping[str, RegistryFollower]:
-        """The sessions by gateway."""
+        """Return the sessions, by gateway."""
         ...
 
     def broadcast(self, message: Message) -> None:
-        """Send to each gateway that has a session here."""
+        """Send a message to each gateway with a session here."""
 
 
 class ServerFeed:
-    """Sends gateways the registry and its changes. Times are seconds of the steady clock."""
+    """Sends gateways the registry and its changes. Times are seconds of the monotonic clock."""
 
     def __init__(self, registry: ServiceRegistry, peers: Peers, followers: FollowerTable) -> None:
         self.registry = registry
         self.peers = peers
         self.followers = followers
-        self.silent: list[str] = []  # servers of which nothing has been heard for a while
+        self.silent: list[str] = []  # servers without a recent heartbeat
         self.ejected: list[str] = []
         self.outliers = OutlierDetector()
-        self._was_in_touch = False
-        self._in_touch_since = -inf  # since when this controller is again, after it was not; inf while it is not
+        self._was_majority_reachable = False
+        self._majority_reachable_since = -inf  # when it was last regained; inf while it is lost
 
     def send_all(self, session: RegistryFollower, registry: str, position: int, now: float) -> bool:
-        """Bring a new session up to date from a position; whether it was sent everything."""
+        """Send a new session the changes since a position, or all servers; return whether it was sent all."""
         changes = self.registry.changes_since(registry, position, now)
         incarnation, session.registry_position = self.registry.position
         session.link.send(
@@ -60,40 +60,40 @@
         return changes is None
 
     def push_changes(self, now: float) -> None:
-        """Send each gateway what changed in the registry since it was last sent something."""
+        """Send each gateway the changes of the registry since its last update."""
         incarnation, position = self.registry.position
         frames: dict[int, bytes] = {}
         for session in self.followers.sessions.values():
-            known = session.registry_position
-            if known >= position:
+            known_position = session.registry_position
+            if known_position >= position:
                 continue
-            if known not in frames:
-                changes = self.registry.changes_since(incarnation, known, now)
-                frames[known] = frame(self._update(incarnation, position, changes, now))
-            session.link.write(frames[known])
+            if known_position not in frames:
+                changes = self.registry.changes_since(incarnation, known_position, now)
+                frames[known_position] = frame(self._update(incarnation, position, changes, now))
+            session.link.write(frames[known_position])
             session.registry_position = position
 
     def _update(self, incarnation: str, position: int, changes: list[ServerRecord] | None, now: float) -> ServerUpdate:
-        """Return the changes as a message; None: all servers, as the changes are not known."""
+        """Return a message with the changes, or with all servers if `changes` is None."""
         records = self.registry.snapshot(now) if changes is None else changes
         return ServerUpdate(incarnation, position, changes is None, records)
 
-    def check_silence(self, now: float, after_s: float) -> None:
-        """Tell the gateways which servers are gone or have been silent for `after_s`, when that changes.
+    def check_silence(self, now: float, silent_after_s: float) -> None:
+        """Expire servers, and tell the gateways when the set of servers that were silent for `silent_after_s` changes.
 
-        Servers that were not silent before are so only once this controller has been in touch for as long:
-        until then it is the controller that has not heard them, while they reported to others.
+        A server is added to the set only after a majority was reachable for as long. Until then, this controller may
+        have been partitioned, and the servers may have reported to others.
         """
         if self.registry.expire(now):
             self.push_changes(now)
-        silent = self.registry.silent(now, after_s)
-        if self.peers.is_in_touch(now):
-            self._was_in_touch = True
-            if self._in_touch_since == inf:
-                self._in_touch_since = now
-        elif self._was_in_touch:
-            self._in_touch_since = inf
-        if now - self._in_touch_since < after_s:
+        silent = self.registry.silent(now, silent_after_s)
+        if self.peers.is_majority_reachable(now):
+            self._was_majority_reachable = True
+            if self._majority_reachable_since == inf:
+                self._majority_reachable_since = now
+        elif self._was_majority_reachable:
+            self._majority_reachable_since = inf
+        if now - self._majority_reachable_since < silent_after_s:
             silent = [ident for ident in silent if ident in self.silent]
         self._set_silent(silent)
 
@@ -105,20 +105,20 @@
     # Outliers
 
     def on_gateway_report(self, session: RegistryFollower, report: OutlierReport, now: float) -> None:
-        """Take what a gateway here has seen of servers; all controllers hear of it."""
+        """Handle request outcomes that a gateway here has observed, and forward them to all controllers."""
         self.outliers.report(session.gateway, report.outcomes, now)
         self.peers.broadcast(OutlierReport(session.gateway, report.outcomes))
         self.check_outliers(now)
 
     def on_forwarded_report(self, _: str, report: OutlierReport, now: float) -> None:
-        """Take what a gateway of another controller has seen."""
+        """Handle request outcomes that a gateway of another controller has observed."""
         self.outliers.report(report.gateway, report.outcomes, now)
         self.check_outliers(now)
 
     def check_outliers(self, now: float) -> None:
-        """Tell the gateways which servers are ejected, when that changes."""
+        """Tell the gateways when the set of ejected servers changes."""
         ejected = self.outliers.ejected(self.registry.service_of, self.registry.size_of, now)
         if ejected != self.ejected:
-            logs.say("servers_ejected", servers=",".join(ejected))
+            logs.emit("servers_ejected", servers=",".join(ejected))
             self.ejected = ejected
             self.followers.broadcast(EjectedServers(ejected))
--- a/crowseam/controller/server_reports.py
+++ b/crowseam/controller/server_reports.py
@@ -1,4 +1,4 @@
-"""What servers report: heartbeats and leaves taken in, replicated, acknowledged, and repaired between controllers."""
+"""Reports of servers, heartbeats and leaves: recorded, replicated, acknowledged, and repaired by anti-entropy."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 from crowseam.transport.http import Call
 from crowseam.transport.messages import ChangedServers, HeardReports
 
-REGISTRY_KEY = "registry"  # of the note that holds the whole registry
+REGISTRY_KEY = "registry"  # of the note with the whole registry
 _NEVER_SAVED = -1
 _EMPTY_BODY = b"{}"
 
 
 class ServerReports:
-    """This controller's copy of the registry, and the acknowledgements that wait for a majority of the voters.
+    """This controller's replica of the registry, and the calls that wait for a majority of the voters.
 
-    Times are seconds of the steady clock.
+    Times are seconds of the monotonic clock.
     """
 
     def __init__(
@@ -52,29 +52,29 @@
         self.retirements = retirements
         self.leaving_records = leaving_records
         self.pending_calls = pending_calls
-        self._reported_until = now  # up to when others were told of whom reports have come
+        self._reported_until = now  # time up to which received reports were announced to other controllers
         self._saved_version = _NEVER_SAVED
 
     # The calls of servers
 
     def heartbeat(self, call: Call, ident: str, heartbeat: Heartbeat, now: float) -> None:
-        """Take a report. One of a server that leaves is acknowledged once a majority has it.
+        """Record a heartbeat. That of a leaving server is acknowledged once a majority has it on disk.
 
-        Out of touch, none is acknowledged, though it is taken in: the server is to report to a controller that
-        others hear, before they take it for silent.
+        If no majority is reachable, a heartbeat is recorded but not acknowledged, so that the server reports to
+        another controller before the rest consider it silent.
         """
         record, is_changed = self.registry.record_heartbeat(ident, heartbeat, now)
         if is_changed:
             self._publish(record, now)
         if record.phase != "up":
             self._acknowledge_by_majority(call, record, now)
-        elif self.peers.is_in_touch(now):
+        elif self.peers.is_majority_reachable(now):
             call.reply(HTTPStatus.OK, _EMPTY_BODY)
         else:
             reply_unavailable(call, "in touch with no majority of the voters")
 
     def leave(self, call: Call, ident: str, now: float) -> None:
-        """Take a server's word that it has ended."""
+        """Record the notice of a server that it has ended."""
         record = self.registry.leave(ident, now)
         self._publish(record, now)
         self._acknowledge_by_majority(call, record, now)
@@ -84,7 +84,7 @@
         self.server_feed.push_changes(now)
 
     def _acknowledge_by_majority(self, call: Call, record: ServerRecord, now: float) -> None:
-        """Acknowledge once a majority of the voters has it on disk: whatever is lost then, it reaches all."""
+        """Answer the call once a majority of the voters has the record on disk, so that no minority loss erases it."""
         voters = self.peers.voter_ids()
         reachable = self.peers.reachable(now, voters.keys() - {self.peers.me})
         number = self.pending_calls.add(call)
@@ -93,10 +93,10 @@
         except NoMajorityError as error:
             self.pending_calls.reply(number, HTTPStatus.SERVICE_UNAVAILABLE, error_body(str(error)))
 
-    # What waits for a majority: calls by their number, and servers of a retirement
+    # Waiting for a majority: calls by their number, and servers of a retirement
 
     def on_ack(self, addr: str, ack: ReplicationAck, now: float) -> None:
-        """Take a voter's confirmation."""
+        """Handle a voter's confirmation that it has a record."""
         self.retirements.on_ack(ack, now)
         for waiting in self.acknowledgements.confirm(addr, ack):
             if isinstance(waiting, PendingServer):
@@ -105,7 +105,7 @@
                 self.pending_calls.reply(waiting, HTTPStatus.OK, _EMPTY_BODY)
 
     def tick(self, now: float) -> None:
-        """Retransmit, and give up what has waited too long; to be called some times a second."""
+        """Retransmit requests, and time out waiting calls; to be called several times a second."""
         self.peers.post_all(self.acknowledgements.retransmit(now))
         for waiting in self.acknowledgements.expire(now):
             if isinstance(waiting, PendingServer):
@@ -114,38 +114,38 @@
                 body = error_body("no majority has answered in time")
                 self.pending_calls.reply(waiting, HTTPStatus.SERVICE_UNAVAILABLE, body)
 
-    # Other controllers' copies
+    # Replicas at other controllers
 
     def on_changed(self, _: str, changed: ChangedServers, now: float) -> None:
-        """Merge another controller's changes."""
+        """Merge records that another controller changed."""
         for record in changed.records:
             self.registry.merge(record, now)
         self.server_feed.push_changes(now)
 
     def send_heard(self, now: float) -> None:
-        """Tell the others of whom reports have come since the last time."""
+        """Announce to the other controllers which servers reported here since the last announcement."""
         heard = self.registry.heard_since(self._reported_until)
         self._reported_until = now
         if heard:
             self.peers.broadcast(HeardReports(heard))
 
     def on_heard(self, addr: str, heard: HeardReports, now: float) -> None:
-        """Note reports that came to another controller; where a server is not known here, compare."""
+        """Record reports received by another controller; if one is of an unknown server, start a repair."""
         if self.registry.apply_heard(heard.reports, now):
             self.start_repair(addr, now)
 
     def start_repair(self, addr: str, now: float) -> None:
-        """Begin to compare with another controller."""
+        """Start anti-entropy repair with another controller."""
         self.peers.post(addr, self.anti_entropy.offer(now))
 
     def on_peer_lost(self, lost: str, now: float) -> None:
-        """Compare with the others, as what a controller sent last may have come to some of them only."""
+        """Start repair with the others, because only some may have received the last messages of the lost one."""
         offer = self.anti_entropy.offer(now)
         for addr in self.peers.reachable(now) - {lost}:
             self.peers.post(addr, offer)
 
     def on_repair(self, addr: str, message: DigestOffer | RangeRecords, now: float) -> None:
-        """Take another controller's digests, or records of ranges that differ."""
+        """Handle digests of another controller, or its records of ranges that differ."""
         replies, changed = self.anti_entropy.handle(message, now)
         for reply in replies:
             self.peers.post(addr, reply)
@@ -155,7 +155,7 @@
     # On disk
 
     def restore(self, notes: dict[str, bytes], now: float) -> None:
-        """Take up the servers known before the start. Raises msgspec.DecodeError."""
+        """Restore the servers saved before the start. Raises msgspec.DecodeError."""
         saved = notes.get(REGISTRY_KEY)
         if saved is not None:
             for record in msgspec.msgpack.decode(saved, type=list[ServerRecord]):
@@ -164,7 +164,7 @@
             self.registry.merge(record, now)
 
     def unsaved(self, now: float) -> list[Note]:
-        """Return the registry, if it has changed since it was last saved."""
+        """Return the notes to save if the registry has changed since it was last saved."""
         if self.registry.version == self._saved_version:
             return []
         self._saved_version = self.registry.version
@@ -172,6 +172,6 @@
         return [note, *self.leaving_records.superseded_notes()]
 
     def on_saved(self, ok: bool) -> None:
-        """Note whether what `unsaved` returned is on disk now; otherwise it will be returned again."""
+        """Handle the end of a write; if it failed, `unsaved` returns the registry again."""
         if not ok:
             self._saved_version = _NEVER_SAVED
--- a/crowseam/controller/state_machine.py
+++ b/crowseam/controller/state_machine.py
@@ -1,4 +1,4 @@
-"""The state that the agreed log builds: the configuration, and which changes led to it."""
+"""The replicated state machine: the configuration, and the changes that led to it."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 from crowseam.configuration.text import version_text
 from crowseam.consensus.messages import ConfigurationEntry, Entry
 
-RECENT_CHANGES = 256  # of which all is known, for operators
-EARLIER_CHANGES = 4096  # before these, of which it is known that they were taken: a week of 590 changes a day
-_DIGEST_PREFIX_BYTES = 16  # of a digest, that tell an earlier change from all others
-_EARLIER_FORMAT = struct.Struct(f">{_DIGEST_PREFIX_BYTES}sI")
+MAX_RECENT_CHANGES = 256  # kept completely, for the history shown to operators
+MAX_EARLIER_CHANGES = 4096  # before those, kept by digest prefix, to recognize retried changes
+_DIGEST_PREFIX_BYTES = 16  # enough to identify an earlier change
+_EARLIER_STRUCT = struct.Struct(f">{_DIGEST_PREFIX_BYTES}sI")
 _UNKNOWN = -1
 
 
 class AppliedChange(msgspec.Struct, array_like=True, frozen=True):
-    """A change that was applied."""
+    """An applied change."""
 
     ver: int
     parent: int
@@ -28,112 +28,113 @@
 
 
 class _StoredState(msgspec.Struct, array_like=True):
-    """What is on disks and in snapshots. A process that knows fewer fields passes over the last ones.
+    """The encoded state, on disk and in snapshots. A process that knows fewer fields ignores the last ones.
 
-    `earlier` holds packed prefixes of digests and versions, the oldest first. `forgotten` is the version of the
-    newest change that is remembered no more, -1 where the process that made this state did not know.
+    `earlier` holds packed digest prefixes and versions, oldest first. `highest_forgotten_ver` is the version of the
+    newest change that is no longer remembered, -1 if the process that wrote this state did not record it.
     """
 
     configuration: bytes
     recent: list[AppliedChange]
     earlier: bytes = b""
-    forgotten: int = _UNKNOWN
+    highest_forgotten_ver: int = _UNKNOWN
 
 
 class AlreadyApplied:
-    """The outcome of a change that has been applied before."""
+    """The outcome of a change that was already applied."""
 
 
-class Forgotten:
-    """The outcome of a change of which nobody knows any more whether it was applied: no clear answer."""
+class OutcomeForgotten:
+    """The outcome of a change that may have been applied, but is too old to be remembered."""
 
 
 class UnknownParent(msgspec.Struct, frozen=True):
-    """The outcome of a change of a version that is above the `current` one: no clear answer.
+    """The outcome of a change whose parent version is higher than the `current` one.
 
-    A rejection could turn out wrong: `parent` may be applied later, and a copy of the change that was delayed on
-    its way would then be applied too.
+    It is not a rejection: `parent` may be applied later, and then a delayed copy of the change might be applied too.
     """
 
     current: int
     parent: int
 
 
-ChangeOutcome = AlreadyApplied | Forgotten | UnknownParent | ConfigurationError
+ChangeOutcome = AlreadyApplied | OutcomeForgotten | UnknownParent | ConfigurationError
 
 
 class ConfigurationStateMachine:
-    """The configuration in force; a `crowseam.consensus.state_machine.StateMachine`.
+    """The current configuration; a `crowseam.consensus.state_machine.StateMachine`.
 
-    Of applied changes the last `max_recent` are remembered completely, the `max_earlier` before them by a prefix of
-    their digests. Versions only grow, so what was forgotten has a version up to `forgotten`.
+    The last `max_recent` applied changes are remembered completely, the `max_earlier` ones before them by a prefix of
+    their digests. Versions only grow, so forgotten changes have versions up to `highest_forgotten_ver`.
     """
 
-    def __init__(self, max_recent: int = RECENT_CHANGES, max_earlier: int = EARLIER_CHANGES) -> None:
+    def __init__(self, max_recent: int = MAX_RECENT_CHANGES, max_earlier: int = MAX_EARLIER_CHANGES) -> None:
         self.max_recent = max_recent
         self.max_earlier = max_earlier
         self.config: Configuration = EMPTY
         self.recent: dict[str, AppliedChange] = {}  # by digest
-        self.earlier: dict[bytes, int] = {}  # versions by prefix of the digest, the oldest first
-        self.forgotten = 0
+        self.earlier: dict[bytes, int] = {}  # version by digest prefix, oldest first
+        self.highest_forgotten_ver = 0
 
     def apply(self, slot: int, entry: Entry) -> None:
-        """Apply what was chosen at `slot`."""
+        """Apply the entry chosen at `slot`."""
         if not isinstance(entry, ConfigurationEntry):
             return
         try:
             self.config = Configuration.from_change(self.config, entry.whole, entry.body)
         except ConfigurationError:
-            return  # every machine decides alike, so it is left out everywhere
+            return  # all replicas decide alike, so all of them skip it
         self.recent[entry.digest] = AppliedChange(entry.ver, entry.parent, entry.digest, slot)
         self._trim()
 
     def _trim(self) -> None:
         while len(self.recent) > self.max_recent:
             oldest = self.recent.pop(next(iter(self.recent)))
-            self.earlier[_prefix(oldest.digest)] = oldest.ver
+            self.earlier[_digest_prefix(oldest.digest)] = oldest.ver
         while len(self.earlier) > self.max_earlier:
-            self.forgotten = self.earlier.pop(next(iter(self.earlier)))
+            self.highest_forgotten_ver = self.earlier.pop(next(iter(self.earlier)))
 
     def snapshot(self) -> bytes:
-        """Return the state, for another machine or for the disk."""
+        """Return the encoded state, for another replica or for the disk."""
         if self.config.ver == 0 and not self.recent:
             return b""
-        earlier = b"".join([_EARLIER_FORMAT.pack(prefix, ver) for prefix, ver in self.earlier.items()])
-        state = _StoredState(self.config.dump(), list(self.recent.values()), earlier, self.forgotten)
+        earlier = b"".join([_EARLIER_STRUCT.pack(prefix, ver) for prefix, ver in self.earlier.items()])
+        state = _StoredState(self.config.dump(), list(self.recent.values()), earlier, self.highest_forgotten_ver)
         return msgspec.msgpack.encode(state)
 
     def restore(self, state: bytes) -> None:
-        """Begin from what `snapshot` returned, also in a process of the version before.
+        """Replace the state by one that `snapshot` returned, in this or in the previous version of the program.
 
         Raises
         ------
         msgspec.DecodeError, ConfigurationError
-            If the bytes are no such state.
+            If the bytes are not a valid state.
         """
         self.config = EMPTY
         self.recent = {}
         self.earlier = {}
-        self.forgotten = 0
+        self.highest_forgotten_ver = 0
         if not state:
             return
         stored = msgspec.msgpack.decode(state, type=_StoredState)
-        if len(stored.earlier) % _EARLIER_FORMAT.size:
-            raise msgspec.DecodeError("the earlier changes are cut short")
+        if len(stored.earlier) % _EARLIER_STRUCT.size:
+            raise msgspec.DecodeError("the list of earlier changes is truncated")
         self.config = Configuration.from_put(stored.configuration)
         self.recent = {change.digest: change for change in stored.recent}
-        self.earlier = dict(_EARLIER_FORMAT.iter_unpack(stored.earlier))
+        self.earlier = dict(_EARLIER_STRUCT.iter_unpack(stored.earlier))
         # Each change builds on the one applied before it.
-        before = stored.recent[0].parent if stored.recent else self.config.ver
-        self.forgotten = before if stored.forgotten == _UNKNOWN else stored.forgotten
+        oldest_known_parent = stored.recent[0].parent if stored.recent else self.config.ver
+        self.highest_forgotten_ver = (
+            oldest_known_parent if stored.highest_forgotten_ver == _UNKNOWN else stored.highest_forgotten_ver
+        )
 
     def propose(self, change: Change, proposal_id: str) -> ConfigurationEntry | ChangeOutcome:
-        """Return what becomes of a change on top of this state: an entry to propose, or the outcome of its call."""
-        if change.digest in self.recent or _prefix(change.digest) in self.earlier:
+        """Return the entry to propose for a change on top of this state, or the outcome of the call."""
+        if change.digest in self.recent or _digest_prefix(change.digest) in self.earlier:
             return AlreadyApplied()
-        # One whose parent is not below its own version was never applied, whatever is forgotten.
-        if change.parent < change.ver <= self.forgotten:
-            return Forgotten()
+        # A change whose parent is not lower than its own version is invalid and was never applied.
+        if change.parent < change.ver <= self.highest_forgotten_ver:
+            return OutcomeForgotten()
         if self.config.ver < change.parent < change.ver:
             return UnknownParent(self.config.ver, change.parent)
         try:
@@ -143,7 +144,7 @@
         return ConfigurationEntry(proposal_id, change.ver, change.parent, change.whole, change.body, change.digest)
 
     def history(self) -> list[dict[str, str | int]]:
-        """Return the last changes applied, the newest first, for operators."""
+        """Return the last applied changes, newest first, for operators."""
         return [
             {
                 "ver": version_text(change.ver),
@@ -155,5 +156,5 @@
         ]
 
 
-def _prefix(digest: str) -> bytes:
+def _digest_prefix(digest: str) -> bytes:
     return bytes.fromhex(digest)[:_DIGEST_PREFIX_BYTES]
--- a/crowseam/controller/voter_synchronization.py
+++ b/crowseam/controller/voter_synchronization.py
@@ -1,4 +1,4 @@
-"""Keeps the parts of a controller at one view of the voters, and has a new voter learn what those before it knew."""
+"""Keeps the components of a controller on one view of the voters, and runs the catch-up of a new voter."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from crowseam.consensus.messages import Voter
 from crowseam.consensus.node import Node
-from crowseam.controller.durable_state import COUNTED_VOTER_KEY, StoredRecord, WriteCallback
+from crowseam.controller.durable_state import CAUGHT_UP_VOTER_KEY, StoredRecord, WriteCallback
 from crowseam.controller.lease_service import LeaseService
 from crowseam.controller.leaving_records import LeavingRecords
 from crowseam.discovery.replication import PendingAcknowledgements
@@ -18,10 +18,10 @@
 
 
 class PeerLinks(Protocol):
-    """The links to other controllers, as far as they are needed here."""
+    """The links to other controllers, as used here."""
 
     def voter_ids(self) -> dict[str, str]:
-        """Return the ids of the voters by address."""
+        """Return the ids of the voters, by address."""
         ...
 
     def post(self, addr: str, message: Message) -> None:
@@ -29,14 +29,14 @@
 
 
 class RecordStore(Protocol):
-    """The disk, as far as it is needed here."""
+    """The disk, as used here."""
 
     def write(self, records: list[StoredRecord], done: WriteCallback) -> None:
-        """Write records."""
+        """Write records, then call `done(ok)`."""
 
 
 class _VoterView(NamedTuple):
-    """Up to where the parts know the voters."""
+    """The state of the consensus node that the components were last told."""
 
     last_slot: int
     is_changing_voters: bool
@@ -44,7 +44,7 @@
 
 
 class VoterSynchronization:
-    """`update` is called before each message is handed in, and at each tick."""
+    """Call `update` before each message is handled, and at each tick."""
 
     def __init__(
         self,
@@ -67,14 +67,14 @@
         self.leaving_records = leaving_records
         self.peers = peers
         self.store = store
-        # What has come of the answers that are waited for, and is not on disk yet.
-        self._learned_servers: set[str] = set()
-        self._learned_roles: set[str] = set()
-        self._is_counted_noted = False  # whether it is on disk that this voter counts, or about to be
+        # Learned from answers, but not on disk yet.
+        self._unsaved_servers: set[str] = set()
+        self._unsaved_roles: set[str] = set()
+        self._is_caught_up_saved = False  # whether the note that this voter is caught up is on disk, or being written
         self._view: _VoterView | None = None
 
     def update(self, now: float) -> None:
-        """Tell the parts who votes, before they decide by it."""
+        """Pass a change of the voters on to the components."""
         node = self.node
         view = _VoterView(node.last_slot, node.is_changing_voters, node.voters)
         if view != self._view:
@@ -90,21 +90,21 @@
         self.acknowledgements.set_voters(ids, node.last_slot)
 
     def tick(self, now: float) -> None:
-        """Ask for what is lacking here; to be called some times a second while this controller wants to vote."""
+        """Send catch-up requests; to be called several times a second while this controller wants to vote."""
         for addr, request in self.catch_up.tick(now, self.node.last_slot, self.node.voters_slot):
             self.peers.post(addr, request)
-        if self.catch_up.counts and not self._is_counted_noted:
-            self._note_counted()
+        if self.catch_up.is_caught_up and not self._is_caught_up_saved:
+            self._save_caught_up()
 
-    def _note_counted(self) -> None:
+    def _save_caught_up(self) -> None:
         def done(ok: bool) -> None:
-            self._is_counted_noted = ok
+            self._is_caught_up_saved = ok
 
-        self._is_counted_noted = True
-        self.store.write([Note(COUNTED_VOTER_KEY, self.node.me.id.encode())], done)
+        self._is_caught_up_saved = True
+        self.store.write([Note(CAUGHT_UP_VOTER_KEY, self.node.me.id.encode())], done)
 
     def on_request(self, addr: str, request: StateTransferRequest, now: float) -> None:
-        """Answer a new voter that asks for what was confirmed here to others."""
+        """Answer the catch-up request of a new voter."""
         reply = self.catch_up.answer(
             request,
             self.registry,
@@ -117,22 +117,22 @@
             self.peers.post(addr, reply)
 
     def on_reply(self, _: str, reply: StateTransferReply, now: float) -> None:
-        """Take a voter's answer: with those of a majority on our disk, this controller may count."""
+        """Handle a voter's answer. The catch-up ends once the answers of a majority are on disk."""
         if self.catch_up.ready:
             return
-        self._learned_servers |= self.leaving_records.learn(reply.records, now)
-        self._learned_roles |= self.lease_service.learn(reply.fencing_tokens)
+        self._unsaved_servers |= self.leaving_records.learn(reply.records, now)
+        self._unsaved_roles |= self.lease_service.learn(reply.fencing_tokens)
         if not self.catch_up.apply_reply(reply):
             return
-        servers, self._learned_servers = self._learned_servers, set()
-        roles, self._learned_roles = self._learned_roles, set()
+        servers, self._unsaved_servers = self._unsaved_servers, set()
+        roles, self._unsaved_roles = self._unsaved_roles, set()
 
         def done(ok: bool) -> None:
             if ok:
                 self._reply_saved(reply.number)
             else:
-                self._learned_servers |= servers
-                self._learned_roles |= roles
+                self._unsaved_servers |= servers
+                self._unsaved_roles |= roles
 
         self.store.write([*self.leaving_records.notes(servers, now), *self.lease_service.notes(roles)], done)
 
--- a/crowseam/discovery/voter_catch_up.py
+++ b/crowseam/discovery/voter_catch_up.py
@@ -62,8 +62,8 @@
 class VoterCatchUp(MajorityCatchUp):
     """Learns leaving servers and fencing tokens before this controller asks to join, and again after it has joined."""
 
-    def __init__(self, me: str, has_counted: bool) -> None:
-        super().__init__(me, has_counted, RETRANSMIT_INTERVAL_S, MAX_WAIT_S)
+    def __init__(self, me: str, was_caught_up: bool) -> None:
+        super().__init__(me, was_caught_up, RETRANSMIT_INTERVAL_S, MAX_WAIT_S)
 
     def tick(self, now: float, log_slot: int, voters_slot: int) -> list[OutgoingTransferRequest]:
         """Return the requests that are due; to be called several times a second."""
@@ -84,7 +84,7 @@
         `log_slot` and `voters_slot` are our own. Returns None if this voter has to catch up itself, or if one of the
         two does not know of the change of voters that the other one knows.
         """
-        if not self.counts or request.log_slot < voters_slot or log_slot < request.voters_slot:
+        if not self.is_caught_up or request.log_slot < voters_slot or log_slot < request.voters_slot:
             return None
         records = [record for record in registry.records(now) if record.must_be_remembered]
         return StateTransferReply(request.number, self.me, records, fencing_tokens)
@@ -94,4 +94,4 @@
 
         The caller reports with `reply_saved` that this is done.
         """
-        return self._is_expected(reply.number, reply.voter_id) and self._count(reply.voter_id)
+        return self._is_expected(reply.number, reply.voter_id) and self._record_answer(reply.voter_id)
--- a/crowseam/gateway/controller_session.py
+++ b/crowseam/gateway/controller_session.py
@@ -15,7 +15,7 @@
 from crowseam.operations.messages import ClaimDecision, GatewayMessage, OperationSettled
 from crowseam.quotas.gateway_leases import GatewayLeases
 from crowseam.quotas.shards import ROLE_KEYS, shard_of
-from crowseam.settings import Settings, SettingsError, address
+from crowseam.settings import Settings, SettingsError, parse_address
 from crowseam.transport.codec import unpack
 from crowseam.transport.links import Link
 from crowseam.transport.messages import (
@@ -114,7 +114,7 @@
         """Add addresses of controllers; invalid ones are ignored."""
         for addr in controllers:
             try:
-                address(addr)
+                parse_address(addr)
             except SettingsError:
                 continue
             self.retry_at.setdefault(addr, 0.0)
@@ -154,7 +154,7 @@
         self.loop.call_later(0.1, self._tick)
 
     def _leave_controller(self, reason: str, retry_after_s: float = 1.0) -> None:
-        logs.say("session_left", controller=self.controller_addr, why=reason)
+        logs.emit("session_left", controller=self.controller_addr, why=reason)
         self._record_failure(self.controller_addr, retry_after_s)
         link, self.link = self.link, None
         link.close()
@@ -183,7 +183,7 @@
             if addr is None:
                 return
             self.retry_at[addr] = now + self.rng.uniform(0.3, 0.6)
-            host, _ = address(addr)
+            host, _ = parse_address(addr)
             link = Link(self._on_message, self._on_link_closed)
             link.peer = addr
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -217,7 +217,7 @@
             self.link = None
             self._record_failure(self.controller_addr, 0.3)
             if not self.stopping:
-                logs.say("session_lost", controller=self.controller_addr)
+                logs.emit("session_lost", controller=self.controller_addr)
 
     def _on_message(self, link: Link, message: Message) -> None:
         if link is not self.link:
@@ -288,7 +288,7 @@
             config = Configuration.from_put(unpack(message.body))
         except (ConfigurationError, ValueError) as error:
             if message.slot:  # slot 0 has no configuration
-                logs.say("state_unread", error=error)
+                logs.emit("state_unread", error=error)
             config = EMPTY
         self._apply(message.slot, config)
 
@@ -328,26 +328,26 @@
             return self._request_chunks()
         self.download = None
         if download.is_intact(body):
-            logs.say(
+            logs.emit(
                 "state_fetched", slot=download.slot, bytes=download.size, seconds=round(now - download.began_at, 1)
             )
             self._on_state(ConfigurationState(download.slot, body))
         else:
-            logs.say("state_unsound", slot=download.slot, bytes=download.size)
+            logs.emit("state_unsound", slot=download.slot, bytes=download.size)
         self.link.send(FollowingLog(self.slot))
 
     def _on_step(self, message: ConfigurationStep) -> None:
         if message.slot <= self.slot:
             return  # duplicate
         if message.slot != self.slot + 1:
-            logs.say("step_missing", have=self.slot, got=message.slot)
+            logs.emit("step_missing", have=self.slot, got=message.slot)
             return self._leave_controller("gap")  # the next session starts from this slot
         config = self.config
         if message.body:
             try:
                 config = Configuration.from_change(config, message.whole, unpack(message.body))
             except (ConfigurationError, ValueError) as error:
-                logs.say("step_unread", error=error)
+                logs.emit("step_unread", error=error)
         self._apply(message.slot, config)
 
     def _apply(self, slot: int, config: Configuration) -> None:
@@ -358,7 +358,7 @@
         if config.ver != self.config.ver and config.ver:
             self.config = config
             self.table = Table(config, self.table)
-            logs.say("config", slot=slot, ver=f"{config.ver:08x}")
+            logs.emit("config", slot=slot, ver=f"{config.ver:08x}")
             self.on_table(self.table)
             if not self.leases:
                 self._send_report(clock.monotonic())
--- a/crowseam/gateway/daemon.py
+++ b/crowseam/gateway/daemon.py
@@ -86,15 +86,15 @@
     async def start(self) -> None:
         """Listen for clients and for the platform's probes. Raises OSError if an address is in use."""
         self.controller_session.start()
-        await self.server.listen(settings_file.address(self.settings.bind.http))
-        host, port = settings_file.address(self.settings.bind.readyz)
+        await self.server.listen(settings_file.parse_address(self.settings.bind.http))
+        host, port = settings_file.parse_address(self.settings.bind.readyz)
         self.listeners.append(
             await self.loop.create_server(
                 lambda: HttpConnection(self._readyz, 64 * 1024), host, port, reuse_address=True
             )
         )
         self._tick()
-        logs.say("started", http=self.settings.bind.http, seeds=",".join(self.settings.seeds))
+        logs.emit("started", http=self.settings.bind.http, seeds=",".join(self.settings.seeds))
 
     def _on_table(self, table: Table) -> None:
         self.reader.table = table
@@ -131,14 +131,14 @@
             if now >= self.next_report_at:
                 self.next_report_at = now + REPORT_INTERVAL_S
                 if counts := self.gateway.counters.take():
-                    logs.say("asked", span=REPORT_INTERVAL_S, counts=counts)
+                    logs.emit("asked", span=REPORT_INTERVAL_S, counts=counts)
                 self._report_claims()
             if now >= self.next_sweep_at:
                 self.next_sweep_at = now + SWEEP_INTERVAL_S
                 self.server.sweep()
                 self.gateway.backends.sweep()
         except Exception:
-            logs.failure("tick_failed")
+            logs.exception("tick_failed")
         self.loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _report_claims(self) -> None:
@@ -147,27 +147,27 @@
             outcomes = ",".join(f"{outcome}:{count}" for outcome, count in sorted(keyed.counts.items()))
             p50_ms, p99_ms = (1000.0 * keyed.latency_quantile_s(quantile) for quantile in (0.5, 0.99))
             unsettled = keyed.claims.unsettled
-            logs.say("operation_claims", outcomes=outcomes, p50_ms=p50_ms, p99_ms=p99_ms, unsettled=unsettled)
+            logs.emit("operation_claims", outcomes=outcomes, p50_ms=p50_ms, p99_ms=p99_ms, unsettled=unsettled)
 
     def reload(self) -> None:
         """Read the seeds from the settings again."""
         try:
             self.controller_session.add_controllers(settings_file.read().seeds)
         except settings_file.SettingsError as error:
-            logs.say("settings_invalid", error=error)
+            logs.emit("settings_invalid", error=error)
 
     def stop(self) -> None:
         """Stop being ready, and drain: new requests are still served, then those in flight are finished."""
         if self.stopping_since is None:
             self.stopping_since = clock.monotonic()
             self.server.stopping = True  # closes each connection after its next answer
-            logs.say("stopping", under_way=self.gateway.in_flight_count)
+            logs.emit("stopping", under_way=self.gateway.in_flight_count)
             self.loop.call_later(ACCEPT_AFTER_SIGTERM_S, self._finish)
 
     def _finish(self) -> None:
         self.server.stop_listening()
         self.server.close_unused(clock.monotonic())
-        grace = settings_file.seconds(self.settings.bounds.grace, "grace")
+        grace = settings_file.parse_duration_s(self.settings.bounds.grace, "grace")
         is_grace_over = clock.monotonic() - self.stopping_since > grace - EXIT_MARGIN_S
         if is_grace_over or not (self.server.connections or self.gateway.in_flight_count):
             self.controller_session.stop()
@@ -226,10 +226,10 @@
     except settings_file.SettingsError as error:
         print(f"crowseam: {error}", file=sys.stderr)
         return 2
-    logs.begin("gateway", settings.hostname)
+    logs.configure("gateway", settings.hostname)
     try:
         uvloop.run(serve(settings))
     except OSError as error:
-        logs.say("ended", error=error)
+        logs.emit("ended", error=error)
         return 1
     return 0
--- a/crowseam/gateway/gateway.py
+++ b/crowseam/gateway/gateway.py
@@ -29,7 +29,7 @@
 from crowseam.quotas.admission import Admission
 from crowseam.quotas.retry_budget import RetryBudget, SlidingMaximum
 from crowseam.quotas.unleased_allowance import unleased_allowance
-from crowseam.settings import Settings, seconds
+from crowseam.settings import Settings, parse_duration_s
 from fennelpoint.interface import BackendEntry, BackendState, Roster, RosterKind, Status
 from fennelpoint.net.backends import HOP_BY_HOP, Answer, BackendPool, Exchange
 from fennelpoint.net.flow import BufferBudget
@@ -71,7 +71,7 @@
         self.admission = Admission(now, rng)
         self.budget = RetryBudget(
             bounds.retry_ratio,
-            seconds(bounds.retry_window, "retry_window"),
+            parse_duration_s(bounds.retry_window, "retry_window"),
             bounds.retry_slack,
             now,
             DEFAULT_GATEWAY_COUNT,
@@ -166,7 +166,7 @@
             # Gateways that are cut off still use the previous number.
             self.peak_gateway_count.observe(self.gateway_count, now)
         gateways = self.peak_gateway_count.get(now, DEFAULT_GATEWAY_COUNT)
-        window = seconds(bounds.quota_window, "quota_window")
+        window = parse_duration_s(bounds.quota_window, "quota_window")
         tenants = self.table.tenants if self.table else {}
         lease_changes = self.take_lease_changes(now)
         names: Iterable[str] = tenants
@@ -218,7 +218,7 @@
 
     def report_duplicate(self, parsed: ParsedRequest) -> None:
         """A second request with the id of an open one was rejected."""
-        logs.say("doubled", id=parsed.txn.decode("latin-1"))
+        logs.emit("doubled", id=parsed.txn.decode("latin-1"))
 
     def client_gone(self, request_id: int) -> None:
         """The client has closed its connection."""
@@ -356,7 +356,7 @@
             wait_s = max(MIN_RETRY_AFTER_S, 0.5 * self.balancer.estimate(request.svc, parsed.route).work_s)
         request.claim_outcome = outcome
         if status not in NOT_EXECUTED_STATUSES:
-            logs.say("operation_repeated", id=parsed.txn.decode("latin-1"), status=status, reason=reason)
+            logs.emit("operation_repeated", id=parsed.txn.decode("latin-1"), status=status, reason=reason)
         self._respond(Respond(request.id, status, wait_s, reason=reason))
 
     def _settlement(self, request: InFlightRequest, response: Respond) -> OperationEnd | OperationWithdrawal:
@@ -435,7 +435,7 @@
                 "rate": self.table.tenants[request.parsed.tenant].rate,
             }
         if request.claim_outcome is None or response.status in NOT_EXECUTED_STATUSES:
-            logs.say(
+            logs.emit(
                 "refused" if response.status in NOT_EXECUTED_STATUSES else "failed",
                 id=request.parsed.txn.decode("latin-1"),
                 status=response.status,
@@ -510,7 +510,7 @@
             )
         if request.client is not None:
             # The load balancer has no state of the request: answer it nevertheless.
-            logs.say("lost_track", id=request.parsed.txn.decode("latin-1"))
+            logs.emit("lost_track", id=request.parsed.txn.decode("latin-1"))
             self._finish(request, lambda c: c.send_answer(504, [], b"out of time\n"), 504, "lost_track")
 
     # Counters
--- a/crowseam/logs.py
+++ b/crowseam/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line of key=value pairs for each event, to standard error; floods of an event are sampled."""
+"""Structured logging: a line of key=value pairs per event, on standard error. Frequent events are sampled."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from crowseam import clock
 
 _log = picologging.getLogger("crowseam")
-_SAMPLE = 5  # lines of one event that are written within _SPAN; the rest is counted
-_SPAN = 1.0  # s
-_PLAIN = re.compile(r"[!#-<>-\[\]-~]+")  # printable, without blanks and what separates pairs
+_MAX_SAMPLED_LINES = 5  # of one event per sample period; further lines are only counted
+_SAMPLE_PERIOD_S = 1.0
+_UNQUOTED = re.compile(r"[!#-<>-\[\]-~]+")  # printable ASCII without spaces, quotes, `=` and backslashes
 
 
-class _Sample:
-    """How often an event has come since a moment of the steady clock (s)."""
+class _EventCount:
+    """How often an event was emitted since a time of the monotonic clock (s)."""
 
     __slots__ = ("since", "count")
 
@@ -25,40 +25,40 @@
         self.since, self.count = since, 0
 
 
-_samples: dict[str, _Sample] = {}  # by event
+_samples: dict[str, _EventCount] = {}  # by event
 
 
-def begin(role: str, host: str) -> None:
-    """Write from now on, each line with the role and the machine."""
+def configure(role: str, host: str) -> None:
+    """Start logging to standard error; each line has the role and the host."""
     handler = picologging.StreamHandler()
     handler.setFormatter(picologging.Formatter(f"level=%(levelname)s role={role} host={host} %(message)s"))
     _log.addHandler(handler)
     _log.setLevel(picologging.INFO)
 
 
-def _text(value: object) -> str:
+def _format_value(value: object) -> str:
     text = f"{value:.4g}" if isinstance(value, float) else str(value)
-    # Guards the lines: ids and errors have words of clients in them, which must not pass for ours.
-    return text if _PLAIN.fullmatch(text) else json.dumps(text)
+    # Ids and errors contain text from clients, which must not be able to forge lines or pairs.
+    return text if _UNQUOTED.fullmatch(text) else json.dumps(text)
 
 
-def say(event: str, **fields: object) -> None:
-    """Log an event; a value that is not plain is written as JSON writes it.
+def emit(event: str, **fields: object) -> None:
+    """Log an event; values that need quotes are written as JSON strings.
 
-    Within a second only the first few lines of one event are written.
+    Only the first lines of an event in each sample period are written. The next line says how many were omitted.
     """
     now = clock.monotonic()
     sample = _samples.get(event)
-    if sample is None or now - sample.since > _SPAN:
-        if sample is not None and sample.count > _SAMPLE:
-            fields["left_out"] = sample.count - _SAMPLE
-        sample = _samples[event] = _Sample(now)
+    if sample is None or now - sample.since > _SAMPLE_PERIOD_S:
+        if sample is not None and sample.count > _MAX_SAMPLED_LINES:
+            fields["left_out"] = sample.count - _MAX_SAMPLED_LINES
+        sample = _samples[event] = _EventCount(now)
     sample.count += 1
-    if sample.count <= _SAMPLE:
-        pairs = [f"t={clock.time():.3f} event={event}", *(f"{k}={_text(v)}" for k, v in fields.items())]
+    if sample.count <= _MAX_SAMPLED_LINES:
+        pairs = [f"t={clock.time():.3f} event={event}", *(f"{k}={_format_value(v)}" for k, v in fields.items())]
         _log.info(" ".join(pairs))
 
 
-def failure(event: str) -> None:
-    """Log the exception that is being handled, with its traceback in one line."""
-    say(event, trace=traceback.format_exc().replace("\n", " | "))
+def exception(event: str) -> None:
+    """Log the exception being handled, with its traceback on one line."""
+    emit(event, trace=traceback.format_exc().replace("\n", " | "))
--- a/crowseam/metrics/exposition.py
+++ b/crowseam/metrics/exposition.py
@@ -76,7 +76,7 @@
         try:
             call.reply(200, future.result(), CONTENT_TYPE)
         except Exception:
-            logs.failure("metrics_failed")
+            logs.exception("metrics_failed")
             call.reply(500)
 
     loop.run_in_executor(_pool, _render_yielding, families).add_done_callback(done)
--- a/crowseam/metrics/families.py
+++ b/crowseam/metrics/families.py
@@ -168,7 +168,7 @@
     node, peers = api.node, api.peers
     held_roles = sum(api.role_leases.holder(key, now) == peers.me for key in ROLE_KEYS)
     return [
-        _by_label("counter", "crowseam_calls", "Calls of servers and operators by name.", "call", api.counts),
+        _by_label("counter", "crowseam_calls", "Calls of servers and operators by name.", "call", api.call_counts),
         _single(
             "counter",
             "crowseam_unreadable",
@@ -176,7 +176,12 @@
             Link.unreadable_messages,
         ),
         _single("gauge", "crowseam_slot", "Place in the log of configurations.", node.last_slot),
-        _single("gauge", "crowseam_in_touch", "Whether a majority of the voters is reached.", peers.is_in_touch(now)),
+        _single(
+            "gauge",
+            "crowseam_in_touch",
+            "Whether a majority of the voters is reached.",
+            peers.is_majority_reachable(now),
+        ),
         _single("gauge", "crowseam_gateways", "Gateways that are members.", api.session_table.count(now)),
         _single("gauge", "crowseam_servers", "Servers that are known.", len(api.registry.snapshot(now))),
         _single("gauge", "crowseam_voters", "Who votes, in number.", len(node.voters)),
@@ -191,7 +196,7 @@
 def _operations_of_controller(operations) -> list[Family]:
     """Keyed operations that this controller stores as a voter, and coordinates for gateways."""
     replica = operations.replica
-    votes = operations.catch_up.counts
+    votes = operations.catch_up.is_caught_up
     return [
         _by_label(
             "gauge", "crowseam_operation_records", "Keyed operations kept, by state.", "state", replica.count_states()
--- a/crowseam/model_checks/callers/check.py
+++ b/crowseam/model_checks/callers/check.py
@@ -53,7 +53,7 @@
 from crowseam.model_checks.schedules import Report, Violation, play
 from crowseam.simulator.memory_controller import MemoryController
 from crowseam.simulator.world.disk import DiskImage
-from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.link_faults import LinkFault
 from crowseam.simulator.world.patches import simulated_environment as worn
 from fennelpoint.net.flow import STREAM_STALL_TIMEOUT_S
 
@@ -150,7 +150,7 @@
             role="gateway",
             limits=settings_file.Limits(mem_mb=300, nofile=4000),
         )
-        self.world.at(self.world.now, process, self._start, (process, settings))
+        self.world.schedule(self.world.now, process, self._start, (process, settings))
 
     def _start(self, process: Any, settings: settings_file.Settings) -> None:
         self.daemon = one = daemon.Process(process.loop, settings, self.world.random(f"gateway/{self.lives}"))
@@ -165,7 +165,7 @@
 
     def kill(self) -> None:
         """The gateway is killed, and starts again a while later."""
-        self.world.network.ended(self.process)
+        self.world.network.process_ended(self.process)
         self.world.later(self.rng.choice((0.01, 0.2)), self.start)
 
     def stop(self) -> None:
@@ -174,7 +174,7 @@
 
         def ended(_: object) -> None:
             one.close()
-            self.world.network.ended(process)
+            self.world.network.process_ended(process)
             self.world.later(0.01, self.start)
 
         process.loop.call_soon(one.stop)
@@ -411,12 +411,12 @@
             one = self.controllers.pop(ip)
             for record in one.registry.records(one.now()):
                 self.had.setdefault(record.id, set()).add((ip, record.phase))
-            world.network.ended(self.processes[ip])
-            one.disk.cut_short()
+            world.network.process_ended(self.processes[ip])
+            one.disk.crash()
             world.later(span, self.start, ip)
         elif act == "cut":
-            trouble = Trouble(frozenset([ip]), frozenset(set(self.IPS) - {ip}), cut=True)
-            world.network.troubles.append(trouble)
+            trouble = LinkFault(frozenset([ip]), frozenset(set(self.IPS) - {ip}), cut=True)
+            world.network.link_faults.append(trouble)
             world.later(span, self._heal, trouble)
         elif act == "freeze":
             process = self.processes[ip]
@@ -425,9 +425,9 @@
         elif act == "hang":
             self.disk_images[self.IPS.index(ip)].hangs_until = world.now + span
 
-    def _heal(self, trouble: Trouble) -> None:
-        self.world.network.troubles.remove(trouble)
-        self.world.network.look()
+    def _heal(self, trouble: LinkFault) -> None:
+        self.world.network.link_faults.remove(trouble)
+        self.world.network.resume_links()
 
     # Calls
 
@@ -478,7 +478,7 @@
 
     def _leave(self, end: CallerEnd, turn: Callable[[], None]) -> None:
         if end.over is turn and end.usable:
-            end.transport.resets = self.rng.random() < 0.5
+            end.transport.reset_on_close = self.rng.random() < 0.5
             end.transport.abort()
 
     def _call(self, ip: str) -> Asking:
--- a/crowseam/model_checks/callers/scripted.py
+++ b/crowseam/model_checks/callers/scripted.py
@@ -82,7 +82,7 @@
         super().__init__(seed)
         self.outcomes: Counter = Counter()
         self.network = Network(self, lambda a, b: DELAY, lambda ip: "")
-        self.outside.loop.network = self.network
+        self.environment.loop.network = self.network
         self.faults: list[str] = []
         self.got: dict[str, list[tuple[str, bool]]] = {}  # attempt: servers that had it whole, and ran it
         self.given: dict[str, list[int]] = {}  # attempt: statuses that its client had whole
@@ -92,7 +92,7 @@
     @property
     def events(self) -> int:
         """Callbacks that were run."""
-        return self.fired
+        return self.callbacks_run
 
     def wrong(self, text: str) -> None:
         """Note what must not happen; only the first counts."""
@@ -110,7 +110,7 @@
 
     def later(self, delay: float, what: Callable, *args: object) -> None:
         """Have `what` done outside of all processes."""
-        self.at(self.now + delay, self.outside, what, args)
+        self.schedule(self.now + delay, self.environment, what, args)
 
     def settle(self) -> None:
         """Hold what was seen against the rules. Raises Violation."""
@@ -306,7 +306,7 @@
 
     def end(self, reset: bool = False) -> None:
         """Close, with a reset or in order."""
-        self.mute, self.transport.resets = True, reset
+        self.mute, self.transport.reset_on_close = True, reset
         self.transport.abort()
 
     def _answer(self, attempt: str, plan: Plan) -> None:
@@ -407,7 +407,7 @@
 
     @property
     def usable(self) -> bool:
-        return not (self.left or self.transport is None or self.transport.closed or self.transport.ended)
+        return not (self.left or self.transport is None or self.transport.closed or self.transport.end_received)
 
     def data_received(self, data: bytes) -> None:
         if self.left:
@@ -479,7 +479,7 @@
         """Go without waiting for anything."""
         self.left = True
         if self.transport is not None:
-            self.transport.resets = reset
+            self.transport.reset_on_close = reset
             self.transport.abort()
 
 
@@ -593,7 +593,7 @@
         if self.link is not None and self.link.open:
             whole = encode(ReserveDrawReply("d", 1, 1, 0.1))
             self.link.write(whole[: self.rng.randrange(len(whole))])
-            self.link.transport.resets = self.rng.random() < 0.5
+            self.link.transport.reset_on_close = self.rng.random() < 0.5
             self.link.close()
 
 
@@ -617,7 +617,7 @@
 
     @property
     def usable(self) -> bool:
-        return not (self.transport is None or self.transport.closed or self.transport.ended)
+        return not (self.transport is None or self.transport.closed or self.transport.end_received)
 
     def write(self, data: bytes) -> None:
         """Send, unless the connection is closed."""
--- a/crowseam/model_checks/cutoff/check.py
+++ b/crowseam/model_checks/cutoff/check.py
@@ -51,7 +51,7 @@
 from crowseam.simulator.actors import http_client
 from crowseam.simulator.scenario import day as days
 from crowseam.simulator.simulation import Simulation
-from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.link_faults import LinkFault
 from crowseam.simulator.world.patches import simulated_environment as worn
 from crowseam.transport.codec import pack, unpack
 from crowseam.transport.messages import ConfigurationState, SilentServers
@@ -99,10 +99,10 @@
 
     hit: list[str] = []
 
-    def a_controller(self, rng: Random, avoid: str = "") -> str:
+    def pick_controller(self, rng: Random, avoid: str = "") -> str:
         if self.hit and rng.random() < 0.4:
             return rng.choice(self.hit)
-        return super().a_controller(rng, avoid)
+        return super().pick_controller(rng, avoid)
 
     @property
     def now(self) -> float:
@@ -150,7 +150,7 @@
         self.simulation = _Simulation(day, seed)
         self.world = Course(seed)  # what the report reads off; time is kept by the simulation
         self.network = self.simulation.network
-        self.controllers = {machine.ctl: machine for machine in self.simulation.control}
+        self.controllers = {machine.ctl: machine for machine in self.simulation.control_machines}
         self.ips = [machine.ip for machine in self.simulation.machines]
         self.found: list[str] = []
         self.states = [State(0.0, frozenset(), frozenset())]
@@ -177,13 +177,13 @@
                 self._run(simulation.load_ends + 2.5)
                 simulation.operator.read_back()
                 self._run(simulation.now + 1.0)
-                simulation.judge.finish(simulation.operator.read)
+                simulation.judge.finish(simulation.operator.read_body)
         finally:
-            self.world.now, self.world.events = simulation.now, simulation.world.fired
+            self.world.now, self.world.events = simulation.now, simulation.world.callbacks_run
         if simulation.world.failures:
             raise Violation(simulation.world.failures[0])
-        if simulation.judge.told:
-            raise Violation(f"the judge: {simulation.judge.told[0]}")
+        if simulation.judge.violation_texts:
+            raise Violation(f"the judge: {simulation.judge.violation_texts[0]}")
 
     def _run(self, until: float) -> None:
         """Let time go by, and end early where something has been found."""
@@ -247,57 +247,59 @@
             at += rng.expovariate(1.0 / CALLS)
 
     def _controllers(self, count: int) -> list:
-        return self.rng.sample(self.simulation.control, count)
+        return self.rng.sample(self.simulation.control_machines, count)
 
     # Faults
 
-    def _harm(self, machines: list, span: float, *troubles: Trouble) -> None:
+    def _harm(self, machines: list, span: float, *troubles: LinkFault) -> None:
         simulation = self.simulation
         simulation.hit = [*simulation.hit, *(m.ctl for m in machines if m.serves_control)]
-        simulation.judge.trouble([], simulation.now, simulation.now + span)
-        self.network.troubles += troubles
+        simulation.judge.record_outage([], simulation.now, simulation.now + span)
+        self.network.link_faults += troubles
         self._changed()
         simulation.later(span, self._mend, machines, troubles)
 
     def _mend(self, machines: list, troubles: tuple) -> None:
         for trouble in troubles:
-            self.network.troubles.remove(trouble)
+            self.network.link_faults.remove(trouble)
         for machine in machines:
             if machine.ctl in self.simulation.hit:
                 self.simulation.hit.remove(machine.ctl)
-        self.network.look()
+        self.network.resume_links()
         self._changed()
 
     def _cut(self, hit: list, span: float) -> None:
         """From all machines, servers and callers aside."""
-        self._harm(hit, span, Trouble(frozenset(m.ip for m in hit), frozenset(self.ips), cut=True))
+        self._harm(hit, span, LinkFault(frozenset(m.ip for m in hit), frozenset(self.ips), cut=True))
 
     def _cut_controllers(self, hit: list, span: float) -> None:
         """From the other controllers; gateways still reach it, unless they share a machine with one of those."""
-        others = frozenset(m.ip for m in self.simulation.control if m not in hit)
-        self._harm(hit, span, Trouble(frozenset(m.ip for m in hit), others, cut=True))
+        others = frozenset(m.ip for m in self.simulation.control_machines if m not in hit)
+        self._harm(hit, span, LinkFault(frozenset(m.ip for m in hit), others, cut=True))
 
     def _one_way(self, hit: list, span: float) -> None:
         """What it sends, or what it is sent, is lost: between it and all machines, or controllers alone."""
         others = frozenset(self.ips)
         if self.rng.random() < 0.5:
-            others = frozenset(m.ip for m in self.simulation.control if m not in hit)
+            others = frozenset(m.ip for m in self.simulation.control_machines if m not in hit)
         way = self.rng.choice(("in", "out"))
-        self._harm(hit, span, Trouble(frozenset(m.ip for m in hit), others, cut=True, way=way))
+        self._harm(hit, span, LinkFault(frozenset(m.ip for m in hit), others, cut=True, direction=way))
 
     def _zone(self, hit: list, span: float) -> None:
         """All controllers of a zone stand still, or gateways elsewhere don't reach them."""
-        zone = [m for m in self.simulation.control if m.zone == "a"]
-        if len(zone) == len(self.simulation.control):
+        zone = [m for m in self.simulation.control_machines if m.zone == "a"]
+        if len(zone) == len(self.simulation.control_machines):
             zone = hit
         self.rng.choice((self._freeze, self._freeze, self._gateway_links))(zone, span)
 
     def _two(self, hit: list, span: float) -> None:
-        self._cut_controllers([*hit, self.rng.choice([m for m in self.simulation.control if m not in hit])], span)
+        self._cut_controllers(
+            [*hit, self.rng.choice([m for m in self.simulation.control_machines if m not in hit])], span
+        )
 
     def _flap(self, hit: list, span: float) -> None:
         turn, at = self.rng.choice((0.2, 0.6, 1.3, 2.5)), 0.0
-        trouble = Trouble(frozenset(m.ip for m in hit), frozenset(self.ips), cut=True)
+        trouble = LinkFault(frozenset(m.ip for m in hit), frozenset(self.ips), cut=True)
         while at + turn <= span:
             self.simulation.later(at, self._harm, hit, turn, trouble)
             at += 2.0 * turn
@@ -306,7 +308,7 @@
         """Between gateways and a controller, one way or both."""
         way = self.rng.choice(("in", "out", "both"))
         gateways = frozenset(m.ip for m in self.simulation.machines if not m.serves_control)
-        self._harm(hit, span, Trouble(frozenset(m.ip for m in hit), gateways, cut=True, way=way))
+        self._harm(hit, span, LinkFault(frozenset(m.ip for m in hit), gateways, cut=True, direction=way))
 
     def _freeze(self, hit: list, span: float) -> None:
         """Controllers stand still; gateways on their machines don't."""
@@ -368,15 +370,15 @@
         operator = self.simulation.operator
 
         def send() -> None:
-            spec = operator.spec("routes", "seek") | {"prio": 1 + operator.last % 2}
-            operator._send(
+            spec = operator.spec("routes", "seek") | {"prio": 1 + operator.last_ver % 2}
+            operator._send_changes(
                 "PATCH",
                 {("routes", "seek"): {"type": "routes", "meta": {"name": "seek"}, "spec": spec}},
                 (),
                 2 if race else 1,
             )
 
-        operator._do(send)
+        operator._enqueue(send)
 
     def _drain(self) -> None:
         up = [s for s in self.simulation.servers.values() if s.up and s.phase == "up"]
@@ -422,7 +424,7 @@
     def _restart(self, machine: Any) -> None:
         machine.kill("gateway")
         self.simulation.later(0.1, machine.start, "gateway")
-        self.simulation.judge.trouble([machine.name], self.simulation.now, self.simulation.now + 1.0)
+        self.simulation.judge.record_outage([machine.name], self.simulation.now, self.simulation.now + 1.0)
 
     def _call(
         self,
@@ -431,7 +433,7 @@
         body: bytes = b"",
         done: Callable[[http_client.Answer | None], None] = lambda answer: None,
     ) -> None:
-        at = self.simulation.a_controller(self.rng)
+        at = self.simulation.pick_controller(self.rng)
         data = http_client.request(method, at, path, [], body)
         http_client.fetch(self.simulation.operator.process, at, data, 1.2, done)
 
@@ -454,7 +456,7 @@
 
     def _voters(self) -> list[str]:
         """Who votes, by the controller that knows most."""
-        daemons = [m.daemons["controller"] for m in self.simulation.control if "controller" in m.daemons]
+        daemons = [m.daemons["controller"] for m in self.simulation.control_machines if "controller" in m.daemons]
         newest = max(daemons, key=lambda daemon: daemon.node.last_slot)
         return [voter.addr for voter in newest.node.voters]
 
@@ -544,7 +546,7 @@
     def _look(self) -> None:
         simulation = self.simulation
         voters = self._voters()
-        good = [m for m in simulation.control if self._good(m, voters)]
+        good = [m for m in simulation.control_machines if self._good(m, voters)]
         steady = simulation.now - self.states[-1].at
         shares: dict[str, float] = {}
         for machine in simulation.machines:
@@ -586,7 +588,7 @@
 
     def _never_back(self, machine: Any, daemon: Any) -> None:
         controller_session, balancer = daemon.controller_session, daemon.gateway.balancer
-        life = machine.name, machine.lives["gateway"]
+        life = machine.name, machine.incarnations["gateway"]
         before = self.seen.get(life)
         now = {
             "slot": controller_session.slot,
@@ -633,9 +635,9 @@
             if began is not None and there and began > 0.0:
                 self.report.moves.append(now - began)
         elif machine.name not in self.moving:
-            counts = steady < 2 * SAMPLE and machine.started[-1] < now - 2.0
+            counts = steady < 2 * SAMPLE and machine.gateway_starts[-1] < now - 2.0
             self.moving[machine.name] = now if counts else 0.0
-        calm = min(steady, now - machine.started[-1], now - self.disturbed.get(machine.name, 0.0))
+        calm = min(steady, now - machine.gateway_starts[-1], now - self.disturbed.get(machine.name, 0.0))
         if not good or calm < REJOIN:
             return
         if not there:
@@ -837,7 +839,7 @@
     ),
     Mutant(
         "a majority in touch since the call before a retirement is refused",
-        _patched((Peers, "was_in_touch_since", lambda self, since, now: True)),
+        _patched((Peers, "has_majority_answered_since", lambda self, since, now: True)),
         6,
     ),
     Mutant(
@@ -854,7 +856,7 @@
     Mutant("the age of what is shown", _patched((Peers, "age_s", lambda self, now: 0.0)), 0),
     Mutant(
         "slots of those near in signs of life",
-        _patched((Peers, "is_current", Peers.is_in_touch)),
+        _patched((Peers, "is_current", Peers.is_majority_reachable)),
         why="by hand: test_check_cutoff.Apart; "
         "the slots come with the next message, before the proof, but for large states",
     ),
--- a/crowseam/model_checks/handover/check.py
+++ b/crowseam/model_checks/handover/check.py
@@ -37,7 +37,7 @@
 from crowseam.consensus.node import Node
 from crowseam.consensus.timing import Timing
 from crowseam.consensus.voter_selection import assign_identity
-from crowseam.controller.durable_state import COUNTED_VOTER_KEY, ROLE_KEY_PREFIX
+from crowseam.controller.durable_state import CAUGHT_UP_VOTER_KEY, ROLE_KEY_PREFIX
 from crowseam.controller.lease_service import LeaseService
 from crowseam.controller.leaving_records import NOTE_KEY_PREFIX as RETIRED
 from crowseam.controller.leaving_records import LeavingRecords
@@ -203,7 +203,7 @@
     def reachable(self, now: float, among: Iterable[str] | None = None) -> set[str]:
         return self.detector.reachable(now, self.dialers if among is None else among)
 
-    def is_in_touch(self, now: float) -> bool:
+    def is_majority_reachable(self, now: float) -> bool:
         return self.detector.is_majority_reachable(now, self.voters(), self.me)
 
     def post(self, addr: str, message: Any) -> None:
@@ -290,7 +290,7 @@
             tolerated_failures=world.survive,
             bootstrap_addrs=[addr for addr in world.fleet if addr != self.addr],
         )
-        counted = machine.notes.get(COUNTED_VOTER_KEY, b"").decode()
+        counted = machine.notes.get(CAUGHT_UP_VOTER_KEY, b"").decode()
         self.handover = parts.handover(durable.id, durable.id in (counted, f"genesis/{self.addr}"))
         self.registry = ServiceRegistry(self.life, now)
         self.repair, self.pending, self.pending_calls = (
@@ -328,7 +328,7 @@
         self._due_at = dict.fromkeys(("ping", "tell", "repair"), 0.0) | {"save": now + SAVE}
         self.touch_since: float | None = None
         self.fence: int | None = None
-        self.counted = self.handover.counts and self.node.me in world.voters
+        self.counted = self.handover.is_caught_up and self.node.me in world.voters
         self._handlers: dict[type, Callable[[str, Any, float], None]] = {
             PeerHeartbeat: self._on_heartbeat,
             **dict.fromkeys(consensus.Message.__args__, self._agree),
@@ -401,7 +401,7 @@
 
     def _update_voters(self, now: float) -> None:
         self.voter_sync.update(now)
-        if self.handover.counts and not self.counted and self.node.me in self.node.voters:
+        if self.handover.is_caught_up and not self.counted and self.node.me in self.node.voters:
             self.counted = True
             self.world.counts(self)
 
@@ -433,7 +433,7 @@
             due["save"] = now + SAVE
             if records := self.reports.unsaved(now):
                 self.store.write(records, self.reports.on_saved)
-        if not self.peers.is_in_touch(now):
+        if not self.peers.is_majority_reachable(now):
             self.touch_since = None
         elif self.touch_since is None:
             self.touch_since = self.world.now
@@ -707,7 +707,7 @@
         """A newcomer counts from now on."""
         self.outcomes["newcomers"] += 1
         at, fence = self.let_in.get(host.node.me.id, (0.0, 0))
-        if host.handover.gave_up:
+        if host.handover.timed_out:
             self.outcomes["newcomers untaught"] += 1
             return
         if host.role_leases.fencing_tokens()[KEY] < fence:
@@ -929,7 +929,7 @@
 
 
 class _JoinsEmpty(VoterCatchUp):
-    def __init__(self, me: str, has_counted: bool) -> None:
+    def __init__(self, me: str, was_caught_up: bool) -> None:
         super().__init__(me, True)
 
     def set_voters(self, voters: Any, now: float) -> None:
@@ -941,7 +941,7 @@
         ready = self.ready
         super().set_voters(voters, now)
         if ready and self.is_catching_up:
-            self.ready = self.counts = True
+            self.ready = self.is_caught_up = True
 
 
 class _AnswersBehind(VoterCatchUp):
@@ -959,9 +959,9 @@
 
 class _AnswersUntaught(VoterCatchUp):
     def answer(self, learn: StateTransferRequest, *args: Any) -> StateTransferReply | None:
-        counts, self.counts = self.counts, True
+        counts, self.is_caught_up = self.is_caught_up, True
         told = super().answer(learn, *args)
-        self.counts = counts
+        self.is_caught_up = counts
         return told
 
 
@@ -1023,13 +1023,13 @@
 
 class _ForgetsEpochs(LeavingRecords):
     def _is_on_disk(self, record: ServerRecord) -> bool:
-        return self.on_disk.get(record.id, (-1, 0))[0] >= PHASE_ORDER[record.phase]
+        return self.saved_progress.get(record.id, (-1, 0))[0] >= PHASE_ORDER[record.phase]
 
 
 class _GrantsBeforeDisk(LeaseService):
-    def _carry_out(self, outgoing: list[Outgoing]) -> None:
+    def _send_after_write(self, outgoing: list[Outgoing]) -> None:
         self.peers.post_all(outgoing)
-        super()._carry_out([])
+        super()._send_after_write([])
 
 
 class _NotesNoFence(RoleLeaseVoter):
--- a/crowseam/model_checks/operations/check.py
+++ b/crowseam/model_checks/operations/check.py
@@ -21,7 +21,7 @@
 from unittest import mock
 
 from crowseam import clock, logs
-from crowseam.controller.durable_state import COUNTED_FOR_OPERATIONS_KEY
+from crowseam.controller.durable_state import CAUGHT_UP_ON_OPERATIONS_KEY
 from crowseam.model_checks.operations.machines import KEY_WINDOW_S, Controller, GatewayMachine
 from crowseam.model_checks.operations.world import World
 from crowseam.model_checks.schedules import Report, Violation, play
@@ -61,7 +61,7 @@
     def play(self) -> None:
         """Play it to its end; raises Violation."""
         world = self.world
-        with mock.patch.object(clock, "monotonic", lambda: world.now), mock.patch.object(logs, "say", _say_nothing):
+        with mock.patch.object(clock, "monotonic", lambda: world.now), mock.patch.object(logs, "emit", _say_nothing):
             self._restart_all()
             self._flow()
             world.run_until(0.3)
@@ -223,9 +223,9 @@
         Until then it counts as lost: the pages give it longer than this takes.
         """
         is_voter = self.world.voters.get(controller.addr) == controller.disk.voter_id
-        noted = controller.disk.notes.get(COUNTED_FOR_OPERATIONS_KEY, b"").decode()
+        noted = controller.disk.notes.get(CAUGHT_UP_ON_OPERATIONS_KEY, b"").decode()
         has_learned = noted == controller.disk.voter_id and controller.process is not None
-        return is_voter and has_learned and controller.service.catch_up.counts
+        return is_voter and has_learned and controller.service.catch_up.is_caught_up
 
     def _return_empty(self, controller: Controller) -> None:
         if controller.process is None:
--- a/crowseam/model_checks/operations/machines.py
+++ b/crowseam/model_checks/operations/machines.py
@@ -8,7 +8,7 @@
 from crowseam.configuration.model import Configuration
 from crowseam.configuration.routing import Table
 from crowseam.consensus.messages import Voter
-from crowseam.controller.durable_state import COUNTED_FOR_OPERATIONS_KEY, StoredRecord
+from crowseam.controller.durable_state import CAUGHT_UP_ON_OPERATIONS_KEY, StoredRecord
 from crowseam.controller.operation_service import OperationService
 from crowseam.discovery.server_record import ServerRecord
 from crowseam.gateway.gateway import Gateway
@@ -116,8 +116,8 @@
     def __init__(self, process: Process, disk: Disk, is_founder: bool) -> None:
         self.process = process
         self.disk = disk
-        self.has_counted_for_operations = is_founder or (
-            disk.notes.get(COUNTED_FOR_OPERATIONS_KEY, b"").decode() == disk.voter_id
+        self.was_caught_up_on_operations = is_founder or (
+            disk.notes.get(CAUGHT_UP_ON_OPERATIONS_KEY, b"").decode() == disk.voter_id
         )
         self.unsynced: list[list[StoredRecord]] = []
 
--- a/crowseam/model_checks/operations/mutants.py
+++ b/crowseam/model_checks/operations/mutants.py
@@ -156,22 +156,22 @@
     def set_voters(self, voters: Any, now: float) -> None:
         super().set_voters(voters, now)
         self.ready = True
-        self.counts = self._is_voter()
+        self.is_caught_up = self._is_voter()
 
 
 class _LearnsOfOne(catch_up.OperationCatchUp):
-    def _count(self, voter_id: str) -> bool:
-        super()._count(voter_id)
+    def _record_answer(self, voter_id: str) -> bool:
+        super()._record_answer(voter_id)
         return True
 
 
 class _TeachesUnlearned(catch_up.OperationCatchUp):
     def answer(self, *args: Any) -> Any:
-        counts, self.counts = self.counts, True
+        counts, self.is_caught_up = self.is_caught_up, True
         try:
             return super().answer(*args)
         finally:
-            self.counts = counts
+            self.is_caught_up = counts
 
 
 class _TeachesBehind(catch_up.OperationCatchUp):
--- a/crowseam/model_checks/orders/check.py
+++ b/crowseam/model_checks/orders/check.py
@@ -35,10 +35,10 @@
 from crowseam.gateway.controller_session import ControllerSession
 from crowseam.model_checks.schedules import Mutant, Report, Violation, play
 from crowseam.simulator.actors import http_client
-from crowseam.simulator.actors.operator import FINAL
+from crowseam.simulator.actors.operator import FINAL_STATUSES
 from crowseam.simulator.machine import Machine
 from crowseam.simulator.scenario.day import Deployment, Route, Service, Zone
-from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.link_faults import LinkFault
 from crowseam.simulator.world.loop import World
 from crowseam.simulator.world.network import Network
 from crowseam.simulator.world.patches import simulated_environment as worn
@@ -71,11 +71,11 @@
         return f"{self.method} {self.ver:08x} on {self.parent:08x}"
 
 
-class OneWay(Trouble):
+class OneWay(LinkFault):
     """A cut of what goes from `one` to `other`; the way back is free."""
 
-    def touches(self, a: str, b: str) -> bool:
-        return a in self.one and (b not in self.one if self.other is None else b in self.other)
+    def affects(self, a: str, b: str) -> bool:
+        return a in self.group and (b not in self.group if self.peers is None else b in self.peers)
 
 
 class Box(Machine):
@@ -88,8 +88,8 @@
     def roles(self, asked: str) -> list[str]:
         return [self.role]
 
-    def _begin(self, role: str, process: Any, bootstrap: bool) -> None:
-        super()._begin(role, process, bootstrap)
+    def _launch(self, role: str, process: Any, bootstrap: bool) -> None:
+        super()._launch(role, process, bootstrap)
         if (daemon := self.daemons.get(role)) is not None:
             self.simulation.watch(self, daemon)
 
@@ -109,7 +109,7 @@
         self.timing, self.memory = timing, memory
         self.deployment = Deployment([Zone("home")], [Service("menu", 0)], [Route("r", 0.0, "menu")])
         self.network = Network(self.world, lambda a, b: 0.001, lambda ip: "home")
-        self.world.outside.loop.network = self.network
+        self.world.environment.loop.network = self.network
         self.outcomes: Counter = Counter()
         self.controllers = [Box(self, f"r{n}", f"10.1.0.{n + 5}", "controller", n < disks) for n in range(controllers)]
         self.gateways = [Box(self, f"d{n}", f"10.2.0.{n + 5}", "gateway", False) for n in range(gateways)]
@@ -135,12 +135,12 @@
 
     @property
     def events(self) -> int:
-        return self.world.fired
+        return self.world.callbacks_run
 
     # What machines ask of a cell
 
     def later(self, delay: float, callback: Callable, *args: object) -> None:
-        self.world.at(self.world.now + delay, self.world.outside, callback, args)
+        self.world.schedule(self.world.now + delay, self.world.environment, callback, args)
 
     def say(self, event: str, **fields: object) -> None:
         """What a daemon logs is not kept."""
@@ -162,7 +162,7 @@
     def watch(self, box: Box, daemon: Any) -> None:
         """See what a new process does."""
         if box.role == "gateway":
-            return self._watch_gateway(f"{box.name}/{box.lives['gateway']}", daemon)
+            return self._watch_gateway(f"{box.name}/{box.incarnations['gateway']}", daemon)
         daemon.node._context.timing = self.timing
         daemon.lease_service.tick = lambda *_: None  # nothing is lent, and duties are two fifths of the time
         if self.memory is not None:
@@ -270,7 +270,7 @@
             if answer is not None and answer.status == 200:
                 order.under_way -= 1
                 return self._acked(order)
-            if answer is not None and answer.status in FINAL:
+            if answer is not None and answer.status in FINAL_STATUSES:
                 order.under_way -= 1
                 return self._refused(order, answer.status)
             self.outcomes["unclear"] += 1
@@ -355,15 +355,15 @@
         """For the next `span` s nothing is promised in time."""
         self.troubled_at = max(self.troubled_at, self.now + span)
 
-    def cut(self, trouble: Trouble, span: float) -> None:
+    def cut(self, trouble: LinkFault, span: float) -> None:
         self.trouble(span)
-        self.network.troubles.append(trouble)
+        self.network.link_faults.append(trouble)
         self.later(span, self._mend, trouble)
 
-    def _mend(self, trouble: Trouble) -> None:
-        if trouble in self.network.troubles:
-            self.network.troubles.remove(trouble)
-            self.network.look()
+    def _mend(self, trouble: LinkFault) -> None:
+        if trouble in self.network.link_faults:
+            self.network.link_faults.remove(trouble)
+            self.network.resume_links()
 
     def kill(self, box: Box, span: float) -> None:
         self.trouble(span)
@@ -428,7 +428,7 @@
             if self.long and step == self.steps // 2:
                 self._many()
         fleet.at_answer = fleet.on_ack = None
-        for trouble in list(fleet.network.troubles):
+        for trouble in list(fleet.network.link_faults):
             fleet._mend(trouble)
         fleet.run(max(0.0, fleet.troubled_at - fleet.now) + CALM)
         self._end()
@@ -559,7 +559,7 @@
         # Operators reach it all the same, mostly.
         part = rng.choice((1.0, 0.6))
         others = None if rng.random() < 0.2 else frozenset(ip for ip in ips if rng.random() < part)
-        kind = rng.choice((Trouble, OneWay, OneWay))
+        kind = rng.choice((LinkFault, OneWay, OneWay))
         ends = (frozenset((one.ip,)), others)
         if kind is OneWay and others and rng.random() < 0.5:
             ends = (others, frozenset((one.ip,)))
@@ -569,7 +569,7 @@
         """What a controller says and hears is slow; it is asked all the time meanwhile."""
         fleet, rng, box = self.world, self.rng, self._controller()
         peers = frozenset(other.ip for other in fleet.controllers)
-        harm = Trouble(frozenset((box.ip,)), peers, delay=rng.choice((0.02, 0.1, 0.3)), loss=0.02)
+        harm = LinkFault(frozenset((box.ip,)), peers, delay=rng.choice((0.02, 0.1, 0.3)), loss=0.02)
         fleet.cut(harm, rng.choice((1.0, 5.0)))
         for step in range(10):
             fleet.later(0.06 * step, fleet.read, box)
@@ -580,7 +580,7 @@
         fleet, rng = self.world, self.rng
         operators = frozenset(process.ip for process in fleet.operators if rng.random() < 0.7)
         ends = (frozenset((self._controller().ip,)), operators)
-        fleet.cut(rng.choice((Trouble, OneWay))(*ends, cut=True), rng.choice((0.3, 1.5, 4.0)))
+        fleet.cut(rng.choice((LinkFault, OneWay))(*ends, cut=True), rng.choice((0.3, 1.5, 4.0)))
 
     def _kill(self) -> None:
         self.world.kill(self._controller(), self.rng.choice((0.05, 0.5, 3.0)))
@@ -656,7 +656,7 @@
         if rng.random() < 0.3:
             fleet.kill(gateway, 0.5)
         else:
-            fleet.cut(Trouble(frozenset((gateway.ip,)), cut=True), rng.choice((1.0, 4.0)))
+            fleet.cut(LinkFault(frozenset((gateway.ip,)), cut=True), rng.choice((1.0, 4.0)))
 
     def _calm(self) -> None:
         self.world.run(max(0.0, self.world.troubled_at - self.world.now) + CALM)
@@ -737,7 +737,7 @@
 
 def _forgetting(self: State, slot: int, entry: object) -> None:
     _apply(self, slot, entry)
-    self.recent, self.earlier, self.forgotten = {}, {}, 0
+    self.recent, self.earlier, self.highest_forgotten_ver = {}, {}, 0
 
 
 def _short(self: State) -> None:
@@ -750,11 +750,11 @@
 
 
 def _never_unsure(self: State, change: Any, tag: str) -> Any:
-    was, self.forgotten = self.forgotten, 0
+    was, self.highest_forgotten_ver = self.highest_forgotten_ver, 0
     try:
         return _propose(self, change, tag)
     finally:
-        self.forgotten = was
+        self.highest_forgotten_ver = was
 
 
 def _refused_ahead(self: State, change: Any, tag: str) -> Any:
--- a/crowseam/operations/catch_up.py
+++ b/crowseam/operations/catch_up.py
@@ -37,8 +37,8 @@
 class OperationCatchUp(MajorityCatchUp):
     """Both sides of the record transfer at one controller. Times are seconds of the monotonic clock."""
 
-    def __init__(self, me: str, has_counted: bool, max_wait_s: float) -> None:
-        super().__init__(me, has_counted, RETRANSMIT_INTERVAL_S, max_wait_s, learns_before_joining=False)
+    def __init__(self, me: str, was_caught_up: bool, max_wait_s: float) -> None:
+        super().__init__(me, was_caught_up, RETRANSMIT_INTERVAL_S, max_wait_s, learns_before_joining=False)
         self._positions: dict[str, int] = {}  # next position to request, by voter id
         self._transfers: dict[str, _RecordTransfer] = {}  # by address
 
@@ -83,7 +83,7 @@
         `log_slot` and `voters_slot` are those of this controller. Returns None if this voter has to catch up itself,
         or if either side does not know the latest change of voters that the other one knows.
         """
-        if not self.counts or request.log_slot < voters_slot or log_slot < request.voters_slot:
+        if not self.is_caught_up or request.log_slot < voters_slot or log_slot < request.voters_slot:
             return None
         transfer = self._transfers.get(addr)
         position = request.position
@@ -120,7 +120,7 @@
 
     def is_complete_with(self, part: OperationsLearned) -> bool:
         """Count a voter's last part; return whether a majority is complete, provided that all parts are durable."""
-        return not part.next_position and self.is_expected(part) and self._count(part.voter_id)
+        return not part.next_position and self.is_expected(part) and self._record_answer(part.voter_id)
 
     def _begin(self) -> None:
         self._positions = {}
--- a/crowseam/quorum.py
+++ b/crowseam/quorum.py
@@ -1,8 +1,8 @@
-"""Majorities, on which everything rests that machines agree on or confirm."""
+"""The size of a majority of the voters."""
 
 from __future__ import annotations
 
 
 def majority(count: int) -> int:
-    """Return how many of `count` voters are more than half."""
+    """Return the smallest number of voters that is more than half of `count`."""
     return count // 2 + 1
--- a/crowseam/settings.py
+++ b/crowseam/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process, parsed and checked."""
+"""Parsing and validation of a process's settings file."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 
 import msgspec
 
-VARIABLE = "CROWSEAM_BOOT"  # of the environment: the path of the settings file
-PORT_MOST = 65535
-_TIME = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s)")
+PATH_VARIABLE = "CROWSEAM_BOOT"  # environment variable with the path of the settings file
+MAX_PORT = 65535
+_DURATION = re.compile(r"(\d{1,9}(?:\.\d{1,6})?)(ms|s)")
 
 
 class SettingsError(Exception):
-    """The settings can't be used; the text names the field."""
+    """The settings are invalid; the message names the field."""
 
 
-def seconds(text: str, field: str) -> float:
-    """A time as written in settings, `1500ms` or `2.5s`, in seconds. Raises SettingsError."""
-    match = _TIME.fullmatch(text)
+def parse_duration_s(text: str, field: str) -> float:
+    """Parse a duration such as `1500ms` or `2.5s`; return seconds. Raises SettingsError."""
+    match = _DURATION.fullmatch(text)
     if match is None:
         raise SettingsError(f"{field}: {text!r} is not a number followed by ms or s")
     return float(match[1]) * (0.001 if match[2] == "ms" else 1.0)
 
 
 class Bind(msgspec.Struct, frozen=True):
-    """Addresses (ip:port) of what the role serves: requests, readiness, control calls."""
+    """Addresses (ip:port) on which the role listens: for requests, readiness checks and control calls."""
 
     http: str = ""
     readyz: str = ""
@@ -33,7 +33,7 @@
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """What the process may use: cores, MB, descriptors, Mbit/s."""
+    """Resource limits of the process: cores, MB, file descriptors, Mbit/s."""
 
     cpu: float = 1.0
     ncpu: int = 1
@@ -44,14 +44,14 @@
 
 
 class Survive(msgspec.Struct, frozen=True):
-    """What may be lost at once while all rules still hold."""
+    """The number of simultaneous failures that the system tolerates."""
 
     nodes: int = 1
     zones: int = 0
     regions: int = 0
 
 
-TIMES = (
+DURATION_FIELDS = (
     "contact",
     "ack",
     "sync_time",
@@ -61,11 +61,11 @@
     "retry_window",
     "quota_window",
     "key_window",
-)  # of `Bounds`
+)  # fields of `Bounds` that are durations
 
 
 class Bounds(msgspec.Struct, frozen=True):
-    """The figures of the rules, as written; times through `seconds`."""
+    """Limits of the guarantees. Durations are text; parse them with `parse_duration_s`."""
 
     contact: str = "3s"
     ack: str = "5s"
@@ -83,9 +83,10 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """One process's settings. Fields that are not known are ignored.
+    """The settings of a process. Unknown fields are ignored.
 
-    az: the zone. hb: s between two heartbeats of a server, as text. datadir: the folder of the store.
+    `az` is the availability zone, `hb` the interval between heartbeats of a server (a duration as text), `datadir` the
+    directory of the store.
     """
 
     hostname: str
@@ -107,19 +108,19 @@
 
     @property
     def peer(self) -> str:
-        """The address at which a controller on this machine listens for other processes of the system."""
+        """Return the address on which a controller on this host listens for other gateways and controllers."""
         return f"{self.ip}:{self.port_range[0]}"
 
 
 def _without_nulls(value: object) -> object:
-    """The value without fields that are null: those count as left out."""
+    """Return the value without null fields, which are treated as absent."""
     if isinstance(value, dict):
-        return {name: _without_nulls(each) for name, each in value.items() if each is not None}
+        return {name: _without_nulls(item) for name, item in value.items() if item is not None}
     return value
 
 
 def parse(data: bytes) -> Settings:
-    """The settings in `data`. Raises SettingsError naming the field."""
+    """Parse and validate settings. Raises SettingsError naming the field."""
     try:
         settings = msgspec.convert(_without_nulls(msgspec.json.decode(data)), Settings)
     except msgspec.ValidationError as error:
@@ -127,24 +128,24 @@
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise SettingsError(f"not JSON: {error}") from None
     for seed in settings.seeds:
-        address(seed, "seeds")
+        parse_address(seed, "seeds")
     for name in ("http", "readyz", "ctl"):
         if text := getattr(settings.bind, name):
-            address(text, f"bind.{name}")
+            parse_address(text, f"bind.{name}")
     low, high = settings.port_range
-    if not 0 < low <= high <= PORT_MOST:
+    if not 0 < low <= high <= MAX_PORT:
         raise SettingsError(f"port_range: {low} to {high} are not ports")
-    seconds(settings.hb, "hb")
-    for name in TIMES:
-        seconds(getattr(settings.bounds, name), f"bounds.{name}")
+    parse_duration_s(settings.hb, "hb")
+    for name in DURATION_FIELDS:
+        parse_duration_s(getattr(settings.bounds, name), f"bounds.{name}")
     return settings
 
 
 def read(path: str | None = None) -> Settings:
-    """The settings from the file at `path`, or that the variable names. Raises SettingsError."""
-    path = path or os.environ.get(VARIABLE)
+    """Read the settings from the file at `path`, or the one that `PATH_VARIABLE` names. Raises SettingsError."""
+    path = path or os.environ.get(PATH_VARIABLE)
     if not path:
-        raise SettingsError(f"{VARIABLE} names no settings file")
+        raise SettingsError(f"{PATH_VARIABLE} names no settings file")
     try:
         with open(path, "rb") as file:
             data = file.read()
@@ -156,9 +157,9 @@
         raise SettingsError(f"settings {path}: {error}") from None
 
 
-def address(text: str, field: str = "address") -> tuple[str, int]:
-    """Host and port of `1.2.3.4:80`. Raises SettingsError."""
+def parse_address(text: str, field: str = "address") -> tuple[str, int]:
+    """Parse an address such as `1.2.3.4:80`; return host and port. Raises SettingsError."""
     host, _, port = text.rpartition(":")
-    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= PORT_MOST:
+    if not host or not port.isascii() or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise SettingsError(f"{field}: {text!r} is not an address and a port")
     return host, int(port)
--- a/crowseam/simulator/__init__.py
+++ b/crowseam/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator: clients, servers, disks, links and clocks on a virtual clock, round the daemons' own code."""
+"""Discrete-event simulator: runs the real daemons against simulated clients, servers, disks, links and clocks."""
--- a/crowseam/simulator/actors/__init__.py
+++ b/crowseam/simulator/actors/__init__.py
@@ -1,1 +1,1 @@
-"""The simulated environment of the system: servers, clients, the operator and the platform."""
+"""Simulated environment of the system: backend servers, clients, the operator and the platform."""
--- a/crowseam/simulator/actors/configurations.py
+++ b/crowseam/simulator/actors/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations that the operator has sent, and what they allow."""
+"""Configurations sent by the operator, and what each of them allows."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 import msgspec
 
-Items = dict[tuple[str, str], dict[str, Any]]  # of a configuration, by type and name
+Items = dict[tuple[str, str], dict[str, Any]]  # of a configuration, by (type, name)
 
 
 class SentConfiguration(msgspec.Struct):
-    """A configuration that was sent: what it allows, when it was sent and acknowledged."""
+    """A configuration that was sent: its content, and when it was sent and acknowledged."""
 
     ver: int
     parent: int
@@ -22,14 +22,17 @@
     acked_at: float | None = None
     refused: int = 0
 
-    def differs(self, body: bytes) -> bool:
-        """Whether the configuration in `body` says other than what was sent under this number."""
-        items = {(one["type"], one["meta"].get("name", "")): one for one in msgspec.json.decode(body)["objs"]}
-        return meaning(items) != (self.routes, self.keys, self.rates)
+    def differs_from(self, body: bytes) -> bool:
+        """Whether the configuration in `body` differs from the one sent with this version."""
+        items = {
+            (item_json["type"], item_json["meta"].get("name", "")): item_json
+            for item_json in msgspec.json.decode(body)["objs"]
+        }
+        return permissions(items) != (self.routes, self.keys, self.rates)
 
 
-def meaning(items: Items) -> tuple[dict, dict, dict]:
-    """What a configuration allows: services by route, tenants by key, (rate, burst) by tenant."""
+def permissions(items: Items) -> tuple[dict, dict, dict]:
+    """Return what a configuration allows: services by route, tenants by API key, and (rate, burst) by tenant."""
     routes, keys, rates = {}, {}, {}
     for (kind, name), item in items.items():
         spec = item["spec"]
--- a/crowseam/simulator/actors/http_client.py
+++ b/crowseam/simulator/actors/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP as clients, servers and operators of the simulator speak it: real bytes, parsed by a library."""
+"""HTTP/1.1 client of simulated clients, servers and operators; answers are parsed by `httptools`."""
 
 from __future__ import annotations
 
@@ -13,116 +13,118 @@
 
 @dataclass(slots=True)
 class Answer:
-    """A whole answer; `keep`: whether its connection can be used again."""
+    """A complete answer; `is_reusable`: whether its connection can be reused."""
 
     status: int
     headers: dict[bytes, bytes]
     body: bytes
-    keep: bool
+    is_reusable: bool
 
 
 class ClientConnection(asyncio.Protocol):
-    """A connection that asks, one request at a time; `done` gets the answer, None where none came whole."""
+    """A client connection with one request at a time; `on_answer` gets the answer, or None if it is incomplete."""
 
     def __init__(self) -> None:
         self.transport = None
-        self.done: Callable[[Answer | None], None] | None = None
-        self.unsolicited = 0  # bytes that belong to no request
+        self.on_answer: Callable[[Answer | None], None] | None = None
+        self.unsolicited = 0  # bytes received without a pending request
         self.parser = None
         self.headers: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """The connection is up."""
+        """Keep the transport."""
         self.transport = transport
 
     @property
-    def usable(self) -> bool:
-        """Whether another request can be sent on the connection."""
-        return self.transport is not None and not self.transport.is_closing() and not self.transport.ended
+    def is_usable(self) -> bool:
+        """Whether the connection can take another request."""
+        return self.transport is not None and not self.transport.is_closing() and not self.transport.end_received
 
-    def ask(self, data: bytes, done: Callable[[Answer | None], None]) -> None:
-        """Send a request; `done` gets the answer."""
-        self.done = done
+    def send_request(self, data: bytes, on_answer: Callable[[Answer | None], None]) -> None:
+        """Send a request; `on_answer` gets the answer."""
+        self.on_answer = on_answer
         self.parser, self.headers, self.body = httptools.HttpResponseParser(self), {}, []
         self.transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what has come; bytes without a request close the connection."""
-        if self.done is None:
+        """Parse received data; unsolicited data closes the connection."""
+        if self.on_answer is None:
             self.unsolicited += len(data)
             return self.transport.close()
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self._over(None)
+            self._finish(None)
             self.transport.close()
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """The parser has read a header field."""
+        """Parser callback: a header field."""
         self.headers[name.lower()] = value
 
     def on_body(self, body: bytes) -> None:
-        """The parser has read a part of the body."""
+        """Parser callback: a part of the body."""
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        """The parser has read a whole answer; interim ones (1xx) are passed over."""
+        """Parser callback: a complete answer; interim answers (1xx) are ignored."""
         status = self.parser.get_status_code()
         if 100 <= status < 200:
             return
-        keep = self.parser.should_keep_alive()
-        self._over(Answer(status, self.headers, b"".join(self.body), keep))
+        is_reusable = self.parser.should_keep_alive()
+        self._finish(Answer(status, self.headers, b"".join(self.body), is_reusable))
 
-    def _over(self, answer: Answer | None) -> None:
-        done, self.done = self.done, None
-        if done is not None:
-            done(answer)
+    def _finish(self, answer: Answer | None) -> None:
+        on_answer, self.on_answer = self.on_answer, None
+        if on_answer is not None:
+            on_answer(answer)
 
     def eof_received(self) -> None:
-        """The other end sends no more; the transport is to close."""
+        """Let the transport close at end of stream."""
         return None
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone: what was asked gets no answer."""
-        self._over(None)
+        """Report None for a request that is still pending."""
+        self._finish(None)
 
     def abort(self) -> None:
-        """Close without waiting for anything."""
-        self.done = None
+        """Close at once, without reporting an answer."""
+        self.on_answer = None
         if self.transport is not None:
             self.transport.abort()
 
 
-def fetch(process: Process, address: str, data: bytes, timeout: float, done: Callable[[Answer | None], None]) -> None:
-    """One call on a connection of its own; `done` gets the answer, or None after a failure or `timeout` s."""
+def fetch(
+    process: Process, address: str, data: bytes, timeout: float, on_answer: Callable[[Answer | None], None]
+) -> None:
+    """Send one request on a new connection; `on_answer` gets the answer, or None on a failure or after `timeout` s."""
     host, _, port = address.rpartition(":")
-    loop, connection, over = process.loop, ClientConnection(), False
+    loop, connection, is_finished = process.loop, ClientConnection(), False
 
-    def end(answer: Answer | None) -> None:
-        nonlocal over
-        if not over:
-            over = True
+    def finish(answer: Answer | None) -> None:
+        nonlocal is_finished
+        if not is_finished:
+            is_finished = True
             timer.cancel()
-            made.cancel()
+            connected.cancel()
             connection.abort()
-            done(answer)
+            on_answer(answer)
 
-    def up(made: asyncio.Future) -> None:
-        if over:
+    def on_connected(connected: asyncio.Future) -> None:
+        if is_finished:
             return
-        if made.cancelled() or made.exception() is not None:
-            return end(None)
-        connection.ask(data, end)
+        if connected.cancelled() or connected.exception() is not None:
+            return finish(None)
+        connection.send_request(data, finish)
 
-    made = loop.create_future()
-    timer = loop.call_later(timeout, end, None)
-    made.add_done_callback(up)
-    loop.network.dial(process, lambda: connection, host, int(port), made)
+    connected = loop.create_future()
+    timer = loop.call_later(timeout, finish, None)
+    connected.add_done_callback(on_connected)
+    loop.network.dial(process, lambda: connection, host, int(port), connected)
 
 
 def request(method: str, host: str, path: str, fields: list[tuple[str, str]], body: bytes = b"") -> bytes:
-    """The bytes of a request."""
+    """Serialize a request."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}", *(f"{name}: {value}" for name, value in fields)]
     if body or method != "GET":
         lines.append(f"Content-Length: {len(body)}")
--- a/crowseam/simulator/actors/requests.py
+++ b/crowseam/simulator/actors/requests.py
@@ -1,4 +1,4 @@
-"""Requests as clients make them and as servers have them, and the seal on an answer."""
+"""Requests as seen by clients and by servers, and the seal of an answer."""
 
 from __future__ import annotations
 
@@ -10,32 +10,35 @@
 
 
 class ServerConnection(Protocol):
-    """What a request of a server needs of the connection that brought it."""
+    """What a server's request needs from its connection."""
 
     transport: asyncio.Transport | None
-    job: ServerRequest | None
+    request: ServerRequest | None
     mute: bool
 
-    def answer(self, status: int, fields: list[tuple[str, str]], body: bytes, last: bool = False) -> None:
-        """Write an answer; `last`: and close the connection."""
+    def answer(self, status: int, fields: list[tuple[str, str]], body: bytes, closes: bool = False) -> None:
+        """Write an answer; if `closes`, close the connection afterwards."""
 
 
 def seal(server: str, attempt: str, body: bytes) -> str:
-    """What a server stamps its answer with."""
+    """Return the seal that ties an answer to its server, attempt and body."""
     return f"{server}.{attempt}.{blake2s(body, digest_size=8).hexdigest()}"
 
 
 class SimulatedRequest:
-    """What a client wants, over all its attempts."""
+    """A client's request with all of its attempts.
+
+    `owed`: it is within its tenant's quota and so counted in the metrics; `earned`: worth of its answer.
+    """
 
     __slots__ = (
         "route",
         "tenant",
         "zone",
         "client",
-        "born",
-        "ends",
-        "tries",
+        "created_at",
+        "deadline_at",
+        "attempt_count",
         "owed",
         "earned",
         "attempts",
@@ -43,25 +46,38 @@
         "refused",
         "key",
         "operation",
-        "success",
+        "success_seal",
     )
 
-    def __init__(self, route: Route, tenant: Tenant | None, zone: str, client: int, born: float, key: str) -> None:
+    def __init__(
+        self, route: Route, tenant: Tenant | None, zone: str, client: int, created_at: float, key: str
+    ) -> None:
         self.route, self.tenant, self.zone, self.client = route, tenant, zone, client
-        self.born, self.ends, self.tries = born, born + route.deadline, 0
+        self.created_at, self.deadline_at, self.attempt_count = created_at, created_at + route.deadline, 0
         self.owed, self.earned = True, 0.0
         self.attempts: list[str] = []
         self.answered_at: float | None = None
         self.refused = False
         self.key = key
-        self.operation = f"op-{zone}-{client:x}-{born:.9f}" if route.kind == "idem" else ""  # its X-Op-Key
-        self.success = ""  # the seal of its first good answer
+        self.operation = f"op-{zone}-{client:x}-{created_at:.9f}" if route.kind == "idem" else ""  # its X-Op-Key
+        self.success_seal = ""  # seal of its first successful answer
 
 
 class ServerRequest:
-    """One attempt of a request as a server has it."""
+    """An attempt of a request, as received by a server."""
 
-    __slots__ = ("connection", "attempt", "path", "method", "fields", "body", "ends", "running", "dropped", "fails")
+    __slots__ = (
+        "connection",
+        "attempt",
+        "path",
+        "method",
+        "fields",
+        "body",
+        "deadline_at",
+        "is_running",
+        "is_dropped",
+        "fails",
+    )
 
     def __init__(
         self,
@@ -71,8 +87,8 @@
         method: str,
         fields: dict[bytes, bytes],
         body: bytes,
-        ends: float,
+        deadline_at: float,
     ) -> None:
         self.connection, self.attempt, self.path, self.method = connection, attempt, path, method
-        self.fields, self.body, self.ends = fields, body, ends
-        self.running = self.dropped = self.fails = False
+        self.fields, self.body, self.deadline_at = fields, body, deadline_at
+        self.is_running = self.is_dropped = self.fails = False
--- a/crowseam/simulator/context.py
+++ b/crowseam/simulator/context.py
@@ -1,4 +1,4 @@
-"""The interface of the simulation that its actors use, so that they don't depend on the whole of it."""
+"""Interfaces of the simulation for its actors, so that they do not depend on the whole of it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class GatewayMachine(Protocol):
-    """What clients and the platform know of a machine with a gateway: its addresses (ip:port) and its zone."""
+    """A machine with a gateway as clients and the platform see it; addresses are ip:port."""
 
     name: str
     zone: str
@@ -23,7 +23,7 @@
 
 
 class SimulationContext(Protocol):
-    """What clients, servers and the operator need of the simulation."""
+    """What clients, servers and the operator need from the simulation."""
 
     day: Day
     deployment: Deployment
@@ -32,31 +32,31 @@
     judge: Judge
     host: str
     machines: list[GatewayMachine]
-    load_ends: float  # s, world time
-    most_factor: float  # the most that faults ever raise the load by
-    keys: dict[str, str]  # newest key of each tenant
-    old_keys: dict[str, str]  # of each tenant, a key that was taken away or is about to be
+    load_ends: float  # virtual time, in s
+    max_load_factor: float  # upper bound of `load_factor` over the day
+    keys: dict[str, str]  # current API key of each tenant
+    previous_keys: dict[str, str]  # by tenant: a key that is revoked or will be soon
 
     def later(self, delay: float, callback: Callable, *args: object) -> None:
-        """Call back after `delay` s, outside all processes."""
+        """Call back after `delay` s, outside of all simulated processes."""
 
-    def a_controller(self, rng: Random, avoid: str = "") -> str:
-        """The address of one of the controllers, another than `avoid` where there is one."""
+    def pick_controller(self, rng: Random, avoid: str = "") -> str:
+        """Return the address of a random controller, other than `avoid` if there is one."""
 
-    def acknowledged(self, version: SentConfiguration) -> None:
-        """A controller has acknowledged this configuration."""
+    def configuration_acknowledged(self, version: SentConfiguration) -> None:
+        """Handle the acknowledgement of a configuration by a controller."""
 
     def draw_tenant(self, rng: Random) -> Tenant | None:
-        """The tenant of the next request, by the tenants' weights."""
+        """Draw the tenant of the next request by the tenants' weights."""
 
-    def factor(self, route: Route, tenant: Tenant | None) -> float:
-        """The factor by which faults raise the load of this route and tenant now."""
+    def load_factor(self, route: Route, tenant: Tenant | None) -> float:
+        """Return the current factor on the load of this route and tenant."""
 
-    def work_of(self, path: str) -> float:
-        """Seconds of a server that a request of this path takes."""
+    def service_time(self, path: str) -> float:
+        """Return the mean service time of a request for this path, in s."""
 
-    def body_of(self, path: str, server: str, attempt: str) -> bytes:
-        """The body of an answer, which differs by server and attempt."""
+    def answer_body(self, path: str, server: str, attempt: str) -> bytes:
+        """Return the body of an answer, which is unique to the server and attempt."""
 
-    def left(self, server: object) -> None:
-        """This server has ended."""
+    def server_ended(self, server: object) -> None:
+        """Remove a server that has ended."""
--- a/crowseam/simulator/memory_controller.py
+++ b/crowseam/simulator/memory_controller.py
@@ -1,4 +1,4 @@
-"""The controller's daemon with its disk in memory."""
+"""The controller daemon on a simulated disk."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MemoryController(Controller):
-    """The daemon, with a disk in memory."""
+    """A controller whose store and disk writer are simulated."""
 
     writer_type = MemoryDisk
 
--- a/crowseam/simulator/observations.py
+++ b/crowseam/simulator/observations.py
@@ -1,4 +1,4 @@
-"""Observations of clients, servers and gateways that the judge keeps.  Times are world time, in s."""
+"""Observations of clients, servers and gateways that the judge keeps.  Times are virtual time, in s."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Outage(NamedTuple):
-    """A machine ("" for all) may be out of touch from `since` to `until` (s)."""
+    """A machine ("" for all) may be out of touch from `since` to `until`."""
 
     since: float
     until: float
@@ -16,7 +16,7 @@
 
 
 class Run(NamedTuple):
-    """A server of a service has begun to run an attempt that came from the gateway of a machine."""
+    """A server has begun to run an attempt that it received from the gateway of a machine."""
 
     at: float
     attempt: Attempt
@@ -25,50 +25,63 @@
 
 
 class Arrival(NamedTuple):
-    """An attempt has come to a server of a service; `again`: not the first time."""
+    """An attempt has arrived at a server; `is_retry`: it had arrived at a server before."""
 
     at: float
     service: str
-    again: bool
+    is_retry: bool
 
 
 class Drain(NamedTuple):
-    """A controller, on `machine`, has acknowledged that a server leaves."""
+    """The controller on `machine` has acknowledged the drain of a server."""
 
     at: float
     machine: str
 
 
 class Delivery(NamedTuple):
-    """When a client sent what a server ran, and when it began to run."""
+    """When a client sent an attempt and when a server began to run it."""
 
     sent_at: float
     run_at: float
 
 
 class Bucket(NamedTuple):
-    """How much of a tenant's quota was left at a time."""
+    """Level of a tenant's token bucket at a time."""
 
     level: float
     at: float
 
 
 class ProvenVersion(NamedTuple):
-    """The newest version that a gateway has proven to have, and when."""
+    """Newest version that a gateway has provably applied, and when that was observed."""
 
     version: int
     at: float
 
 
 class Attempt:
-    """One try of a client, as servers and the client see it."""
-
-    __slots__ = ("ask", "machine", "path", "method", "body", "at", "ran", "arrived", "status", "broke_off")
-
-    def __init__(self, ask: SimulatedRequest, machine: str, path: str, method: str, body: bytes, at: float) -> None:
-        self.ask, self.machine, self.at = ask, machine, at
+    """One attempt of a client's request, as observed by the client and by servers."""
+
+    __slots__ = (
+        "request",
+        "machine",
+        "path",
+        "method",
+        "body",
+        "sent_at",
+        "run_count",
+        "arrival_count",
+        "status",
+        "answer_dropped",
+    )
+
+    def __init__(
+        self, request: SimulatedRequest, machine: str, path: str, method: str, body: bytes, sent_at: float
+    ) -> None:
+        self.request, self.machine, self.sent_at = request, machine, sent_at
         self.path, self.method, self.body = path, method, body
-        self.ran = 0
-        self.arrived = 0
+        self.run_count = 0
+        self.arrival_count = 0
         self.status: int | None = None
-        self.broke_off = False  # its server has
+        self.answer_dropped = False  # by its server
--- a/crowseam/simulator/scenario/__init__.py
+++ b/crowseam/simulator/scenario/__init__.py
@@ -1,1 +1,1 @@
-"""What a day holds: its deployment, its load and its faults."""
+"""Scenarios of the simulator, called days: a deployment, its load and its faults."""
--- a/crowseam/simulator/scenario/day.py
+++ b/crowseam/simulator/scenario/day.py
@@ -1,4 +1,4 @@
-"""The file format of a day: the deployment, the load on it, and the faults. Times are in seconds."""
+"""File format of a day, which is one simulated scenario: deployment, load and faults. Times are in seconds."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 ROLES = ("controller", "gateway", "both")
-# What `crowseam.simulator.scenario.faults` can do; a test compares the two.
+# Kinds implemented by `crowseam.simulator.scenario.faults`; a test compares the two.
 FAULT_KINDS = (
     "kill",
     "stop",
@@ -47,15 +47,15 @@
 
 
 class DayError(Exception):
-    """A day that can't be played; the text names the place."""
+    """A day is invalid; the text names the field."""
 
 
 class Struct(msgspec.Struct, forbid_unknown_fields=True):
-    """A part of a day."""
+    """Base class of the parts of a day."""
 
 
 class Zone(Struct):
-    """So many machines carry traffic here; the first `controllers` serve control, `disks` have a disk."""
+    """A zone of machines with a gateway each; `controllers` of them run a controller, `disks` of these have a disk."""
 
     name: str
     machines: int = 2
@@ -66,10 +66,10 @@
 class Service(Struct):
     """The servers of one service.
 
-    `queue`: requests that one holds beyond its slots. `full`: what it does with more: `503`, `reset` or
-    `silent`. `spread`: how far speeds differ (sigma of their logarithm). `cold`: s for which one is slow
-    after its start, by `cold_by`. `idle`: s that it keeps an unused connection. `steep`: how much slower it
-    gets when all its slots are in use.
+    `queue`: requests that a server holds beyond its slots. `full`: its response to further requests: `503`,
+    `reset` or `silent`. `spread`: sigma of the logarithm of the servers' speeds. `cold`: s after a start for which
+    service times are `cold_by` times longer. `idle`: idle timeout of connections in s. `steep`: relative increase
+    of the service time when all slots are in use. `tells_load`: whether answers carry X-Server-Load.
     """
 
     name: str
@@ -90,10 +90,10 @@
 
 
 class Route(Struct):
-    """A route and what is asked on it: `rate` a second, `work` s of a server, `deadline` s of a client.
+    """A route and its load: `rate` requests per second, service time `work`, and client timeout `deadline`.
 
-    An answer within `target` s is worth `worth`, a later one `late`.  A client asks again up to `repeats`
-    times; of the kind `idem` it does so with the key of the first, at times after a good answer too.
+    An answer within `target` s is worth `worth`, a later one `late`.  A client retries up to `repeats` times.
+    Retries of the kind `idem` use the key of the first attempt; some are sent after a success, too.
     """
 
     name: str
@@ -115,12 +115,12 @@
     bytes_out: int = 800
 
     def services(self) -> dict[str, float]:
-        """The services it goes to, with their weights."""
+        """Services that receive its requests, with their weights."""
         return self.split or {self.svc: 1.0}
 
 
 class Tenant(Struct):
-    """A tenant: its part of the load, and its quota (requests a second, and on top; 0: none)."""
+    """A tenant: its weight in the load and its quota, `rate` requests per second with a `burst` (0: no quota)."""
 
     name: str
     weight: float = 1.0
@@ -130,7 +130,7 @@
 
 
 class Links(Struct):
-    """One way, in s: within a zone, between zones, and from clients and servers' callers."""
+    """One-way delays in s: within a zone, between zones, and to or from clients."""
 
     zone: float = 0.0002
     between: float = 0.0014
@@ -138,14 +138,18 @@
 
 
 class Clients(Struct):
-    """How clients behave: the part that keeps connections, and the part that ignores Retry-After."""
+    """Client behaviour: the share that reuses connections, and the share that ignores Retry-After."""
 
     keep: float = 0.5
     impatient: float = 0.1
 
 
 class Processor(Struct):
-    """What a callback costs a process, in s, and how often the machines' steady clocks err (parts of one)."""
+    """Processes and clocks of machines.
+
+    `callback`: processor time of a callback in s. `drift`: largest relative drift of monotonic clocks.
+    `skew`: largest error of wall clocks in s. `start`: mean time in s that a process takes to load.
+    """
 
     callback: float = 0.00008
     drift: float = 0.00002
@@ -154,7 +158,7 @@
 
 
 class Bounds(Struct):
-    """The figures of the rules, in s, parts of one, or counts."""
+    """Bounds that the judge checks and the daemons are configured with: s, fractions, or counts."""
 
     contact: float = 3.0
     ack: float = 5.0
@@ -189,11 +193,11 @@
 
 
 class Fault(Struct):
-    """Something that goes wrong, or a change that is made, `at` s after the load begins, for `span` s.
+    """A fault or an operator's change, `at` s after the load begins and for `span` s.
 
-    `target` is a pattern of names (of machines, services, tenants or routes, as the kind asks), of which
-    `count` are drawn (0: all); `role` says which processes of a machine; `amount` and `to` go
-    with the kind.
+    `target` is a pattern of names (machines, services, tenants or routes, depending on the kind); `count` of the
+    matches are picked at random (0: all). `role` selects the processes of a machine. The meaning of `amount` and
+    `to` depends on the kind.
     """
 
     kind: str
@@ -207,39 +211,43 @@
 
 
 class Day(Struct):
-    """One day to be played: `length` s of load, begun `settle` s after the machines."""
+    """A scenario: `length` s of load, which begins `settle` s after the machines start."""
 
     name: str
     deployment: Deployment
     length: float = 30.0
     settle: float = 8.0
-    after: float = 4.0  # s after the load in which the configuration is read back
-    load: float = 1.0  # factor of all rates
+    after: float = 4.0  # s after the load, during which the configuration is read back
+    load: float = 1.0  # factor on all rates
     faults: list[Fault] = []
-    trace: list[tuple[float, str, str]] = []  # (s, route, tenant) in place of the rates, for a replay
+    trace: list[tuple[float, str, str]] = []  # (s, route, tenant); replaces the rates, for a replay
 
 
-def check(day: Day) -> Day:
-    """Raises DayError for what can't be played."""
-    d = day.deployment
-    services = {service.name for service in d.services}
+def validate(day: Day) -> Day:
+    """Return the day if it is valid. Raises DayError."""
+    deployment = day.deployment
+    services = {service.name for service in deployment.services}
     for field, names in (
-        ("zones", [z.name for z in d.zones]),
-        ("services", [s.name for s in d.services]),
-        ("routes", [r.name for r in d.routes]),
-        ("tenants", [t.name for t in d.tenants]),
+        ("zones", [z.name for z in deployment.zones]),
+        ("services", [s.name for s in deployment.services]),
+        ("routes", [r.name for r in deployment.routes]),
+        ("tenants", [t.name for t in deployment.tenants]),
     ):
         if len(set(names)) != len(names):
             raise DayError(f"deployment.{field}: a name is given twice")
-    if not d.zones or not d.routes or not any(zone.disks and zone.controllers for zone in d.zones):
+    if (
+        not deployment.zones
+        or not deployment.routes
+        or not any(zone.disks and zone.controllers for zone in deployment.zones)
+    ):
         raise DayError("deployment: zones, routes and a controller with a disk are needed")
-    for zone in d.zones:
+    for zone in deployment.zones:
         if not 0 <= zone.controllers <= zone.machines or not 0 < zone.machines <= 4000:
             raise DayError(f"deployment.zones {zone.name}: machines and controllers don't fit")
-    for service in d.services:
+    for service in deployment.services:
         if service.full not in ("503", "reset", "silent") or service.slots < 1:
             raise DayError(f"deployment.services {service.name}: full or slots can't be used")
-    for route in d.routes:
+    for route in deployment.routes:
         if not route.services() or not set(route.services()) <= services:
             raise DayError(f"deployment.routes {route.name}: it names no service, or one that is not there")
         if route.kind not in KINDS:
@@ -255,24 +263,24 @@
 
 
 def parse(data: bytes) -> Day:
-    """The day in `data`, TOML or JSON. Raises DayError."""
+    """Parse a day from TOML or JSON. Raises DayError."""
     decode = msgspec.json.decode if data.lstrip().startswith(b"{") else msgspec.toml.decode
     try:
-        return check(decode(data, type=Day))
+        return validate(decode(data, type=Day))
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         raise DayError(str(error)) from None
 
 
 def build(values: dict[str, Any]) -> Day:
-    """The day that plain lists and dicts describe. Raises DayError."""
+    """Build a day from plain lists and dicts. Raises DayError."""
     try:
-        return check(msgspec.convert(values, Day))
+        return validate(msgspec.convert(values, Day))
     except msgspec.MsgspecError as error:
         raise DayError(str(error)) from None
 
 
 def read(path: str | Path) -> Day:
-    """The day in a file. Raises DayError."""
+    """Read a day from a file. Raises DayError."""
     try:
         data = Path(path).read_bytes()
     except OSError as error:
@@ -283,21 +291,21 @@
         raise DayError(f"{path}: {error}") from None
 
 
-def changed(day: Day, changes: dict[str, Any]) -> Day:
-    """The day with values set by dotted path: `deployment.routes.lookup.rate`, or `load`.
+def with_changes(day: Day, changes: dict[str, Any]) -> Day:
+    """Return a copy with values replaced by dotted path, such as `deployment.routes.lookup.rate` or `load`.
 
-    Entries of lists are named by their `name`. Raises DayError.
+    List entries are selected by their `name`. Raises DayError.
     """
     values = msgspec.to_builtins(day)
     for path, value in changes.items():
-        *steps, last = path.split(".")
-        at = values
+        *steps, key = path.split(".")
+        node = values
         try:
             for step in steps:
-                at = next(one for one in at if one["name"] == step) if isinstance(at, list) else at[step]
-            if isinstance(at, list) or last not in at:
-                raise KeyError(last)
+                node = next(entry for entry in node if entry["name"] == step) if isinstance(node, list) else node[step]
+            if isinstance(node, list) or key not in node:
+                raise KeyError(key)
         except (KeyError, StopIteration, TypeError):
             raise DayError(f"{path}: there is no such place in the day") from None
-        at[last] = value
+        node[key] = value
     return build(values)
--- a/crowseam/simulator/scenario/faults.py
+++ b/crowseam/simulator/scenario/faults.py
@@ -1,4 +1,7 @@
-"""The kinds of faults and changes in a day: each is applied, and reverted after its span."""
+"""Kinds of faults and changes in a day; each is applied, and reverted after its span.
+
+The names of the functions in `KINDS` are the values of `kind` in day files.
+"""
 
 from __future__ import annotations
 
@@ -12,15 +15,15 @@
 from crowseam.simulator.judge import Judge
 from crowseam.simulator.machine import Machine
 from crowseam.simulator.scenario.day import Deployment, Fault
-from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.link_faults import LinkFault
 from crowseam.simulator.world.loop import World
 from crowseam.simulator.world.network import Network
 
-RELEASE_STEP = 0.6  # s between the servers of a release
+RELEASE_STEP_S = 0.6  # between the servers of a release
 
 
 class FaultContext(Protocol):
-    """What faults change in a simulation."""
+    """What faults need from the simulation."""
 
     deployment: Deployment
     world: World
@@ -30,92 +33,94 @@
     machines: list[Machine]
     servers: dict[str, Server]
     keys: dict[str, str]
-    factors: list[tuple[str, float]]
+    load_factors: list[tuple[str, float]]
     fault_rng: Random
 
     def later(self, delay: float, callback: Callable, *args: object) -> None:
-        """Call back after `delay` s, outside all processes."""
+        """Call back after `delay` s, outside of all simulated processes."""
 
-    def another(self, server: Server, version: str = "") -> None:
-        """Start a new server in the place of this one."""
+    def replace_server(self, server: Server, version: str = "") -> None:
+        """Start a new server in place of this one."""
 
 
-def drawn(simulation: FaultContext, names: list, fault: Fault) -> list:
-    """Those that the fault hits, of things with a `name`, `zone` or `id`."""
+def select_targets(simulation: FaultContext, candidates: list, fault: Fault) -> list:
+    """Pick the targets of a fault among objects with a `name`, `id` or `zone`."""
 
-    def named(one: object) -> bool:
-        return any(fnmatchcase(str(getattr(one, field, "")), fault.target) for field in ("name", "id", "zone"))
+    def matches_pattern(candidate: object) -> bool:
+        return any(fnmatchcase(str(getattr(candidate, field, "")), fault.target) for field in ("name", "id", "zone"))
 
-    found = [one for one in names if named(one)]
-    if fault.count and len(found) > fault.count:
-        found = simulation.fault_rng.sample(found, fault.count)
-    return found
+    matches = [candidate for candidate in candidates if matches_pattern(candidate)]
+    if fault.count and len(matches) > fault.count:
+        matches = simulation.fault_rng.sample(matches, fault.count)
+    return matches
 
 
-def _machines(simulation: FaultContext, fault: Fault) -> list[Machine]:
-    able = [m for m in simulation.machines if fault.role != "controller" or m.serves_control]
-    return drawn(simulation, able, fault)
+def _target_machines(simulation: FaultContext, fault: Fault) -> list[Machine]:
+    candidates = [m for m in simulation.machines if fault.role != "controller" or m.serves_control]
+    return select_targets(simulation, candidates, fault)
 
 
-def _trouble(simulation: FaultContext, machines: list[Machine], span: float) -> None:
-    """These are not in touch; if the core is concerned, nobody is."""
-    core = any(machine.disk_image is not None for machine in machines)
+def _record_outage(simulation: FaultContext, machines: list[Machine], span: float) -> None:
+    """Tell the judge that these machines may be out of touch; if one of them has a disk, all machines may be."""
+    is_core = any(machine.disk_image is not None for machine in machines)
     now = simulation.world.now
-    simulation.judge.trouble([] if core else [m.name for m in machines], now, now + span)
+    simulation.judge.record_outage([] if is_core else [m.name for m in machines], now, now + span)
 
 
-def _servers(simulation: FaultContext, fault: Fault) -> list[Server]:
-    def hit(server: Server) -> bool:
+def _running_servers(simulation: FaultContext, fault: Fault) -> list[Server]:
+    def is_target(server: Server) -> bool:
         names = (server.id, server.service.name, server.zone)
         return server.up and server.phase == "up" and any(fnmatchcase(name, fault.target) for name in names)
 
-    found = [server for server in simulation.servers.values() if hit(server)]
-    if fault.count and len(found) > fault.count:
-        found = simulation.fault_rng.sample(found, fault.count)
-    return found
+    matches = [server for server in simulation.servers.values() if is_target(server)]
+    if fault.count and len(matches) > fault.count:
+        matches = simulation.fault_rng.sample(matches, fault.count)
+    return matches
 
 
 # Processes and machines
 
 
 def kill(simulation: FaultContext, fault: Fault) -> None:
-    """Processes are killed and started again after `span`."""
-    hit = _machines(simulation, fault)
-    _trouble(simulation, hit, fault.span)
-    for machine in hit:
+    """Kill processes and restart them after `span`."""
+    targets = _target_machines(simulation, fault)
+    _record_outage(simulation, targets, fault.span)
+    for machine in targets:
         for role in machine.roles(fault.role):
             machine.kill(role)
             simulation.later(fault.span, machine.start, role)
 
 
 def stop(simulation: FaultContext, fault: Fault) -> None:
-    """Processes get SIGTERM, and are started again `span` after they have ended."""
-    hit = _machines(simulation, fault)
+    """Send SIGTERM to processes and restart them `span` after their exit."""
+    targets = _target_machines(simulation, fault)
     if fault.role != "gateway":
-        _trouble(simulation, [m for m in hit if m.serves_control], simulation.deployment.bounds.grace + fault.span)
-    for machine in hit:
+        _record_outage(
+            simulation, [m for m in targets if m.serves_control], simulation.deployment.bounds.grace + fault.span
+        )
+    for machine in targets:
         for role in machine.roles(fault.role):
             machine.terminate(role, fault.span)
 
 
 def power(simulation: FaultContext, fault: Fault) -> None:
-    """Machines lose power for `span`; their disks remain."""
+    """Cut the power of machines for `span`; their disks remain."""
     _power(simulation, fault, False)
 
 
 def wipe(simulation: FaultContext, fault: Fault) -> None:
-    """Machines lose power for `span`, and their disks for good."""
+    """Cut the power of machines for `span`, and wipe their disks."""
     _power(simulation, fault, True)
 
 
 def _power(simulation: FaultContext, fault: Fault, wiped: bool) -> None:
-    hit = _machines(simulation, fault)
-    _trouble(simulation, hit, fault.span)
-    for machine in hit:
+    targets = _target_machines(simulation, fault)
+    _record_outage(simulation, targets, fault.span)
+    for machine in targets:
         machine.power_off()
         if wiped and machine.disk_image is not None:
             machine.disk_image.wipe()
-    simulation.later(fault.span, _power_on, simulation, hit)
+    simulation.later(fault.span, _power_on, simulation, targets)
 
 
 def _power_on(simulation: FaultContext, machines: list[Machine]) -> None:
@@ -124,32 +129,32 @@
 
 
 def freeze(simulation: FaultContext, fault: Fault) -> None:
-    """Processes stand still for `span`."""
-    hit = _machines(simulation, fault)
-    _trouble(simulation, hit, fault.span)
-    for process in [m.processes[role] for m in hit for role in m.roles(fault.role) if role in m.processes]:
+    """Freeze processes for `span`."""
+    targets = _target_machines(simulation, fault)
+    _record_outage(simulation, targets, fault.span)
+    for process in [m.processes[role] for m in targets for role in m.roles(fault.role) if role in m.processes]:
         process.frozen = True
         simulation.later(fault.span, process.thaw)
 
 
 def slow(simulation: FaultContext, fault: Fault) -> None:
-    """Processes are `amount` times slower for `span`."""
-    hit = _machines(simulation, fault)
-    _trouble(simulation, hit, fault.span)
-    for process in [m.processes[role] for m in hit for role in m.roles(fault.role) if role in m.processes]:
-        process.cost *= fault.amount
-        simulation.later(fault.span, _quicken, process, fault.amount)
+    """Make processes `amount` times slower for `span`."""
+    targets = _target_machines(simulation, fault)
+    _record_outage(simulation, targets, fault.span)
+    for process in [m.processes[role] for m in targets for role in m.roles(fault.role) if role in m.processes]:
+        process.callback_cost_s *= fault.amount
+        simulation.later(fault.span, _end_slowdown, process, fault.amount)
 
 
-def _quicken(process: object, amount: float) -> None:
-    process.cost /= amount
+def _end_slowdown(process: object, amount: float) -> None:
+    process.callback_cost_s /= amount
 
 
 def clock(simulation: FaultContext, fault: Fault) -> None:
-    """The time of day of machines jumps by `amount` s."""
-    hit = _machines(simulation, fault)
-    _trouble(simulation, hit, 0.0)
-    for machine in hit:
+    """Step the wall clock of machines by `amount` s."""
+    targets = _target_machines(simulation, fault)
+    _record_outage(simulation, targets, 0.0)
+    for machine in targets:
         machine.skew += fault.amount
         for process in machine.processes.values():
             process.skew += fault.amount
@@ -159,86 +164,88 @@
 
 
 def cut(simulation: FaultContext, fault: Fault) -> None:
-    """Machines see no other for `span`, or with `to` (a pattern) none of those; with each other they do."""
+    """Cut machines off from all others for `span`, or from those matching `to`; they still reach each other."""
     _cut(simulation, fault, "both")
 
 
 def cut_out(simulation: FaultContext, fault: Fault) -> None:
-    """As `cut`, one way: what the machines send is lost, and they hear all others."""
+    """Like `cut`, but only packets sent by the machines are lost."""
     _cut(simulation, fault, "out")
 
 
 def cut_in(simulation: FaultContext, fault: Fault) -> None:
-    """As `cut`, one way: the machines hear nothing, and all others hear them."""
+    """Like `cut`, but only packets sent to the machines are lost."""
     _cut(simulation, fault, "in")
 
 
-def _cut(simulation: FaultContext, fault: Fault, way: str) -> None:
-    hit = _machines(simulation, fault)
-    _trouble(simulation, hit, fault.span)
-    _harm(simulation, fault.span, _between(simulation, hit, fault, way))
+def _cut(simulation: FaultContext, fault: Fault, direction: str) -> None:
+    targets = _target_machines(simulation, fault)
+    _record_outage(simulation, targets, fault.span)
+    _apply_link_fault(simulation, fault.span, _link_cut(simulation, targets, fault, direction))
 
 
-def _between(simulation: FaultContext, hit: list[Machine], fault: Fault, way: str = "both") -> Trouble:
-    other = None
+def _link_cut(simulation: FaultContext, targets: list[Machine], fault: Fault, direction: str = "both") -> LinkFault:
+    peers = None
     if fault.to:
-        other = frozenset(
+        peers = frozenset(
             m.ip for m in simulation.machines if any(fnmatchcase(text, fault.to) for text in (m.name, m.zone))
         )
-    return Trouble(frozenset(m.ip for m in hit), other, cut=True, way=way)
+    return LinkFault(frozenset(m.ip for m in targets), peers, cut=True, direction=direction)
 
 
 def flap(simulation: FaultContext, fault: Fault) -> None:
-    """As `cut`, by turns of `amount` s each, cut and whole, for `span`."""
-    hit = _machines(simulation, fault)
-    _trouble(simulation, hit, fault.span)
-    trouble = _between(simulation, hit, fault)
-    for turn in range(max(1, int(fault.span / (2.0 * fault.amount)))):
-        simulation.later(2.0 * turn * fault.amount, _harm, simulation, fault.amount, trouble)
+    """Like `cut`, alternating between cut and restored every `amount` s for `span`."""
+    targets = _target_machines(simulation, fault)
+    _record_outage(simulation, targets, fault.span)
+    link_fault = _link_cut(simulation, targets, fault)
+    for cycle in range(max(1, int(fault.span / (2.0 * fault.amount)))):
+        simulation.later(2.0 * cycle * fault.amount, _apply_link_fault, simulation, fault.amount, link_fault)
 
 
 def link(simulation: FaultContext, fault: Fault) -> None:
-    """Links of machines are `amount` s slower for `span`, and lose one packet in twenty."""
-    hit = _machines(simulation, fault)
-    _trouble(simulation, hit, fault.span)
-    _harm(simulation, fault.span, Trouble(frozenset(m.ip for m in hit), delay=fault.amount, loss=0.05))
+    """Add `amount` s of delay and 5% packet loss to the links of machines for `span`."""
+    targets = _target_machines(simulation, fault)
+    _record_outage(simulation, targets, fault.span)
+    _apply_link_fault(
+        simulation, fault.span, LinkFault(frozenset(m.ip for m in targets), delay=fault.amount, loss=0.05)
+    )
 
 
-def _harm(simulation: FaultContext, span: float, trouble: Trouble) -> None:
-    simulation.network.troubles.append(trouble)
-    simulation.later(span, _mend, simulation, trouble)
+def _apply_link_fault(simulation: FaultContext, span: float, link_fault: LinkFault) -> None:
+    simulation.network.link_faults.append(link_fault)
+    simulation.later(span, _remove_link_fault, simulation, link_fault)
 
 
-def _mend(simulation: FaultContext, trouble: Trouble) -> None:
-    simulation.network.troubles.remove(trouble)
-    simulation.network.look()
+def _remove_link_fault(simulation: FaultContext, link_fault: LinkFault) -> None:
+    simulation.network.link_faults.remove(link_fault)
+    simulation.network.resume_links()
 
 
 # Disks
 
 
-def _disks(simulation: FaultContext, fault: Fault) -> list[Machine]:
-    hit = [m for m in _machines(simulation, fault) if m.disk_image is not None]
-    _trouble(simulation, hit, fault.span)
-    return hit
+def _machines_with_disk(simulation: FaultContext, fault: Fault) -> list[Machine]:
+    targets = [m for m in _target_machines(simulation, fault) if m.disk_image is not None]
+    _record_outage(simulation, targets, fault.span)
+    return targets
 
 
 def disk_hang(simulation: FaultContext, fault: Fault) -> None:
-    """Disks answer nothing for `span`."""
-    for machine in _disks(simulation, fault):
+    """Make disks hang for `span`."""
+    for machine in _machines_with_disk(simulation, fault):
         machine.disk_image.hangs_until = simulation.world.now + fault.span
 
 
 def disk_slow(simulation: FaultContext, fault: Fault) -> None:
-    """Disks are `amount` times slower for `span`."""
-    for machine in _disks(simulation, fault):
+    """Make disks `amount` times slower for `span`."""
+    for machine in _machines_with_disk(simulation, fault):
         machine.disk_image.slow = fault.amount
         simulation.later(fault.span, setattr, machine.disk_image, "slow", 1.0)
 
 
 def disk_full(simulation: FaultContext, fault: Fault) -> None:
-    """Disks refuse writes for `span`."""
-    for machine in _disks(simulation, fault):
+    """Make writes fail for `span`, as on a full disk."""
+    for machine in _machines_with_disk(simulation, fault):
         machine.disk_image.full = True
         simulation.later(fault.span, setattr, machine.disk_image, "full", False)
 
@@ -247,69 +254,69 @@
 
 
 def server_crash(simulation: FaultContext, fault: Fault) -> None:
-    """Servers end without a word; others take their places after `span` (0: none do)."""
-    for server in _servers(simulation, fault):
+    """End servers without notice; replacements start after `span` (0: none)."""
+    for server in _running_servers(simulation, fault):
         server.end()
         if fault.span:
-            simulation.later(fault.span, simulation.another, server)
+            simulation.later(fault.span, simulation.replace_server, server)
 
 
 def server_dark(simulation: FaultContext, fault: Fault) -> None:
-    """Servers neither hear nor say anything for `span`; connections to them hang."""
-    for server in _servers(simulation, fault):
-        _harm(simulation, fault.span, Trouble(frozenset((server.ip,)), cut=True))
+    """Cut servers off for `span`; connections to them hang."""
+    for server in _running_servers(simulation, fault):
+        _apply_link_fault(simulation, fault.span, LinkFault(frozenset((server.ip,)), cut=True))
 
 
 def server_flap(simulation: FaultContext, fault: Fault) -> None:
-    """Servers are silent and back by turns of `amount` s each, for `span`."""
-    for server in _servers(simulation, fault):
-        trouble = Trouble(frozenset((server.ip,)), cut=True)
-        for turn in range(int(fault.span / (2.0 * fault.amount))):
-            simulation.later(2.0 * turn * fault.amount, _harm, simulation, fault.amount, trouble)
+    """Cut servers off and restore them every `amount` s for `span`."""
+    for server in _running_servers(simulation, fault):
+        link_fault = LinkFault(frozenset((server.ip,)), cut=True)
+        for cycle in range(int(fault.span / (2.0 * fault.amount))):
+            simulation.later(2.0 * cycle * fault.amount, _apply_link_fault, simulation, fault.amount, link_fault)
 
 
 def server_grey(simulation: FaultContext, fault: Fault) -> None:
-    """Servers fail a part `amount` of their requests at once for `span`, and say that they are well."""
-    for server in _servers(simulation, fault):
-        server.grey = fault.amount
-        simulation.later(fault.span, setattr, server, "grey", 0.0)
+    """Gray failure: servers fail a share `amount` of their requests at once for `span`, but report healthy."""
+    for server in _running_servers(simulation, fault):
+        server.failure_chance = fault.amount
+        simulation.later(fault.span, setattr, server, "failure_chance", 0.0)
 
 
 def server_slow(simulation: FaultContext, fault: Fault) -> None:
-    """Servers are `amount` times slower for `span`."""
-    for server in _servers(simulation, fault):
-        server.factor = fault.amount
-        simulation.later(fault.span, setattr, server, "factor", 1.0)
+    """Make servers `amount` times slower for `span`."""
+    for server in _running_servers(simulation, fault):
+        server.slowdown = fault.amount
+        simulation.later(fault.span, setattr, server, "slowdown", 1.0)
 
 
 def lost_answers(simulation: FaultContext, fault: Fault) -> None:
-    """Servers run requests, of which a part `amount` gets no answer, for `span`."""
-    for server in _servers(simulation, fault):
-        server.lose = fault.amount
-        simulation.later(fault.span, setattr, server, "lose", 0.0)
+    """Drop a share `amount` of the servers' answers for `span`, after the requests have run."""
+    for server in _running_servers(simulation, fault):
+        server.lost_answer_chance = fault.amount
+        simulation.later(fault.span, setattr, server, "lost_answer_chance", 0.0)
 
 
 def garble(simulation: FaultContext, fault: Fault) -> None:
-    """A part `amount` of the servers' answers is none, for `span`."""
-    for server in _servers(simulation, fault):
-        server.garble = fault.amount
-        simulation.later(fault.span, setattr, server, "garble", 0.0)
+    """Make a share `amount` of the servers' answers malformed for `span`."""
+    for server in _running_servers(simulation, fault):
+        server.garbled_answer_chance = fault.amount
+        simulation.later(fault.span, setattr, server, "garbled_answer_chance", 0.0)
 
 
 def retire(simulation: FaultContext, fault: Fault) -> None:
-    """Servers leave in order, and none takes their places."""
-    for server in _servers(simulation, fault):
+    """Drain servers without replacement."""
+    for server in _running_servers(simulation, fault):
         server.drain()
 
 
 def release(simulation: FaultContext, fault: Fault) -> None:
-    """The servers are replaced one after the other by others of version `to`."""
-    for place, server in enumerate(_servers(simulation, fault)):
-        simulation.later(place * RELEASE_STEP, _replace, simulation, server, fault.to or "v2")
+    """Replace the servers one after another by servers of version `to`."""
+    for index, server in enumerate(_running_servers(simulation, fault)):
+        simulation.later(index * RELEASE_STEP_S, _replace_server, simulation, server, fault.to or "v2")
 
 
-def _replace(simulation: FaultContext, server: Server, version: str) -> None:
-    simulation.another(server, version)
+def _replace_server(simulation: FaultContext, server: Server, version: str) -> None:
+    simulation.replace_server(server, version)
     simulation.later(1.0, server.drain)
 
 
@@ -317,85 +324,85 @@
 
 
 def load(simulation: FaultContext, fault: Fault) -> None:
-    """Tenants or routes of these names (all at `*`) ask `amount` times as much for `span`."""
-    simulation.factors.append((fault.target, fault.amount))
-    simulation.later(fault.span, simulation.factors.remove, (fault.target, fault.amount))
+    """Multiply the load of the matching tenants or routes (`*`: all) by `amount` for `span`."""
+    simulation.load_factors.append((fault.target, fault.amount))
+    simulation.later(fault.span, simulation.load_factors.remove, (fault.target, fault.amount))
 
 
 def lose_zone(simulation: FaultContext, fault: Fault) -> None:
-    """All machines and servers of a zone lose power for `span`."""
+    """Cut the power of all machines and servers of a zone for `span`."""
     power(simulation, fault)
-    for server in _servers(simulation, fault):
+    for server in _running_servers(simulation, fault):
         server.end()
-        simulation.later(fault.span, simulation.another, server)
+        simulation.later(fault.span, simulation.replace_server, server)
 
 
 # Configuration
 
 
 def config_shift(simulation: FaultContext, fault: Fault) -> None:
-    """Routes go to the service `to`."""
+    """Send the requests of routes to the service `to`."""
     _change_routes(simulation, fault, 1)
 
 
 def config_race(simulation: FaultContext, fault: Fault) -> None:
-    """As config_shift, while another operator sends the same on the same version, or `amount` do."""
+    """Like `config_shift`, sent by two operators, or `amount` of them, on the same version at once."""
     _change_routes(simulation, fault, max(2, int(fault.amount)))
 
 
 def orders_lost(simulation: FaultContext, fault: Fault) -> None:
-    """A part `amount` of the answers to operators is lost for `span`; the orders come again."""
-    simulation.operator.lost = fault.amount
-    simulation.later(fault.span, setattr, simulation.operator, "lost", 0.0)
+    """Drop a share `amount` of the answers to the operator for `span`; it sends its changes again."""
+    simulation.operator.lost_answer_chance = fault.amount
+    simulation.later(fault.span, setattr, simulation.operator, "lost_answer_chance", 0.0)
 
 
-def _change_routes(simulation: FaultContext, fault: Fault, rivals: int) -> None:
+def _change_routes(simulation: FaultContext, fault: Fault, rival_count: int) -> None:
     operator, upsert = simulation.operator, {}
-    for route in drawn(simulation, simulation.deployment.routes, fault):
+    for route in select_targets(simulation, simulation.deployment.routes, fault):
         spec = operator.spec("routes", route.name)
         spec.pop("split", None)
         spec["svc"] = fault.to
         upsert["routes", route.name] = spec
-    operator.change(upsert, rivals=rivals)
+    operator.change(upsert, rival_count=rival_count)
 
 
 def config_split(simulation: FaultContext, fault: Fault) -> None:
-    """A part `amount` of the routes' requests goes to the service `to`."""
+    """Send a share `amount` of the requests of routes to the service `to`."""
     operator, upsert = simulation.operator, {}
-    for route in drawn(simulation, simulation.deployment.routes, fault):
+    for route in select_targets(simulation, simulation.deployment.routes, fault):
         spec = operator.spec("routes", route.name)
-        now = spec.pop("svc", None) or spec.pop("split")[0]["svc"]
-        spec["split"] = [{"svc": now, "wt": 1.0 - fault.amount}, {"svc": fault.to, "wt": fault.amount}]
+        current = spec.pop("svc", None) or spec.pop("split")[0]["svc"]
+        spec["split"] = [{"svc": current, "wt": 1.0 - fault.amount}, {"svc": fault.to, "wt": fault.amount}]
         upsert["routes", route.name] = spec
     operator.change(upsert)
 
 
 def config_grow(simulation: FaultContext, fault: Fault) -> None:
-    """So many routes (`amount`) that nobody asks for are added."""
-    like = next(iter(drawn(simulation, simulation.deployment.routes, fault)))
+    """Add `amount` routes that get no requests."""
+    template = next(iter(select_targets(simulation, simulation.deployment.routes, fault)))
     upsert = {}
     for number in range(int(fault.amount)):
         name = f"grown-{int(fault.at * 1000)}-{number}"
-        upsert["routes", name] = simulation.operator.spec("routes", like.name) | {"prefix": f"/{name}/"}
+        upsert["routes", name] = simulation.operator.spec("routes", template.name) | {"prefix": f"/{name}/"}
     simulation.operator.change(upsert)
 
 
 def revoke(simulation: FaultContext, fault: Fault) -> None:
-    """Tenants get a new key; the old one is taken away once clients have the new one."""
-    for tenant in drawn(simulation, simulation.deployment.tenants, fault):
+    """Give tenants a new API key; the old one is revoked once clients use the new one."""
+    for tenant in select_targets(simulation, simulation.deployment.tenants, fault):
         old = simulation.keys[tenant.name]
         new = f"{tenant.name}-{simulation.fault_rng.getrandbits(48):012x}"
-        _keys(simulation, tenant.name, [old, new])
-        simulation.later(simulation.deployment.bounds.apply + 0.5, _keys, simulation, tenant.name, [new])
+        _set_keys(simulation, tenant.name, [old, new])
+        simulation.later(simulation.deployment.bounds.apply + 0.5, _set_keys, simulation, tenant.name, [new])
 
 
-def _keys(simulation: FaultContext, tenant: str, keys: list[str]) -> None:
+def _set_keys(simulation: FaultContext, tenant: str, keys: list[str]) -> None:
     simulation.operator.change({("tenants", tenant): simulation.operator.spec("tenants", tenant) | {"apikeys": keys}})
 
 
 def quota(simulation: FaultContext, fault: Fault) -> None:
-    """Tenants get `amount` times their rate and burst."""
-    for tenant in drawn(simulation, simulation.deployment.tenants, fault):
+    """Multiply the rate and burst of tenants by `amount`."""
+    for tenant in select_targets(simulation, simulation.deployment.tenants, fault):
         spec = simulation.operator.spec("tenants", tenant.name)
         for name in ("rate_per_s", "burst"):
             spec[name] = round((spec.get(name) or 0.0) * fault.amount, 3)
@@ -403,8 +410,8 @@
 
 
 KINDS: dict[str, Callable[[FaultContext, Fault], None]] = {
-    one.__name__: one
-    for one in (
+    function.__name__: function
+    for function in (
         kill,
         stop,
         power,
--- a/crowseam/simulator/slow_links.py
+++ b/crowseam/simulator/slow_links.py
@@ -1,8 +1,8 @@
-"""A large configuration over slow links: the daemons' own code on the virtual clock.
+"""Measures how a new controller and a new gateway catch up with a large configuration over slow links.
 
-Three controllers agree on a configuration and go on changing it; then an empty controller and an empty gateway come
-up behind 2 Mbit/s.  `measure` tells how long each takes, how many bytes go over its links, and the longest
-time between two signs of life there.  `python -m crowseam.simulator.slow_links ROUTES TENANTS SERVICES` does it once.
+Three controllers agree on a configuration that keeps changing; then an empty controller and an empty gateway start
+behind 2 Mbit/s links.  `measure` returns for each the time to catch up, the bytes sent to it, and the longest interval
+between two heartbeats it received.  `python -m crowseam.simulator.slow_links ROUTES TENANTS SERVICES` runs it once.
 """
 
 from __future__ import annotations
@@ -27,18 +27,18 @@
 from crowseam.simulator.world.patches import simulated_environment
 from crowseam.transport.messages import Message, PeerHeartbeat, SessionHeartbeat, SessionOpened
 
-RATE = 250_000  # bytes/s of a slow link: 2 Mbit/s
+LINK_BANDWIDTH = 250_000  # bytes/s (2 Mbit/s)
 SEEDS = ("10.1.0.5", "10.2.0.5", "10.3.0.5")
-MEMBER, GATEWAY = "10.4.0.5", "10.1.0.9"
+NEW_CONTROLLER, NEW_GATEWAY = "10.4.0.5", "10.1.0.9"
 CONTROL_PORT = 8407
-WAIT_MOST = 240.0  # s that are waited
+MAX_WAIT_S = 240.0  # for both to catch up
 Item = dict[str, object]
 
 
 def configuration(routes: int, tenants: int, services: int, ver: int = 1, parent: int = 0) -> bytes:
-    """A whole configuration of so many items as an operator sends it; names and keys hardly repeat.
+    """Return a full configuration with the given numbers of items; its names and keys compress poorly.
 
-    The tenants have no quota: what is lent would hide what the configuration costs.
+    The tenants have no quota, as quota messages would add to the measured traffic.
     """
     rng = Random(1)
     objs = [_service(number) for number in range(services)]
@@ -68,7 +68,7 @@
 
 
 def patch(ver: int, parent: int) -> bytes:
-    """A change of one service."""
+    """Return a change of one service."""
     return json.dumps(
         {
             "ver": f"{ver:08x}",
@@ -79,33 +79,38 @@
 
 
 class MeasuredCatchUp(msgspec.Struct):
-    """What one of the two took to be up to date."""
+    """Measurements of the catch-up of one process."""
 
-    seconds: float | None = None  # None: not in time
-    bytes: int = 0  # that were sent to it in all
-    gap: float = 0.0  # s, the longest time between two signs of life
-    left: int = 0  # how often it changed its controller
+    seconds: float | None = None  # until it was up to date; None: not within MAX_WAIT_S
+    bytes: int = 0  # sent to it in total
+    gap: float = 0.0  # longest interval between two heartbeats of one sender, in s
+    left: int = 0  # number of times that it left its controller
 
 
 class SlowLinks:
-    """Three controllers, what is large, and the two that are to get it; `pause` s between changes."""
+    """Three controllers with a configuration `body`, which is changed every `change_interval_s`, and two that join."""
 
-    def __init__(self, seed: int, body: bytes, pause: float) -> None:
+    def __init__(self, seed: int, body: bytes, change_interval_s: float) -> None:
         self.world = World(seed)
-        self.body, self.pause = body, pause
-        self.network = Network(self.world, lambda a, b: 0.002, lambda ip: ip.rsplit(".", 2)[0])
-        self.network.rate = lambda a, b: RATE if {a, b} & {MEMBER, GATEWAY} else None
+        self.body, self.change_interval_s = body, change_interval_s
+        self.network = Network(self.world, lambda source, destination: 0.002, lambda ip: ip.rsplit(".", 2)[0])
+        self.network.bandwidth = (
+            lambda source, destination: LINK_BANDWIDTH
+            if {source, destination} & {NEW_CONTROLLER, NEW_GATEWAY}
+            else None
+        )
         self.caller = self.network.process("caller", "10.250.0.1")
         self.controllers: dict[str, MemoryController] = {}
         self.controller_session: ControllerSession | None = None
-        self.ver, self.taken, self.left = 0, 0, 0
-        self.signs: dict[str, dict[str, list[float]]] = {MEMBER: {}, GATEWAY: {}}  # times, by receiver and sender
-        self.heard: Counter = Counter()  # messages of each kind that came to the gateway
+        self.ver, self.accepted, self.left = 0, 0, 0
+        # By receiver and sender.
+        self.heartbeat_times: dict[str, dict[str, list[float]]] = {NEW_CONTROLLER: {}, NEW_GATEWAY: {}}
+        self.messages_received: Counter = Counter()  # by the gateway, by type
         for ip in SEEDS:
             self.start(ip, True)
 
     def _settings(self, name: str, ip: str) -> settings_file.Settings:
-        ctl = "" if ip == GATEWAY else f"{ip}:{CONTROL_PORT}"
+        ctl = "" if ip == NEW_GATEWAY else f"{ip}:{CONTROL_PORT}"
         return settings_file.Settings(
             hostname=name,
             ip=ip,
@@ -119,123 +124,130 @@
         )
 
     def start(self, ip: str, bootstrap: bool = False) -> None:
-        """Start a controller with an empty disk."""
+        """Start a controller with an empty disk at an address."""
         process = self.network.process(f"controller/{ip}", ip, offset=100.0)
 
-        def begin() -> None:
+        def launch() -> None:
             settings = msgspec.structs.replace(self._settings(ip, ip), bootstrap=bootstrap)
             controller = self.controllers[ip] = MemoryController(
                 process, settings, DiskImage(self.world.random(ip)), Random(ip)
             )
 
-            def heard(addr: str, ping: PeerHeartbeat, now: float) -> None:
-                self._sign(MEMBER, addr, now)
+            def handle_message(addr: str, ping: PeerHeartbeat, now: float) -> None:
+                self._record_heartbeat(NEW_CONTROLLER, addr, now)
                 controller._on_peer_heartbeat(addr, ping, now)
 
-            if ip == MEMBER:
-                controller._controller_messages.add(PeerHeartbeat, heard)
+            if ip == NEW_CONTROLLER:
+                controller._controller_messages.add(PeerHeartbeat, handle_message)
             process.loop.create_task(controller.start())
 
-        process.loop.call_soon(begin)
+        process.loop.call_soon(launch)
 
     def start_gateway(self) -> None:
-        """Start the part of a gateway that follows a controller."""
-        process = self.network.process("gateway", GATEWAY, offset=900.0)
+        """Start the controller session of a gateway."""
+        process = self.network.process("gateway", NEW_GATEWAY, offset=900.0)
         self.controller_session = ControllerSession(
             process.loop,
-            self._settings("gateway", GATEWAY),
+            self._settings("gateway", NEW_GATEWAY),
             Random(1),
             lambda table: None,
             lambda records, whole: None,
             lambda ids: None,
             dict,
         )
-        heard, leave = self.controller_session._on_message, self.controller_session._leave_controller
+        handle_message, leave_controller = (
+            self.controller_session._on_message,
+            self.controller_session._leave_controller,
+        )
 
-        def watched(link: object, message: Message) -> None:
-            self.heard[type(message).__name__] += 1
+        def on_message(link: object, message: Message) -> None:
+            self.messages_received[type(message).__name__] += 1
             if isinstance(message, SessionHeartbeat | SessionOpened):
-                self._sign(GATEWAY, "", clock.monotonic())
-            heard(link, message)
+                self._record_heartbeat(NEW_GATEWAY, "", clock.monotonic())
+            handle_message(link, message)
 
-        def left(*args: object) -> None:
+        def on_leave(*args: object) -> None:
             self.left += 1
-            leave(*args)
+            leave_controller(*args)
 
-        self.controller_session._on_message, self.controller_session._leave_controller = watched, left
+        self.controller_session._on_message, self.controller_session._leave_controller = on_message, on_leave
         process.loop.call_soon(self.controller_session.start)
 
-    def _sign(self, whose: str, sender: str, now: float) -> None:
-        self.signs[whose].setdefault(sender, []).append(now)
+    def _record_heartbeat(self, receiver: str, sender: str, now: float) -> None:
+        self.heartbeat_times[receiver].setdefault(sender, []).append(now)
 
-    def change(self) -> None:
-        """The next change, at the first controller: the whole configuration, then patches."""
+    def send_change(self) -> None:
+        """Send the next change to the first controller: first the full configuration, then patches."""
         body = self.body if not self.ver else patch(self.ver + 1, self.ver)
         method = "PATCH" if self.ver else "PUT"
 
-        def answered(answer: http_client.Answer | None) -> None:
+        def on_answer(answer: http_client.Answer | None) -> None:
             if answer is not None and answer.status == 200:
-                self.taken += 1
+                self.accepted += 1
                 self.ver += 1
 
         address = f"{SEEDS[0]}:{CONTROL_PORT}"
         http_client.fetch(
-            self.caller, address, http_client.request(method, address, "/-/config", [], body), 2.0, answered
+            self.caller, address, http_client.request(method, address, "/-/config", [], body), 2.0, on_answer
         )
 
     def run(self, span: float) -> None:
-        """Let `span` s go by, with changes."""
+        """Run for `span` s, with changes."""
         end = self.world.now + span
         while self.world.now < end:
-            self.change()
-            self.world.run(min(end, self.world.now + self.pause))
+            self.send_change()
+            self.world.run(min(end, self.world.now + self.change_interval_s))
 
     def measure(self) -> dict[str, MeasuredCatchUp]:
-        """What the controller and the gateway take, by role; controllers that agree come first."""
+        """Run the scenario and return the measurements by role ("controller" and "gateway")."""
         catch_ups = {"controller": MeasuredCatchUp(), "gateway": MeasuredCatchUp()}
         with simulated_environment(self.world, lambda event, **fields: None):
             self.world.run(2.0)
             self.run(3.0)
-            self.start(MEMBER)
+            self.start(NEW_CONTROLLER)
             self.start_gateway()
             began = self.world.now
-            while self.world.now < began + WAIT_MOST and None in [each.seconds for each in catch_ups.values()]:
-                self.run(self.pause)
-                self._note_up_to_date(catch_ups, self.world.now - began)
+            while self.world.now < began + MAX_WAIT_S and None in [each.seconds for each in catch_ups.values()]:
+                self.run(self.change_interval_s)
+                self._record_catch_ups(catch_ups, self.world.now - began)
             self.world.run(self.world.now + 1.0)
-        for role, ip in (("controller", MEMBER), ("gateway", GATEWAY)):
-            catch_ups[role].bytes = sum(size for (_, to), size in self.network.carried.items() if to == ip)
+        for role, ip in (("controller", NEW_CONTROLLER), ("gateway", NEW_GATEWAY)):
+            catch_ups[role].bytes = sum(size for (_, to), size in self.network.bytes_carried.items() if to == ip)
             catch_ups[role].gap = self._longest_gap(ip)
         catch_ups["gateway"].left = self.left
         return catch_ups
 
-    def _note_up_to_date(self, catch_ups: dict[str, MeasuredCatchUp], after: float) -> None:
-        """Note which of the two has a configuration that is at most one version old."""
+    def _record_catch_ups(self, catch_ups: dict[str, MeasuredCatchUp], after: float) -> None:
+        """Record the time at which a process first has a configuration at most one version behind."""
         newest = self.controllers[SEEDS[0]].machine.config.ver
-        member = self.controllers.get(MEMBER)
+        member = self.controllers.get(NEW_CONTROLLER)
         for role, holder in (("controller", member and member.machine), ("gateway", self.controller_session)):
             config = holder.config if holder is not None else EMPTY
             if catch_ups[role].seconds is None and config.ver and config.ver >= newest - 1:
                 catch_ups[role].seconds = round(after, 2)
 
     def _longest_gap(self, ip: str) -> float:
-        """Seconds between two signs of life of one sender, at the most."""
-        gaps = [b - a for times in self.signs[ip].values() for a, b in zip(times, times[1:], strict=False)]
+        """Return the longest interval between two heartbeats of one sender, in s."""
+        gaps = [
+            later - earlier
+            for times in self.heartbeat_times[ip].values()
+            for earlier, later in zip(times, times[1:], strict=False)
+        ]
         return round(max(gaps, default=0.0), 2)
 
 
 def main() -> int:
-    """Measure a configuration of the size asked for, with two changes a second."""
+    """Measure a configuration of the size given on the command line, with two changes per second."""
     body = configuration(*map(int, sys.argv[1:4]))
     began = time.monotonic()
     slow_links = SlowLinks(1, body, 0.5)
     catch_ups = slow_links.measure()
     print(
-        f"{len(body)} bytes as sent, {slow_links.taken} changes taken, {len(slow_links.world.failures)} failures, "
+        f"{len(body)} bytes sent, {slow_links.accepted} changes accepted, {len(slow_links.world.failures)} failures, "
         f"{slow_links.world.now:.0f} s of virtual time in {time.monotonic() - began:.0f} s"
     )
-    for name, one in catch_ups.items():
-        print(f"{name}: {one}")
+    for name, catch_up in catch_ups.items():
+        print(f"{name}: {catch_up}")
     return 0
 
 
--- a/crowseam/simulator/world/__init__.py
+++ b/crowseam/simulator/world/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time, links and disks, and the replacements of the daemons' clocks."""
+"""Virtual time, network and disks, and replacements for the clocks that the daemons read."""
--- a/crowseam/simulator/world/link_faults.py
+++ b/crowseam/simulator/world/link_faults.py
@@ -1,4 +1,4 @@
-"""Faults of links: cuts, delay and loss between groups of addresses."""
+"""Network faults: cuts, delay and packet loss between groups of addresses."""
 
 from __future__ import annotations
 
@@ -6,29 +6,31 @@
 
 
 @dataclass
-class Trouble:
-    """One harm to links: between `one` and `other` (addresses; None: all others).
+class LinkFault:
+    """A fault on the links between the addresses in `group` and those in `peers` (None: all other addresses).
 
-    `way` of a cut: "both"; "out", only what `one` sends is lost; "in", only what it is sent.
+    `direction` of a cut: "both"; "out": only packets sent by `group` are lost; "in": only packets sent to it.
     """
 
-    one: frozenset[str]
-    other: frozenset[str] | None = None
+    group: frozenset[str]
+    peers: frozenset[str] | None = None
     cut: bool = False
-    way: str = "both"
-    delay: float = 0.0  # s on top, one way
-    loss: float = 0.0  # chance that a packet has to be sent again
-
-    def touches(self, a: str, b: str) -> bool:
-        """Whether this harms the link between `a` and `b`."""
-        if a in self.one and b in self.one and self.other is None:
-            return False  # those that are cut off together still see each other
-        if self.other is None:
-            return a in self.one or b in self.one
-        return (a in self.one and b in self.other) or (b in self.one and a in self.other)
-
-    def blocks(self, a: str, b: str) -> bool:
-        """Whether what `a` sends to `b` is lost."""
-        if not (self.cut and self.touches(a, b)):
+    direction: str = "both"
+    delay: float = 0.0  # additional one-way delay, in s
+    loss: float = 0.0  # probability that a packet has to be retransmitted
+
+    def affects(self, source: str, destination: str) -> bool:
+        """Whether the link between `source` and `destination` is affected, in either direction."""
+        if source in self.group and destination in self.group and self.peers is None:
+            return False  # members of the group can still reach each other
+        if self.peers is None:
+            return source in self.group or destination in self.group
+        return (source in self.group and destination in self.peers) or (
+            destination in self.group and source in self.peers
+        )
+
+    def blocks(self, source: str, destination: str) -> bool:
+        """Whether packets from `source` to `destination` are lost."""
+        if not (self.cut and self.affects(source, destination)):
             return False
-        return self.way == "both" or (a in self.one) == (self.way == "out")
+        return self.direction == "both" or (source in self.group) == (self.direction == "out")
--- a/crowseam/simulator/world/patches.py
+++ b/crowseam/simulator/world/patches.py
@@ -1,4 +1,4 @@
-"""Replacements of clocks, polls and logs in the daemons' modules while a simulation runs."""
+"""Replaces clocks, `select` and log functions in the daemons' modules while a simulation runs."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class VirtualTime:
-    """Replaces the module `time`: the clocks of the process that is running."""
+    """Replacement for the module `time`, with the clocks of the running process."""
 
     perf_counter = staticmethod(perf_counter)
 
@@ -21,34 +21,34 @@
         self.world = world
 
     def monotonic(self) -> float:
-        """The steady clock of the running process, in s."""
+        """Monotonic clock of the running process, in s."""
         return self.world.current.clock(self.world.now)
 
     def time(self) -> float:
-        """The time of day as the running process has it, in s since the epoch."""
+        """Wall clock of the running process, in s since the epoch."""
         return EPOCH + self.world.now + self.world.current.skew
 
     def time_ns(self) -> int:
-        """The time of day as the running process has it, in ns since the epoch."""
+        """Wall clock of the running process, in ns since the epoch."""
         return int(self.time() * 1e9)
 
 
 def _discard(part: str, text: str, *args: object) -> None:
-    """Complaints of the network code are not kept."""
+    """Drop warnings of the network code."""
 
 
 @contextmanager
 def simulated_environment(world: World, say: Callable[..., None]) -> Iterator[None]:
-    """Within this, the daemons' code takes time from `world`, and what it logs goes to `say(event, **fields)`.
+    """Within this context the daemons read the clocks of `world`, and their log events go to `say(event, **fields)`.
 
-    Clocks, polls and log functions of the modules concerned are replaced, and put back at the end.
+    The clocks, `select` and log functions of the affected modules are replaced, and restored on exit.
     """
     virtual_time = VirtualTime(world)
     replacements = [
         (clock, "monotonic", virtual_time.monotonic),
         (clock, "time", virtual_time.time),
         (clock, "time_ns", virtual_time.time_ns),
-        (logs, "say", say),
+        (logs, "emit", say),
         (notice, "warn_rate_limited", _discard),
         (backends, "warn_rate_limited", _discard),
     ]
