--- a/crowseam/simulator/world/transport.py
+++ b/crowseam/simulator/world/transport.py
@@ -1,4 +1,4 @@
-"""One end of a connection in memory, as asyncio's transports are, and what the network code asks of its socket."""
+"""Simulated asyncio transport, and stand-ins for the socket and `select` calls that the network code makes on it."""
 
 from __future__ import annotations
 
@@ -11,50 +11,50 @@
 
 from crowseam.simulator.world.loop import Handle, Process
 
-KERNEL_BUFFER = 64 * 1024  # bytes that the kernel takes in for a peer that does not read
-HIGH_WATER = 64 * 1024  # bytes of the write buffer above which the protocol is paused
+KERNEL_BUFFER_BYTES = 64 * 1024  # kernel buffer space for data that the peer has not read
+HIGH_WATER_BYTES = 64 * 1024  # of the write buffer, above which the protocol is paused
 
 
 class PacketCarrier(Protocol):
-    """What a transport needs of the network that carries its packets."""
+    """What a transport needs from the network."""
 
-    def carry(self, sender: Transport, kind: str, data: bytes) -> None:
+    def send_packet(self, sender: Transport, kind: str, data: bytes) -> None:
         """Send a packet of a kind ("data", "end" or "reset") to the peer of `sender`."""
 
-    def answer_reset(self, gone: Transport) -> None:
-        """Reset the peer of `gone`, as its data came for an end that is closed."""
+    def send_reset(self, closed: Transport) -> None:
+        """Reset the peer of `closed`, an end which was closed when data arrived."""
 
 
 @dataclass(eq=False)
-class Resend:
-    """Packets that a cut held up and that go out once more, with those behind them."""
+class Retransmission:
+    """Packets held by a cut whose retransmission is scheduled, and packets sent after them."""
 
-    held_since: float  # s, since when the first of them waits
+    held_since: float  # time since which the first of them is held
     packets: list[tuple[Handle, str, bytes]] = field(default_factory=list)  # arrival, kind, data
 
 
 class SocketStub:
-    """What protocols ask of a transport's socket: options, and whether something is there unread."""
+    """Stand-in for the socket of a transport: its options, and a handle for `poll`."""
 
     __slots__ = ("transport",)
 
     def __init__(self, transport: Transport) -> None:
         self.transport = transport
 
-    def setsockopt(self, level: int, name: int, value: object) -> None:
-        """Take the options that matter here: TCP_USER_TIMEOUT (ms), and SO_LINGER for a reset."""
-        if level == socket.IPPROTO_TCP and name == socket.TCP_USER_TIMEOUT:
+    def setsockopt(self, level: int, option: int, value: object) -> None:
+        """Apply TCP_USER_TIMEOUT (ms), and SO_LINGER with a zero timeout for a reset on close; ignore other options."""
+        if level == socket.IPPROTO_TCP and option == socket.TCP_USER_TIMEOUT:
             self.transport.user_timeout = value / 1000.0
-        elif level == socket.SOL_SOCKET and name == socket.SO_LINGER:
-            self.transport.resets = struct.unpack("ii", value) == (1, 0)
+        elif level == socket.SOL_SOCKET and option == socket.SO_LINGER:
+            self.transport.reset_on_close = struct.unpack("ii", value) == (1, 0)
 
     def fileno(self) -> Transport:
-        """Not a number: the poll of the simulator takes the transport itself."""
+        """Return the transport itself, which `Poll` accepts in place of a file descriptor."""
         return self.transport
 
 
 class Poll:
-    """`select.poll` over the transports of the simulator."""
+    """Replacement for `select.poll` over simulated transports."""
 
     def __init__(self) -> None:
         self.watched: list[Transport] = []
@@ -64,12 +64,12 @@
         self.watched.append(transport)
 
     def poll(self, timeout: float = 0.0) -> list:
-        """The watched transports that have something to read, or have ended."""
-        return [(one, 1) for one in self.watched if one.unread or one.ended or one.closed]
+        """Return the watched transports that have unread data, are at end of stream, or are closed."""
+        return [(one, 1) for one in self.watched if one.unread or one.end_received or one.closed]
 
 
 class Select:
-    """Replaces the module `select`."""
+    """Replacement for the module `select`."""
 
     POLLIN, POLLRDHUP = 1, 0x2000
     poll = Poll
@@ -83,36 +83,36 @@
         self.network, self.process, self.local, self.remote = network, process, local, remote
         self.peer: Transport | None = None
         self.protocol: asyncio.BaseProtocol | None = None
-        self.buffered = False
-        self.closed = False  # by this end
-        self.ended = False  # the other end sends no more
-        self.wrote_end = False
-        self.lost = False  # connection_lost is due or was called
-        self.resets = False
-        self.refused = False  # the other end was closed before it could read what was sent last
-        self.paused = False
+        self.uses_buffers = False
+        self.closed = False  # closed by this end
+        self.end_received = False  # the peer has sent its end of stream
+        self.end_sent = False
+        self.lost = False  # connection_lost is scheduled or was called
+        self.reset_on_close = False
+        self.data_refused = False  # the peer was closed before it read the data sent last
+        self.reading_paused = False
         self.unread: list[bytes] = []
-        self.out = 0  # bytes sent that the peer has not read
-        self.choked = False
-        self.high, self.low = HIGH_WATER, HIGH_WATER // 4
+        self.bytes_in_flight = 0  # sent, but not yet read by the peer
+        self.writing_paused = False
+        self.high, self.low = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
         self.user_timeout: float | None = None
-        self.last_arrival = 0.0  # of what this end sent
-        self.held: list[tuple[str, bytes]] = []  # what a cut keeps from going out
+        self.last_arrival = 0.0  # arrival time of the packet sent last by this end
+        self.held_packets: list[tuple[str, bytes]] = []  # not sent because of a cut
         self.held_since = 0.0
-        self.resend: Resend | None = None  # what was held and is not yet sent again
-        self.doubted_since: float | None = None  # what was sent then arrived, and its receipt is cut off
+        self.retransmission: Retransmission | None = None  # scheduled after a cut, not yet sent
+        self.unacknowledged_since: float | None = None  # time since which acknowledgements are lost
         process.transports[self] = None
 
-    # What protocols call
+    # Called by protocols
 
     def attach(self, protocol: asyncio.BaseProtocol) -> None:
-        """The connection is up: it belongs to this protocol."""
+        """Attach the protocol once the connection is established."""
         self.protocol = protocol
-        self.buffered = isinstance(protocol, asyncio.BufferedProtocol)
+        self.uses_buffers = isinstance(protocol, asyncio.BufferedProtocol)
         protocol.connection_made(self)
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """The socket, or an address as (host, port)."""
+        """Return the socket, or the local or remote address as (host, port)."""
         if name == "socket":
             return SocketStub(self)
         if name in ("peername", "sockname"):
@@ -125,133 +125,133 @@
         return self.closed
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that were written and that the kernel has not taken in."""
-        return max(0, self.out - KERNEL_BUFFER)
+        """Number of written bytes beyond the kernel buffer."""
+        return max(0, self.bytes_in_flight - KERNEL_BUFFER_BYTES)
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         """Set the sizes (bytes) at which the protocol is paused and resumed."""
-        self.high = HIGH_WATER if high is None else high
+        self.high = HIGH_WATER_BYTES if high is None else high
         self.low = self.high // 4 if low is None else low
 
     def pause_reading(self) -> None:
-        """Keep what comes until `resume_reading`."""
-        self.paused = True
+        """Buffer received data until `resume_reading`."""
+        self.reading_paused = True
 
     def resume_reading(self) -> None:
-        """Hand on what came meanwhile, and what comes."""
-        if self.paused:
-            self.paused = False
+        """Deliver buffered data, and new data as it arrives."""
+        if self.reading_paused:
+            self.reading_paused = False
             if self.unread:
-                self.process.world.at(self.process.world.now, self.process, self._read)
+                self.process.world.schedule(self.process.world.now, self.process, self._deliver_unread)
 
     def is_reading(self) -> bool:
-        """Whether what comes is handed on."""
-        return not self.paused
+        """Whether received data is delivered to the protocol."""
+        return not self.reading_paused
 
     def can_write_eof(self) -> bool:
-        """Half-closes are possible."""
+        """Half-closing is supported."""
         return True
 
     def write(self, data: bytes) -> None:
-        """Send bytes; the protocol is paused where too many wait."""
-        if self.closed or self.wrote_end or not data:
+        """Send bytes; pause the protocol if the write buffer exceeds its high-water mark."""
+        if self.closed or self.end_sent or not data:
             return
         data = bytes(data)
-        self.out += len(data)
-        self.network.carry(self, "data", data)
-        if not self.choked and self.get_write_buffer_size() > self.high:
-            self.choked = True
+        self.bytes_in_flight += len(data)
+        self.network.send_packet(self, "data", data)
+        if not self.writing_paused and self.get_write_buffer_size() > self.high:
+            self.writing_paused = True
             self.protocol.pause_writing()
 
     def writelines(self, lines: list[bytes]) -> None:
-        """Send bytes."""
+        """Send the concatenated lines."""
         self.write(b"".join(lines))
 
     def write_eof(self) -> None:
-        """Send no more, and go on reading."""
-        if not (self.closed or self.wrote_end):
-            self.wrote_end = True
-            self.network.carry(self, "end", b"")
+        """Half-close: send end of stream, and go on reading."""
+        if not (self.closed or self.end_sent):
+            self.end_sent = True
+            self.network.send_packet(self, "end", b"")
 
     def close(self) -> None:
-        """Close this end; with unread bytes the peer is reset."""
+        """Close this end; the peer is reset if unread bytes remain."""
         if not self.closed:
             self.closed = True
-            self.network.carry(self, "reset" if self.unread or self.resets else "end", b"")
-            self._lose(None)
+            self.network.send_packet(self, "reset" if self.unread or self.reset_on_close else "end", b"")
+            self._disconnect(None)
 
     def abort(self) -> None:
         """Close this end at once."""
         if not self.lost:
             if not self.closed:
                 self.closed = True
-                self.network.carry(self, "reset" if self.unread or self.resets else "end", b"")
-            self._lose(None)
+                self.network.send_packet(self, "reset" if self.unread or self.reset_on_close else "end", b"")
+            self._disconnect(None)
 
-    def _lose(self, error: Exception | None) -> None:
+    def _disconnect(self, error: Exception | None) -> None:
         if not self.lost:
             self.lost = self.closed = True
             self.process.transports.pop(self, None)
             world = self.process.world
-            world.at(world.now, self.process, self._lost, (error,))
+            world.schedule(world.now, self.process, self._notify_lost, (error,))
 
-    def _lost(self, error: Exception | None) -> None:
+    def _notify_lost(self, error: Exception | None) -> None:
         protocol, self.protocol = self.protocol, None
         if protocol is not None:
             protocol.connection_lost(error)
 
-    # What the network calls, in the process that this end belongs to
+    # Called by the network, in the process that owns this end
 
-    def arrive(self, kind: str, data: bytes) -> None:
-        """A packet of a kind ("data", "end" or "reset") has come."""
+    def receive(self, kind: str, data: bytes) -> None:
+        """Receive a packet of a kind ("data", "end" or "reset")."""
         if self.closed or not self.process.alive:
             if kind == "data":
-                self.network.answer_reset(self)
+                self.network.send_reset(self)
             return
         if kind == "data":
             self.unread.append(data)
-            if not self.paused:
-                self._read()
+            if not self.reading_paused:
+                self._deliver_unread()
         elif kind == "end":
-            self.ended = True
+            self.end_received = True
             if not self.unread:
-                self._end()
+                self._notify_end()
         else:
-            self._lose(ConnectionResetError(errno.ECONNRESET, "reset by peer"))
+            self._disconnect(ConnectionResetError(errno.ECONNRESET, "reset by peer"))
 
-    def _read(self) -> None:
-        while self.unread and not (self.paused or self.closed):
+    def _deliver_unread(self) -> None:
+        while self.unread and not (self.reading_paused or self.closed):
             data = self.unread.pop(0)
             if self.peer is not None:
-                self.peer.taken(len(data))
-            if not self.buffered:
+                self.peer.acknowledge_read(len(data))
+            if not self.uses_buffers:
                 self.protocol.data_received(data)
                 continue
-            at = 0
-            while at < len(data) and not self.closed:
-                if self.paused:
-                    self.unread.insert(0, data[at:])
+            offset = 0
+            while offset < len(data) and not self.closed:
+                if self.reading_paused:
+                    self.unread.insert(0, data[offset:])
                     break
-                room = self.protocol.get_buffer(-1)
-                count = min(len(room), len(data) - at)
-                room[:count] = data[at : at + count]
-                at += count
-                self.protocol.buffer_updated(count)
-        if self.ended and not self.unread and not self.closed:
-            self._end()
-
-    def _end(self) -> None:
+                buffer = self.protocol.get_buffer(-1)
+                copied = min(len(buffer), len(data) - offset)
+                buffer[:copied] = data[offset : offset + copied]
+                offset += copied
+                self.protocol.buffer_updated(copied)
+        if self.end_received and not self.unread and not self.closed:
+            self._notify_end()
+
+    def _notify_end(self) -> None:
         if not self.protocol.eof_received():
             self.close()
 
-    def taken(self, size: int) -> None:
-        """The peer has read so many bytes."""
-        self.out -= size
-        if self.choked and not self.closed and self.get_write_buffer_size() <= self.low:
-            self.choked = False
+    def acknowledge_read(self, size: int) -> None:
+        """Note that the peer has read `size` bytes; resume writing below the low-water mark."""
+        self.bytes_in_flight -= size
+        if self.writing_paused and not self.closed and self.get_write_buffer_size() <= self.low:
+            self.writing_paused = False
             world = self.process.world
-            world.at(world.now, self.process, self._resume)
+            world.schedule(world.now, self.process, self._resume_writing)
 
-    def _resume(self) -> None:
+    def _resume_writing(self) -> None:
         if self.protocol is not None and not self.closed:
             self.protocol.resume_writing()
--- a/crowseam/soak/__init__.py
+++ b/crowseam/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: a fleet of real processes on loopback, with faults and changes that overlap, judged by its history."""
+"""Soak test: runs a fleet of real processes on loopback under overlapping faults and checks the recorded history."""
--- a/crowseam/soak/fleet.py
+++ b/crowseam/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: started, signalled, killed, frozen; each of its incarnations is in the history."""
+"""Starts, signals and stops the processes of a soak test; every start, signal and exit is recorded in its history."""
 
 from __future__ import annotations
 
@@ -15,31 +15,31 @@
 import msgspec
 
 import crowseam
-from crowseam.soak.history import Act, History, ProcessEvent
+from crowseam.soak.history import History, ProcessAction, ProcessEvent
 
 PORTS = {"http": 8405, "readyz": 8406, "ctl": 8407}
 ZONES = 3
 HEARTBEAT_S = 1.0
-GRACE_S = 6.0
+GRACE_PERIOD_S = 6.0
 KEY_WINDOW_S = 60.0
-KILL_AFTER_S = GRACE_S + 2.0
+KILL_AFTER_S = GRACE_PERIOD_S + 2.0
 _BOUNDS = {
     "contact": "3000ms",
     "ack": "5000ms",
     "sync_time": "4s",
     "drain": "2500ms",
-    "grace": f"{GRACE_S:g}s",
+    "grace": f"{GRACE_PERIOD_S:g}s",
     "apply": "2500ms",
     "key_window": f"{KEY_WINDOW_S:g}s",
 }
 
 
 class AddressInUseError(Exception):
-    """An address of the fleet is in use, as by another soak."""
+    """An address of the fleet is already in use, for example by another soak test."""
 
 
 class Process:
-    """One process of the fleet, in one incarnation after the other."""
+    """One process of the fleet; each restart begins a new incarnation."""
 
     def __init__(self, role: str, ip: str, folder: Path, settings: dict[str, object], history: History) -> None:
         self.role = role
@@ -51,24 +51,24 @@
         self.incarnation = 0
         self.is_frozen = False
         self._child: asyncio.subprocess.Process | None = None
-        self._expects_end = False
+        self._expects_exit = False
 
     @property
     def is_up(self) -> bool:
-        """Whether it runs."""
+        """Whether the process is running."""
         return self._child is not None and self._child.returncode is None
 
     def address(self, port: str) -> tuple[str, int]:
-        """Return one of its addresses."""
+        """Return its address for a named port."""
         return self.ip, PORTS[port]
 
     async def start(self) -> None:
-        """Begin an incarnation."""
+        """Start a new incarnation."""
         self.incarnation += 1
-        self._expects_end = self.is_frozen = False
-        file = self.folder / f"{self.role}-{self.ip}.json"
-        file.write_bytes(msgspec.json.encode(self.settings))
-        with file.with_suffix(".log").open("ab") as log:
+        self._expects_exit = self.is_frozen = False
+        settings_path = self.folder / f"{self.role}-{self.ip}.json"
+        settings_path.write_bytes(msgspec.json.encode(self.settings))
+        with settings_path.with_suffix(".log").open("ab") as log:
             self._child = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
@@ -76,53 +76,58 @@
                 self.role,
                 stdin=asyncio.subprocess.DEVNULL,
                 stderr=log,
-                env=os.environ | {"CROWSEAM_BOOT": str(file)},
+                env=os.environ | {"CROWSEAM_BOOT": str(settings_path)},
                 cwd=Path(crowseam.__file__).parents[1],
             )
-        self._note(Act.START)
+        self._record_event(ProcessAction.START)
         asyncio.get_running_loop().create_task(self._watch(self._child, self.incarnation))
 
     async def _watch(self, child: asyncio.subprocess.Process, incarnation: int) -> None:
-        code = await child.wait()
+        exit_code = await child.wait()
         if incarnation == self.incarnation:
-            is_wanted = self._expects_end
-            self._note(Act.END if is_wanted and code in (0, -signal.SIGKILL) else Act.OWN_END, f"exit code {code}")
+            is_expected = self._expects_exit
+            self._record_event(
+                ProcessAction.EXPECTED_EXIT
+                if is_expected and exit_code in (0, -signal.SIGKILL)
+                else ProcessAction.UNEXPECTED_EXIT,
+                f"exit code {exit_code}",
+            )
 
-    def _note(self, act: Act, detail: str = "") -> None:
+    def _record_event(self, act: ProcessAction, detail: str = "") -> None:
         self.history.events.append(ProcessEvent(self.name, self.incarnation, act, time.monotonic(), detail))
 
-    def _signal(self, number: signal.Signals, act: Act) -> None:
+    def _signal(self, number: signal.Signals, act: ProcessAction) -> None:
         if self._child is not None and self.is_up:
-            self._note(act)
+            self._record_event(act)
             self._child.send_signal(number)
 
     def reload(self) -> None:
         """Send SIGHUP."""
-        self._signal(signal.SIGHUP, Act.RELOAD)
+        self._signal(signal.SIGHUP, ProcessAction.RELOAD)
 
     def freeze(self) -> None:
-        """Stop it where it stands."""
+        """Suspend the process with SIGSTOP."""
         self.is_frozen = True
-        self._signal(signal.SIGSTOP, Act.FREEZE)
+        self._signal(signal.SIGSTOP, ProcessAction.FREEZE)
 
     def thaw(self) -> None:
-        """Let it go on."""
+        """Resume the process with SIGCONT."""
         self.is_frozen = False
-        self._signal(signal.SIGCONT, Act.THAW)
+        self._signal(signal.SIGCONT, ProcessAction.THAW)
 
     async def kill(self) -> None:
-        """Send SIGKILL, and wait for the end."""
-        self._expects_end = True
-        self._signal(signal.SIGKILL, Act.KILL)
+        """Send SIGKILL and wait for the exit."""
+        self._expects_exit = True
+        self._signal(signal.SIGKILL, ProcessAction.KILL)
         if self._child is not None:
             await self._child.wait()
 
     async def terminate(self) -> None:
-        """Send SIGTERM, and wait for the end; SIGKILL follows where it does not come."""
+        """Send SIGTERM and wait for the exit; send SIGKILL if the process has not exited after KILL_AFTER_S."""
         if self.is_frozen:
             self.thaw()
-        self._expects_end = True
-        self._signal(signal.SIGTERM, Act.TERMINATE)
+        self._expects_exit = True
+        self._signal(signal.SIGTERM, ProcessAction.TERMINATE)
         if self._child is None:
             return
         try:
@@ -132,13 +137,13 @@
             await self.kill()
 
     def wipe(self) -> None:
-        """Lose its disk; it must not run. The next incarnation does not belong to the first start."""
+        """Delete its data; it must not be running. The next incarnation starts without `bootstrap`."""
         shutil.rmtree(str(self.settings["datadir"]), ignore_errors=True)
         self.settings["bootstrap"] = False
 
 
 class Fleet:
-    """All processes: a gateway on each machine, a controller on the first `controllers` of them."""
+    """All processes: a gateway on each machine, and a controller on the first `controllers` machines."""
 
     def __init__(self, machines: int, controllers: int, network: int, folder: Path, history: History) -> None:
         ips = [f"127.{network}.{number % ZONES}.{number // ZONES + 5}" for number in range(machines)]
@@ -151,11 +156,11 @@
 
     @property
     def processes(self) -> list[Process]:
-        """All of them."""
+        """All controllers and gateways."""
         return [*self.controllers, *self.gateways]
 
-    def check_free(self) -> None:
-        """Raise AddressInUseError where an address of the fleet is in use: two soaks would mix."""
+    def check_addresses_free(self) -> None:
+        """Raise AddressInUseError if an address is in use: two soak tests on the same addresses would interfere."""
         for process in self.processes:
             for port, number in PORTS.items():
                 with socket.socket() as probe:
@@ -166,21 +171,21 @@
                         raise AddressInUseError(f"{process.ip}:{number}: {error.strerror}") from error
 
     async def start(self) -> None:
-        """Start all. Raises AddressInUseError."""
-        self.check_free()
+        """Start all processes. Raises AddressInUseError."""
+        self.check_addresses_free()
         await asyncio.gather(*(process.start() for process in self.processes))
 
     async def stop(self) -> None:
-        """End all, in order where that works."""
+        """Stop all processes: gateways by SIGTERM, controllers by SIGKILL."""
         for process in self.processes:
             if process.is_frozen:
                 process.thaw()
-        await _all(process.terminate() for process in self.gateways)
-        await _all(process.kill() for process in self.controllers)
+        await _gather_all(process.terminate() for process in self.gateways)
+        await _gather_all(process.kill() for process in self.controllers)
 
 
-async def _all(ends: Iterable[object]) -> None:
-    await asyncio.gather(*ends)  # type: ignore[call-overload]
+async def _gather_all(awaitables: Iterable[object]) -> None:
+    await asyncio.gather(*awaitables)  # type: ignore[call-overload]
 
 
 def _settings(role: str, ip: str, seeds: list[str], folder: Path) -> dict[str, object]:
--- a/crowseam/soak/history.py
+++ b/crowseam/soak/history.py
@@ -1,4 +1,4 @@
-"""What is seen during a soak: each call of each client, each run at each server, and what was done to processes."""
+"""Recorded history of a soak test: client calls, runs at servers, process events and configuration changes."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import msgspec
 
-CUT = 0  # in place of a status: the connection ended without a whole answer
-TIMED_OUT = -1  # in place of a status: no answer within the client's time
+DISCONNECTED = 0  # in place of a status: the connection closed before a complete response
+TIMED_OUT = -1  # in place of a status: no complete response within the client's timeout
 
 
 class Kind(Enum):
-    """How often a request may run."""
+    """Kind of a request: safe, unsafe (runs at most once), or idempotent by its key."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -19,7 +19,7 @@
 
 
 class Call(msgspec.Struct):
-    """One try of a client, from the last byte sent to the end of its answer (s of one clock)."""
+    """One attempt of a client and its outcome. Times are in s of the monotonic clock."""
 
     attempt: str
     kind: Kind
@@ -35,7 +35,7 @@
 
 
 class Run(msgspec.Struct):
-    """One run of a request at a server. `broke_off`: the server closed the connection without an answer."""
+    """One run of an attempt at a server. `broke_off`: the server closed the connection without a response."""
 
     attempt: str
     key: str
@@ -45,8 +45,8 @@
     broke_off: bool
 
 
-class Act(Enum):
-    """What is done to a process."""
+class ProcessAction(Enum):
+    """An event in the life of a process: a start, a signal sent to it, or its exit."""
 
     START = "start"
     KILL = "kill"
@@ -54,22 +54,22 @@
     FREEZE = "freeze"
     THAW = "thaw"
     RELOAD = "reload"
-    END = "end"  # it has ended after it was told to
-    OWN_END = "own_end"  # it has ended though nobody told it to
+    EXPECTED_EXIT = "end"  # exited after it was told to
+    UNEXPECTED_EXIT = "own_end"  # exited on its own
 
 
 class ProcessEvent(msgspec.Struct):
-    """One act, at one incarnation of a process."""
+    """An event of one incarnation of a process."""
 
     process: str
     incarnation: int
-    act: Act
+    act: ProcessAction
     at: float
     detail: str = ""
 
 
 class Change(msgspec.Struct):
-    """A change of the configuration that an operator sent. `outcome`: a status, 0 where no clear answer came."""
+    """A configuration change sent by the operator. `outcome`: the final status, or 0 if none was received."""
 
     version: int
     parent: int
@@ -78,7 +78,7 @@
 
 
 class History(msgspec.Struct):
-    """All of one soak."""
+    """The whole history of one soak test."""
 
     seed: int
     calls: list[Call] = []
@@ -86,4 +86,4 @@
     events: list[ProcessEvent] = []
     changes: list[Change] = []
     final_version: int | None = None
-    calm_since: float = float("inf")  # from then on nothing is done to the fleet
+    calm_since: float = float("inf")  # time after which no faults are injected
--- a/crowseam/soak/http.py
+++ b/crowseam/soak/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 for the stand-ins of a soak: just what its clients and servers need."""
+"""Minimal HTTP/1.1 for the clients and stand-in servers of a soak test."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Message(msgspec.Struct):
-    """A request or an answer: its first line, its fields by lower-case name, its body."""
+    """A request or response: first line, header fields by lower-case name, and body."""
 
     first: str
     fields: dict[str, str]
@@ -16,12 +16,12 @@
 
     @property
     def status(self) -> int:
-        """The status of an answer."""
+        """The status code of a response."""
         return int(self.first.split()[1])
 
 
 async def read(reader: asyncio.StreamReader) -> Message:
-    """Read one message. Raises asyncio.IncompleteReadError or OSError where the connection ends before."""
+    """Read one message. Raises asyncio.IncompleteReadError or OSError if the connection closes before its end."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = head.rstrip().split("\r\n")
     fields = {}
@@ -44,7 +44,7 @@
 
 
 def render(first: str, fields: dict[str, str], body: bytes = b"") -> bytes:
-    """Return the bytes of a message."""
+    """Serialize a message, with its Content-Length."""
     lines = [first, *(f"{name}: {value}" for name, value in fields.items()), f"content-length: {len(body)}"]
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
@@ -52,7 +52,7 @@
 async def call(
     address: tuple[str, int], method: str, path: str, body: bytes = b"", timeout_s: float = 1.0
 ) -> Message | None:
-    """Make one call on a connection of its own; None where no whole answer came in time."""
+    """Send one request on a new connection; return None if no complete response arrives in time."""
     writer = None
     try:
         async with asyncio.timeout(timeout_s):
--- a/crowseam/soak/operator.py
+++ b/crowseam/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of a soak: the first configuration, changes of it, and races of two."""
+"""The operator of a soak test: sends the first configuration, later changes, and concurrent changes."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from crowseam.soak.history import Change, History, Kind
 from crowseam.soak.servers import SERVICE
 
-CLEAR = (200, 400, 409, 412, 413, 422)  # answers after which a change is not sent again
-GIVE_UP_AFTER_S = 6.0
+FINAL_STATUSES = (200, 400, 409, 412, 413, 422)  # after which a change is not sent again
+CHANGE_TIMEOUT_S = 6.0
 
 
 def _route(name: str, prefix: str, kind: Kind) -> dict[str, object]:
@@ -35,56 +35,56 @@
 
 
 def first_configuration() -> dict[str, object]:
-    """Return the configuration that the fleet begins with."""
+    """Return the configuration that is applied first."""
     routes = [_route(kind.value, path.rpartition("/")[0] + "/", kind) for kind, path in PATHS.items()]
     service = {"type": "svcs", "meta": {"name": SERVICE}, "spec": {"hc_path": "/healthz", "maxconn": 400}}
     return {"ver": "00000001", "parent": "00000000", "objs": [*routes, service]}
 
 
 class Operator:
-    """Sends changes, each until a clear answer comes."""
+    """Sends configuration changes, retrying each until it gets a final status."""
 
     def __init__(self, rng: Random, fleet: Fleet, history: History) -> None:
         self.rng = rng
         self.fleet = fleet
         self.history = history
-        self.version = 0  # the newest that is known to be in force
-        self._last = 0
+        self.version = 0  # the newest version known to be in force
+        self._last_version = 0
 
-    async def begin(self) -> bool:
-        """Bring the first configuration; whether it was taken."""
+    async def apply_first_configuration(self) -> bool:
+        """Apply the first configuration; return whether it was accepted."""
         for _ in range(100):
             status = await self._send("PUT", first_configuration())
             if status == 200:
-                self._note(1, 0, 200)
+                self._record_change(1, 0, 200)
                 return True
             await asyncio.sleep(0.1)
         return False
 
-    async def change(self, racers: int = 1) -> None:
-        """Send `racers` changes on top of the same version at once."""
+    async def change(self, concurrent: int = 1) -> None:
+        """Send `concurrent` changes with the same parent version at once."""
         parent = self.version
         versions = []
-        for _ in range(racers):
-            self._last += self.rng.randint(1, 3)
-            versions.append(self._last)
-        await asyncio.gather(*(self._change(version, parent) for version in versions))
+        for _ in range(concurrent):
+            self._last_version += self.rng.randint(1, 3)
+            versions.append(self._last_version)
+        await asyncio.gather(*(self._send_change(version, parent) for version in versions))
 
-    async def _change(self, version: int, parent: int) -> None:
+    async def _send_change(self, version: int, parent: int) -> None:
         route = _route(f"extra-{version % 5}", f"/extra/{version}/", Kind.SAFE)
         body = {"ver": f"{version:08x}", "parent": f"{parent:08x}", "upsert": {"objs": [route]}, "remove": {}}
-        end = time.monotonic() + GIVE_UP_AFTER_S
+        deadline = time.monotonic() + CHANGE_TIMEOUT_S
         status = 0
-        while time.monotonic() < end:
+        while time.monotonic() < deadline:
             status = await self._send("PATCH", body)
-            if status in CLEAR:
+            if status in FINAL_STATUSES:
                 break
             await asyncio.sleep(0.1)
-        self._note(version, parent, status if status in CLEAR else 0)
+        self._record_change(version, parent, status if status in FINAL_STATUSES else 0)
 
-    def _note(self, version: int, parent: int, outcome: int) -> None:
+    def _record_change(self, version: int, parent: int, outcome: int) -> None:
         self.history.changes.append(Change(version, parent, outcome, time.monotonic()))
-        self._last = max(self._last, version)
+        self._last_version = max(self._last_version, version)
         if outcome == 200:
             self.version = max(self.version, version)
 
@@ -93,8 +93,8 @@
         answer = await http.call(controller.address("ctl"), method, "/-/config", msgspec.json.encode(body))
         return 0 if answer is None else answer.status
 
-    async def read(self) -> int | None:
-        """Return the version that the fleet has now; None where none can be had in time."""
+    async def read_version(self) -> int | None:
+        """Return the version that the controllers have now, or None if none of them answers in time."""
         for _ in range(50):
             controller = self.rng.choice(self.fleet.controllers)
             answer = await http.call(controller.address("ctl"), "GET", "/-/config")
@@ -103,8 +103,8 @@
             await asyncio.sleep(0.1)
         return None
 
-    async def learn(self) -> None:
-        """Find out what is in force, after answers that were not clear."""
-        found = await self.read()
-        if found is not None:
-            self.version = max(self.version, found)
+    async def refresh_version(self) -> None:
+        """Update `version` from the controllers, as the outcome of earlier changes may be unknown."""
+        version_read = await self.read_version()
+        if version_read is not None:
+            self.version = max(self.version, version_read)
--- a/crowseam/transport/links.py
+++ b/crowseam/transport/links.py
@@ -82,7 +82,7 @@
                     return
         except (msgspec.MsgspecError, ValueError, RecursionError) as error:
             Link.unreadable_messages += 1
-            logs.say("message_unreadable", peer=self.peer, error=error)
+            logs.emit("message_unreadable", peer=self.peer, error=error)
             self.close()
             return
         if at:
@@ -97,7 +97,7 @@
         if self.transport is None or not self.open:
             return
         if self.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
-            logs.say("slow_peer_dropped", peer=self.peer)
+            logs.emit("slow_peer_dropped", peer=self.peer)
             self.close()
         else:
             self.transport.write(frames)
--- a/crowseam/transport/protocol_check.py
+++ b/crowseam/transport/protocol_check.py
@@ -20,5 +20,5 @@
             return True
         if self._mismatched.get(peer) != theirs:
             self._mismatched[peer] = theirs
-            logs.say("protocol_mismatch", peer=peer, ours=self.ours, theirs=theirs)
+            logs.emit("protocol_mismatch", peer=peer, ours=self.ours, theirs=theirs)
         return False
--- a/fennelpoint/choice.py
+++ b/fennelpoint/choice.py
@@ -11,18 +11,14 @@
 from fennelpoint.window import LEARNING_RATE, MAX_PAUSE_S, MAX_PRESSURE
 
 RECHECK_S, MARGIN = 0.02, 3.0  # for requests that wait; recent latencies kept until the target
-# First latency, as a share of the target; weights of an answer below and above the typical latency.
-INITIAL_LATENCY, LEARN_FASTER, LEARN_SLOWER = 0.12, 0.1, 0.03
-# Share of answers beyond the tail latency; step of its adaptation; tail latencies to wait for an answer.
-TAIL_SHARE, TAIL_STEP, TIMEOUT_TAILS = 0.1, 0.1, 3.0
+INITIAL_LATENCY, LEARN_FASTER, LEARN_SLOWER = 0.12, 0.1, 0.03  # of the target; of quicker and slower answers
+TAIL_SHARE, TAIL_STEP, TIMEOUT_TAILS = 0.1, 0.1, 3.0  # answers beyond the tail; its steps; tails to wait for
 FAILURE_SLOWNESS, MAX_SLOWNESS, SLOWNESS_HALF_LIFE_S = 4.0, 6.0, 1.0  # factor of a failure; largest slowness
 FULL_PAUSE_S = 0.03  # for a backend that rejected an attempt as full
 OTHER_ZONE_FACTOR, CANDIDATES = 1.15, 16  # on the cost of another zone; backends that an ingress prefers
-# Least random part of a cost; ingresses up to which the work sent from here shows most of a backend's load.
-MIN_RANDOM, FEW_PEERS = 0.2, 4.0
+MIN_RANDOM, FEW_PEERS = 0.2, 4.0  # least random part of a cost; ingresses whose own work shows most load
 PROBES, PROBE_WAIT_S = 2, 0.05  # backends probed for a request, and how long it waits for them
-# Until a report counts half; power of its share with which a cold backend is drawn where all are cold.
-REPORT_HALF_LIFE_S, ALL_COLD_POWER = 1.0, 1.5
+REPORT_HALF_LIFE_S, ALL_COLD_POWER = 1.0, 1.5  # power of the cold share by which to draw if all are cold
 
 
 class Choice:
@@ -50,8 +46,7 @@
         return self.settings.cold_share + (1.0 - self.settings.cold_share) * grown
 
     def choose(self, task: Task, allowed: bool, now: float) -> Backend | None:
-        """Return the backend with the least cost among those that may take this request."""
-        # None where it has to wait; `task.probed` then holds the backends to probe for it, if any.
+        """Return the cheapest backend; None if the request waits, for probes of `task.probed` if any."""
         cls, usable = self.settings.classes[task.request.cls], []
         ready = self.fleet.ready if allowed else []
         if task.ran_at is not None and cls.effect is api.Effect.KEYED and cls.scope is not api.DedupScope.ALL:
@@ -62,9 +57,8 @@
         draws = sorted(
             (self.random.expovariate(max(backend.entry.weight, 1e-3)), i) for i, backend in enumerate(usable)
         )
-        # Guards against overloading cold backends as a sum over all ingresses: a cold one is sent a request
-        # only if it wins a draw by weight and then one by its cold share, and each request draws once in half
-        # a latency target. Where all are cold it wins more rarely, as requests that lose draw again.
+        # Guards cold backends against the sum of all ingresses: one has to win a draw by weight, then one by
+        # its cold share, once in half a target. Where all are cold it wins more rarely, as losers draw again.
         costs = sorted(
             (self.cost(usable[i], draw, task, now), i)
             for draw, i in draws
@@ -83,9 +77,7 @@
 
     def cost(self, backend: Backend, draw: float, task: Task, now: float) -> float:
         """Return the known work before a new request at this backend, over the backend's weight."""
-        # Work sent from here counts once for each ingress, as all read the same reports and behave alike.
-        # Guards against herding: else the backend that reported least gets all requests until it next
-        # reports.
+        # Own work counts once for each ingress, as all read the same reports; else all crowd one backend.
         weight, work, held = max(backend.entry.weight, 1e-3), self.typical[task.request.cls], self.mean_load
         held += (backend.load - held) * 0.5 ** ((now - backend.reported_at) / self.report_half_life)
         factor = 1.0 if task.probed else 1.0 + self.random_part * (draw * weight - 1.0)
@@ -94,11 +86,9 @@
         return factor * self.current_slowness(backend, now) * (in_flight + work * (1.0 + held)) / weight
 
     def current_slowness(self, backend: Backend, now: float) -> float:
-        """Return the slowness, which decays to 1."""
         return 1.0 + (backend.slowness - 1.0) * 0.5 ** ((now - backend.slowness_at) / SLOWNESS_HALF_LIFE_S)
 
     def on_failure(self, backend: Backend, now: float) -> None:
-        """Raise the slowness of a backend after a failure."""
         backend.slowness, backend.slowness_at = (
             min(MAX_SLOWNESS, max(1.0, self.current_slowness(backend, now)) * FAILURE_SLOWNESS),
             now,
@@ -106,24 +96,19 @@
 
     def timeout(self, task: Task, backend: Backend, now: float) -> float:
         """Return how long to wait for an answer; 0 means until the client's deadline."""
-        # An answer far later than nearly all others will not come. The timeout leaves time for another
-        # attempt to meet the latency target; there is none where no other attempt could, or where none is
-        # allowed.
+        # An answer far later than nearly all others will not come; wait on where no other attempt can help.
         wait = TIMEOUT_TAILS * self.tail[task.request.cls] / self.cold_share(backend, now)
-        may_retry = (
+        retry = (
             task.attempts < self.settings.max_attempts
             and self.settings.may_cancel
             and not task.request.is_uploading
             and self.settings.classes[task.request.cls].effect is not api.Effect.UNSAFE
         )
         return (
-            wait
-            if may_retry and now + wait + MARGIN * self.recent[task.request.cls] <= task.target_at
-            else 0.0
+            wait if retry and now + wait + MARGIN * self.recent[task.request.cls] <= task.target_at else 0.0
         )
 
     def on_report(self, backend: Backend, values: list[float], now: float) -> None:
-        """Take in a backend's own report of the requests that it holds."""
         loads = {
             name: value
             for name, value in zip(self.settings.report_fields, values, strict=False)
@@ -147,8 +132,7 @@
             self.tail[task.request.cls] *= 1.0 + TAIL_STEP * (late - TAIL_SHARE)
         if outcome.status is api.Status.FULL:
             backend.paused_until = now + 2 * FULL_PAUSE_S
-            # Guards against stopping all traffic for a few rejections: it takes a majority of them to shrink
-            # the window, and no sooner than an answer would show the effect of the last decrease.
+            # Only a majority of rejections shrinks the window, once an answer can show the last decrease.
             return 2.0 * MAX_PRESSURE, max(self.recent)
         elif outcome.status is api.Status.OK and task is not None and 0.0 <= outcome.latency < inf:
             cls, target, slowness, backend.failures = (
@@ -167,8 +151,7 @@
             )
             return outcome.latency / target - min(MAX_PRESSURE, self.typical[cls] / target), outcome.latency
         elif outcome.status not in (api.Status.OK, api.Status.CANCELLED, api.Status.NOT_SENT):
-            # Attempts sent before the last failure do not count: guards against avoiding a healthy backend
-            # for seconds after all its connections broke at once.
+            # Not if sent before the last failure: all connections of a healthy backend may break at once.
             if now - outcome.latency >= backend.failed_at:
                 self.on_failure(backend, now)
                 backend.failures, backend.paused_until = (
--- a/fennelpoint/control.py
+++ b/fennelpoint/control.py
@@ -1,8 +1,6 @@
 """What one ingress does about each event; the types of events and actions are in `interface.py`."""
-# A request is counted and charged (`_on_request`), held while it lacks units, a counter reply or a backend
-# (`_recheck_held`), sent (`_send`), and ended by its outcome (`_on_outcome`). Quotas are decided in
-# `quota.py`, cuts and their return in `regions.py`, the backend in `choice.py`, and how many attempts may be
-# in flight in `window.py`.
+# A request is counted (`_on_request`), sent (`_send`) or held (`_recheck_held`), and ended (`_on_outcome`).
+# Quotas are in `quota.py`, cuts in `regions.py`, backends in `choice.py`, attempts in flight in `window.py`.
 
 from __future__ import annotations
 
@@ -115,7 +113,6 @@
         self.actions += self.quotas.count(customer, now)
 
     def _start_clock(self, task: Task, now: float) -> None:
-        # Let the request's time limits count from now.
         left, margin = task.request.time_left, 2 * RECHECK_S + self.settings.tick
         task.target_at = now + min(self.settings.classes[task.request.cls].latency_target, left)
         task.latest_at = now + left - margin
@@ -155,7 +152,6 @@
         self._refuse(task, now, max(wait, customer.window / 2)) if is_late else self._hold(task, now)
 
     def _send(self, task: Task, now: float) -> bool:
-        # Send the request now if its quota, its cut, the window and a backend allow it.
         is_first = not task.is_charged
         in_quota = self.quotas.check_quota(task, self.regulator.has_failed, now) if is_first else True
         if in_quota is None or self.window.is_full(1.0 if in_quota else EXCESS_WINDOW_SHARE, now):
@@ -187,7 +183,6 @@
         return True
 
     def _hold(self, task: Task, now: float) -> None:
-        # Keep a request until it may be sent, or until its latency target or deadline can't be met any more.
         # One that reached no backend ends before half of its time, so that its client may try elsewhere.
         late_at = task.target_at - MARGIN * self.choice.recent[task.request.cls]
         task.ends_at = min(late_at, task.latest_at, inf if task.tried else task.half_at)
@@ -195,12 +190,10 @@
         self.actions += self.timers.set(TOKEN_RECHECK, min(self._due_at(task, now), task.ends_at), now)
 
     def _due_at(self, task: Task, now: float) -> float:
-        # Return when to look at a held request again: not before its bucket can hold its units.
-        # Guards the CPU: rechecks at short intervals of requests that only wait for their quota are costly.
+        # Not before its bucket can hold its units: frequent rechecks of requests short of quota are costly.
         return max(now + RECHECK_S, task.earliest, self.quotas.units_due_at(task))
 
     def _recheck_held(self, now: float) -> None:
-        # Send held requests, those with the highest worth first; end those that have no time left.
         soonest = inf
         for task in self.requests.held_by_worth():
             # A full window is checked first: guards the CPU while many requests are held.
@@ -214,8 +207,7 @@
         self.actions += self.timers.set(TOKEN_RECHECK, soonest, now)
 
     def _refuse(self, task: Task, now: float, wait: float) -> None:
-        # End a request without attempts in flight: refused if it may safely be repeated, else failed.
-        # The client is to retry when there are units for it, but not before an answer may have freed a place.
+        # Refused if it may safely be repeated: best once it has units and an answer may have freed a place.
         cls = self.settings.classes[task.request.cls]
         is_safe = self._may_send(task, now) and (
             task.ran_at is None or cls.effect is api.Effect.SAFE or cls.scope is api.DedupScope.ALL
@@ -229,7 +221,6 @@
         self.requests.end(task.request.request_id)
 
     def _may_send(self, task: Task, now: float) -> bool:
-        # Whether the effect lets this request be sent now; a keyed one that may have run only for a time.
         cls = self.settings.classes[task.request.cls]
         is_deduplicated = (
             cls.effect is api.Effect.KEYED and task.ran_at is not None and now < task.ran_at + cls.dedup_span
@@ -259,8 +250,7 @@
             if (
                 task.attempts >= self.settings.max_attempts
                 or now >= task.latest_at
-                or is_retry
-                and is_barred
+                or (is_retry and is_barred)
                 or not outcome.can_resend
             ):
                 self._refuse(task, now, 0.0)
@@ -277,7 +267,6 @@
         self.window.open(self.settings.ingresses)
 
     def _restore(self, backend: object, now: float) -> None:
-        # Put a backend back in use; held requests may go there, as its cold share allows.
         self.fleet.restore(backend, now)
         self._recheck_held(now)
 
--- a/fennelpoint/quota.py
+++ b/fennelpoint/quota.py
@@ -14,20 +14,14 @@
 SILENT_AFTER_S, COUNT_TTL_S = 1.0, 60.0
 BACKOFF_S, MAX_BACKOFF_S = 0.25, 8.0  # half of the first pause after a failed counter call; the longest
 SHORTAGE_S, MIN_READ_S = 6.0, 0.15  # for which a lack of units counts; between two counter calls
-# Share of the time in which a full bucket fills, between two calls: during a shortage; at a low level.
-SHORTAGE_READ_SHARE, LOW_READ_SHARE = 0.25, 0.1
-# Factor on what others are expected to take; largest debt, of the burst; share of it repaid at a total.
-OTHERS_MARGIN, MAX_DEBT, DEBT_REPAYMENT = 1.5, 0.1, 0.5
-# Share of the granted level below which a call is due early; of the even share of a burst, kept at a total.
-LOW_LEVEL, KEPT_LEVEL = 0.5, 0.35
+SHORTAGE_READ_SHARE, LOW_READ_SHARE = 0.25, 0.1  # of a bucket's fill time, between two counter calls
+OTHERS_MARGIN, MAX_DEBT, DEBT_REPAYMENT = 1.5, 0.1, 0.5  # on others' demand; of the burst; of a debt, a total
+LOW_LEVEL, KEPT_LEVEL = 0.5, 0.35  # of the granted level: a call is due; of an even burst: kept at a total
 UNTAKEN = 1 << 40  # above all keys; added to a customer's key for the counter of its untaken units
 DEMAND_HALF_LIFE_S, SPARSE_S = 2.0, 10.0  # a customer is sparse if one request takes longer to fill
-# Window of a sparse customer, in times that its full bucket takes to fill; share of the timeout from which a
-# counter's reply is slow.
-SPARSE_WINDOW, SLOW_REPLY = 1.0, 0.6
+SPARSE_WINDOW, SLOW_REPLY = 1.0, 0.6  # of a bucket's fill time; of the timeout, beyond which a reply is slow
 MINOR_FACTOR = 4.0  # how much faster checks of minor requests are reduced: retries, and without excess cost
-# Changes of the share of checks after a quick, a slow and no reply; its least value.
-CHECK_GAIN, CHECK_SLOW, CHECK_LOSS, MIN_CHECK_SHARE = 0.05, 0.9, 0.6, 0.1
+CHECK_GAIN, CHECK_SLOW, CHECK_LOSS, MIN_CHECK_SHARE = 0.05, 0.9, 0.6, 0.1  # after a quick, slow, no reply
 CEILING_RESERVE = 0.5  # share of the ceiling that requests beyond the quota leave free
 FORGET_AFTER_S, FORGET_CHECKS = 15.0, 2  # for an idle customer; customers checked at each request
 
@@ -35,16 +29,14 @@
 class Quotas:
     """The customers and their buckets at one ingress."""
 
-    # Methods return the counter calls to make, whose replies go to `on_total`, `on_untaken_total` and
-    # `on_check_reply`.
+    # Replies to the counter calls returned go to `on_total`, `on_untaken_total` and `on_check_reply`.
 
     def __init__(self, settings: api.Settings, random: Random, now: float) -> None:
         self.settings, self.random = settings, random
         self.customers: dict[int, Customer] = {}  # by time of their last request, the oldest first
         self.replied_at = -inf  # when the counter last answered a check
         self.check_share = 1.0  # share of sparse customers' requests that are checked
-        # By plan and `Task.kind`: chance that a sparse customer's request has room.
-        self.room_odds = [[1.0, 1.0, 0.3] for _ in settings.plans]
+        self.room_odds = [[1.0, 1.0, 0.3] for _ in settings.plans]  # chance of room, by plan and `Task.kind`
         self.began_at = now  # ceilings fill from then on
         self.process_share = 1.0  # the rest of this ingress's limits belongs to another process of it
 
@@ -63,7 +55,6 @@
                 )
 
     def customer_of(self, request: api.Request, now: float) -> Customer:
-        """Return the customer of a request that has come, known or new."""
         plan, ingresses = self.settings.plans[request.plan], max(1.0, request.spread)
         spread = ingresses / self.process_share
         if (customer := self.customers.pop(request.customer, None)) is None:
@@ -78,8 +69,7 @@
                 total_at=now,
                 count_at=now + self.random.uniform(0.3, 1.0) * COUNT_PERIOD_S,
             )
-            # Filled only for the time in which this process surely used none of it: neither a restart nor a
-            # customer that was forgotten fills the ceiling at once.
+            # Neither a restart nor having been forgotten fills a ceiling that this process may have used.
             customer.ceiling = (
                 min(plan.ceiling_burst, plan.ceiling_rate * min(now - self.began_at, FORGET_AFTER_S)) / spread
             )
@@ -91,7 +81,6 @@
         return customer
 
     def fill(self, customer: Customer, now: float) -> None:
-        """Bring a customer's buckets up to date."""
         plan, max_units = self.settings.plans[customer.plan], self.settings.max_units
         fill_buckets(
             customer,
@@ -102,7 +91,6 @@
         )
 
     def own_rate(self, customer: Customer) -> float:
-        """Return the units a second of the customer's quota here."""
         return self.settings.plans[customer.plan].rate * customer.share
 
     def check_quota(self, task: Task, is_congested: bool, now: float) -> bool | None:
@@ -122,9 +110,8 @@
         if not in_quota and (plan.excess_worth <= 0.0 or is_congested):
             customer.short_at = now
             return None
-        # Requests beyond the quota leave a reserve of the ceiling to those within it, which wait for the
-        # concurrency limit. A part of hardly two requests has no reserve: whether a request is within the
-        # quota can't be known there, and most of those refused would be.
+        # Requests beyond the quota leave a reserve to those within it that wait for the concurrency limit. A
+        # part of hardly two requests has none: it can't tell them apart, and would refuse mostly the latter.
         own_ceiling = plan.ceiling_burst / customer.spread
         reserve = min(CEILING_RESERVE * own_ceiling, max(0.0, own_ceiling - 2.0 * units))
         if not in_quota and plan.ceiling_rate and customer.ceiling < units + reserve:
@@ -164,12 +151,9 @@
 
     def count(self, customer: Customer, now: float) -> list[api.Action]:
         """Add the units taken to the counter, once a period, to learn what all ingresses took."""
-        # During a shortage, and once half of the granted level is used, the next call comes earlier: this
-        # covers retries, floods and sudden bursts of a customer. It does not suit sites where many customers
-        # are short at once and the counter can't bear three calls in place of one.
-        #
-        # Untaken units have a counter of their own, used only during a shortage, as the shares depend on all
-        # demand. Counted as taken, they would empty a bucket that nobody used.
+        # Earlier in a shortage and at a low level, for retries, floods and sudden bursts; this does not suit
+        # sites where many customers are short at once and the counter can't bear three calls in place of one.
+        # Untaken units, part of the demand, count apart: as taken they would empty a bucket that nobody used.
         if not self.settings.has_counter or customer.count is not None:
             return []
         plan, period = self.settings.plans[customer.plan], COUNT_PERIOD_S
@@ -203,8 +187,7 @@
             customer.count_at = now + self.random.uniform(0.5, 1.0) * min(
                 MAX_BACKOFF_S, BACKOFF_S * 2**customer.errors
             )
-            # After a timeout the units may have been added.
-            customer.taken += added if reply.status is not api.Status.TIMEOUT else 0.0
+            customer.taken += added if reply.status is not api.Status.TIMEOUT else 0.0  # may be in the total
             if now - customer.total_at > SILENT_AFTER_S:
                 customer.share, customer.own_demand, customer.demand, customer.demand_span = (
                     1.0 / customer.spread,
@@ -276,8 +259,7 @@
         # Return the units to use until the next total: the share, or what others will hardly need.
         if not customer.demand_span:
             return customer.shared_level * customer.share
-        # At least the shortest interval, as the total may have come late.
-        span = max(MIN_READ_S, customer.count_at - customer.total_at)
+        span = max(MIN_READ_S, customer.count_at - customer.total_at)  # the total may have come late
         return max(
             customer.shared_level * customer.share,
             customer.shared_level
@@ -285,8 +267,7 @@
         )
 
     def check(self, task: Task, now: float) -> list[api.Action]:
-        """Return the counter call that a sparse customer's request waits for; none if it goes by the odds."""
-        # The slower the counter, the fewer requests are checked.
+        """Return the counter call that a sparse customer's request waits for, if any; fewer if it is slow."""
         plan = self.settings.plans[task.request.plan]
         is_minor = task.request.is_retry or plan.excess_cost <= 0.0  # few of these have room
         chance = max(0.0, 1.0 - MINOR_FACTOR * (1.0 - self.check_share)) if is_minor else self.check_share
@@ -316,11 +297,9 @@
     def on_check_reply(self, customer: Customer, reply: api.CounterReply, ok: bool, now: float) -> Task:
         """Return the request that was checked; it is within the quota if the window had room for it."""
         task, amount = customer.checks.pop(0)
-        quick = ok and reply.latency <= SLOW_REPLY * self.settings.counter_timeout
-        share = (
-            self.check_share + CHECK_GAIN if quick else self.check_share * (CHECK_SLOW if ok else CHECK_LOSS)
-        )
-        self.check_share = min(1.0, max(MIN_CHECK_SHARE, share))
+        fast = ok and reply.latency <= SLOW_REPLY * self.settings.counter_timeout
+        new = self.check_share + CHECK_GAIN if fast else self.check_share * (CHECK_SLOW if ok else CHECK_LOSS)
+        self.check_share = min(1.0, max(MIN_CHECK_SHARE, new))
         task.in_quota = (
             reply.total - amount < self.settings.plans[customer.plan].rate * customer.window if ok else None
         )
@@ -329,6 +308,5 @@
             self.room_odds[customer.plan][task.kind] += (
                 LEARNING_RATE / 2 * (task.in_quota - self.room_odds[customer.plan][task.kind])
             )
-        # For requests decided by the bucket while the counter is silent.
-        customer.level = 0.0 if task.in_quota is False else customer.level
+        customer.level = 0.0 if task.in_quota is False else customer.level  # used while the counter is silent
         return task
--- a/fennelpoint/regions.py
+++ b/fennelpoint/regions.py
@@ -1,6 +1,5 @@
 """The paper's regulator: places flows in regions, cuts some in steps while one fails, gives capacity back."""
-# A flow is whatever shares the back end and has a quota, such as a customer or a tenant. Time passes in
-# periods; this module knows nothing of requests, backends or clocks.
+# A flow is whatever has a quota of the back end, such as a customer; nothing here knows requests or clocks.
 
 from __future__ import annotations
 
@@ -12,8 +11,7 @@
 PERIOD_S = 0.5
 STEPS_PER_CUT, STEP_FRACTION = 3, 0.05  # m; share of the rate sent that one constant step takes off
 MAX_STEPS_PER_FLOW, RETURN_STEPS = 2.0, 2.0  # steps taken off one flow at a time; steps given back at a time
-# Least 1 / S_p (in 1 / latency ratio) at which steps grow with it; largest such growth; factor by which a
-# rate or the latency may change before a cut is reconsidered.
+# Least 1 / S_p at which steps grow with it; largest growth; change of a rate or latency that revises a cut.
 MIN_CONFIDENCE, MAX_STEP_SCALE, MAX_CHANGE = 2.0, 3.0, 2.0
 FIT_MEMORY, MIN_FIT_POINTS = 0.98, 2.0  # weight of the past, a period; points that a fit must exceed
 MEMORY, IDLE_RATE = 0.7, 0.05  # weight of the past in averages, a period; units a second of an idle flow
@@ -89,9 +87,8 @@
 class Regulator(Generic[FlowType]):
     """Cuts flows while a flow within its quota misses its latency target."""
 
-    # `quota` returns a flow's units a second here (inf: no limit). `may_cut` takes the failed flows and those
-    # that meet both quota and target, and returns the latter that may be cut, in the order to cut them.
-    # `min_rate` returns the units a second that a flow keeps, however long it is cut.
+    # `quota` returns a flow's units a second (inf: no limit), `min_rate` those it keeps when cut. `may_cut`
+    # takes the failed flows and those that meet quota and target; returns the latter to cut, in that order.
 
     def __init__(
         self,
@@ -128,7 +125,6 @@
 
     def regulate(self, span: float) -> None:
         """End a period of `span` seconds: place the flows, then cut by a step or give capacity back."""
-        # A step of the cut is taken while a flow fails; else capacity is given back.
         rate, self.sent_work, ratios = self.sent_work / span, 0.0, []
         regions: dict[str, list[FlowType]] = {name: [] for pair in REGIONS for name in pair}
         for flow in sorted(self.active.values(), key=lambda flow: (flow.worth, flow.key)):
--- a/fennelpoint/state.py
+++ b/fennelpoint/state.py
@@ -36,10 +36,8 @@
 class Customer(Flow):
     """A customer's buckets and its part of the shared quota."""
 
-    # The shared bucket is the quota's bucket over all ingresses, as the counter's totals show it. Untaken
-    # units were requested without being taken from the quota, as their requests were refused or sent beyond
-    # it. A sparse customer asks too rarely here for a bucket: each of its requests is checked with the
-    # counter.
+    # The shared bucket is the quota's over all ingresses, by the counter's totals. Untaken units were refused
+    # or sent beyond the quota. Requests of a sparse customer, too rare for a bucket, are checked one by one.
 
     plan: int
     spread: float  # ingresses that its requests arrive at
--- a/fennelpoint/upkeep.py
+++ b/fennelpoint/upkeep.py
@@ -72,8 +72,7 @@
         self.in_flight = 0  # attempts at all of them
         self.probing: dict[object, list[Task]] = {}  # requests that wait for a backend's probe
         self.known_ids: dict[object, None] = {}  # of all lists so far, the last listed last
-        # By id of backends that operators took out, listed or not.
-        self.withdrawn_at: dict[object, float] = {}
+        self.withdrawn_at: dict[object, float] = {}  # by id of those that operators took out, listed or not
         self.restored_at: dict[object, float] = {}  # by id of backends that operators put back
 
     def apply_roster(self, roster: api.Roster, now: float) -> None:
@@ -126,8 +125,7 @@
             self._sort_ready()
 
     def restore(self, name: object, now: float) -> None:
-        """Put a withdrawn backend back in use and forget its failures; others stay as they are."""
-        # It counts as started now, unless the roster has listed a start since it was withdrawn.
+        """Put a withdrawn backend back in use, as one started now, or at the start listed since it left."""
         if (since := self.withdrawn_at.pop(name, None)) is None:
             return
         backend = self.backends.get(name)
@@ -140,9 +138,7 @@
             self._sort_ready()
 
     def listed(self) -> list[Backend]:
-        return [
-            backend for backend in self.backends.values() if backend.entry.state is not api.BackendState.GONE
-        ]
+        return [known for known in self.backends.values() if known.entry.state is not api.BackendState.GONE]
 
     def add_attempt(self, backend: Backend, task: Task, work: float, target: float, now: float) -> None:
         backend.attempts[task.request.request_id] = (work, now, target, task.customer)
@@ -182,7 +178,6 @@
         ]
 
     def age_ratios(self, now: float) -> list[float]:
-        """Return the age of each attempt in flight over its class's latency target."""
         return [
             (now - sent_at) / target
             for backend in self.busy.values()
@@ -203,8 +198,7 @@
 
 def rank_for(backend: object, index: int, ingresses: int) -> float:
     """Return an ingress's rank in a backend's order of the ingresses, which all ingresses compute alike."""
-    # As each ingress prefers the backends that rank it first, all backends have about as many ingresses, and
-    # keep them over restarts and while other backends come and go. The fraction decides between equal ranks.
+    # So each backend has about as many ingresses, and keeps them. The fraction decides between equal ranks.
     draw = Random(f"{backend}")
     return draw.sample(range(ingresses), ingresses)[index % ingresses] + Random(f"{backend} {index}").random()
 
@@ -221,8 +215,7 @@
 def record_total(
     customer: Customer, total: float, added: float, now: float
 ) -> tuple[float, float | None, float]:
-    """Return the units taken here and everywhere since the last total, and the seconds since then."""
-    # Everywhere is None without a last total to compare with: at the first one, or after the counter's reset.
+    """Return units taken here and everywhere (None: first total or reset) and seconds since the last one."""
     span, before = now - customer.total_at, customer.last_total
     own, customer.own, customer.last_total, customer.total_at = (
         customer.own - customer.taken,
--- a/fennelpoint/window.py
+++ b/fennelpoint/window.py
@@ -6,14 +6,11 @@
 
 LEARNING_RATE = 0.2  # weight of a new sample in an average
 MAX_PRESSURE, MAX_PAUSE_S = 0.25, 3.0
-# Attempts in flight at first, of all ingresses, a backend; factor of a decrease; least size.
-INITIAL_IN_FLIGHT, WINDOW_DECREASE, MIN_WINDOW = 12.0, 0.85, 0.1
+INITIAL_IN_FLIGHT, WINDOW_DECREASE, MIN_WINDOW = 12.0, 0.85, 0.1  # at first, a backend; on a decrease; least
 
 
 class Window:
-    """The concurrency window: how many attempts may be in flight at the backends of one fleet."""
-
-    # The pressure is the part of the latency target that is lost to queueing, on average.
+    """The concurrency window; its pressure is the part of latency targets lost to queueing, on average."""
 
     def __init__(self, fleet: Fleet, now: float) -> None:
         self.fleet = fleet
@@ -29,7 +26,6 @@
         return max(1.0, self.size * self.process_share * share)
 
     def is_full(self, share: float, now: float) -> bool:
-        """Whether nothing more may be sent now within this share of the window."""
         return now < self.paused_until or self.fleet.in_flight >= self.limit(share)
 
     def observe_in_flight(self, latency: float, now: float) -> None:
--- a/tests/crowseam/golden_samples.py
+++ b/tests/crowseam/golden_samples.py
@@ -146,7 +146,7 @@
 
 def control_answers() -> list[dict[str, Any]]:
     """Return control calls to a simulated system with the status and body of each answer."""
-    system = test_controller.System(1)
+    system = test_controller.SimulatedCluster(1)
     answers = []
     with (
         mock.patch.object(Link, "unreadable_messages", 0),
@@ -181,7 +181,7 @@
 
 def metrics_page() -> str:
     """Return the metrics page of a controller after a few calls."""
-    system = test_controller.System(1)
+    system = test_controller.SimulatedCluster(1)
     with (
         mock.patch.object(Link, "unreadable_messages", 0),
         simulated_environment(system.world, lambda event, **fields: None),
--- a/tests/crowseam/import_graph.py
+++ b/tests/crowseam/import_graph.py
@@ -1,4 +1,4 @@
-"""Which file imports which, read from the sources: all imports, those in functions and for type checkers too."""
+"""The import graph of the sources, including imports in functions and under TYPE_CHECKING."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from collections.abc import Iterator, Mapping
 from pathlib import Path
 
-Graph = dict[str, set[str]]  # by module: the modules that it imports, outside ones by their full name
+Graph = dict[str, set[str]]  # by module: the modules that it imports; external ones by their full name
 
 
-def sources(root: Path, packages: tuple[str, ...]) -> dict[str, str]:
-    """The source of each module of some packages, by the module's name."""
+def read_sources(root: Path, packages: tuple[str, ...]) -> dict[str, str]:
+    """Return the source of each module of the packages, by module name."""
     found = {}
     for package in packages:
         for path in sorted((root / package).rglob("*.py")):
@@ -19,13 +19,13 @@
     return found
 
 
-def graph(modules: Mapping[str, str]) -> Graph:
-    """The imports of each module, given its source."""
+def build_graph(modules: Mapping[str, str]) -> Graph:
+    """Return the imports of each module, given the sources by module name."""
     return {name: imports_of(name, source, modules) for name, source in modules.items()}
 
 
 def imports_of(module: str, source: str, modules: Mapping[str, str]) -> set[str]:
-    """The imports of one module, where `modules` are all there are."""
+    """Return the imports of one module; `modules` are all modules of the packages."""
     return set(_imports(source, modules)) - {module}
 
 
@@ -35,14 +35,14 @@
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
             if node.level:
-                raise ValueError(f"a relative import, of {node.module}: the sources import by full names")
+                raise ValueError(f"relative import of {node.module}: the sources must import by full names")
             for alias in node.names:
-                whole = f"{node.module}.{alias.name}"
-                yield whole if whole in modules else node.module
+                full_name = f"{node.module}.{alias.name}"
+                yield full_name if full_name in modules else node.module
 
 
-def circles(imports: Graph) -> list[list[str]]:
-    """Groups of modules that import each other, directly or by way of others (Tarjan's algorithm)."""
+def import_cycles(imports: Graph) -> list[list[str]]:
+    """Return groups of modules that import each other, directly or indirectly (Tarjan's algorithm)."""
     order: dict[str, int] = {}
     low: dict[str, int] = {}
     stack: list[str] = []
--- a/tests/crowseam/test_check_agreement.py
+++ b/tests/crowseam/test_check_agreement.py
@@ -4,7 +4,7 @@
 
 import unittest
 
-from crowseam.cli.model_check import known
+from crowseam.cli.model_check import run_known_mutants
 from crowseam.consensus.node import Node
 from crowseam.consensus.outcomes import ReadReady
 from crowseam.model_checks.agreement.check import MUTANTS, STALE, Order, World, run
@@ -34,7 +34,7 @@
             self.assertGreater(report.outcomes[f"fault {fault}"], 0, fault)
 
     def test_each_known_mutant_is_found_at_its_seed(self):
-        for mutant, violations in known("agreement"):
+        for mutant, violations in run_known_mutants("agreement"):
             with self.subTest(mutant.guard):
                 self.assertTrue(violations)
 
--- a/tests/crowseam/test_check_by_hand.py
+++ b/tests/crowseam/test_check_by_hand.py
@@ -111,7 +111,7 @@
         test_transport, "Calls", "test_calls_behind_one_another_are_answered_in_turn"
     ),
     ("callers", "tickets begun with the life of the controller"): Schedule(
-        test_controller, "Sessions", "test_a_ticket_of_an_earlier_life_is_none_of_a_later_one"
+        test_controller, "Sessions", "test_call_numbers_are_not_reused_after_a_restart"
     ),
     ("callers", "an answer kept from who has left"): Schedule(
         test_check_callers, "Leaving", "test_what_a_client_asked_ends_when_it_leaves"
--- a/tests/crowseam/test_check_callers.py
+++ b/tests/crowseam/test_check_callers.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from crowseam.cli.model_check import known
+from crowseam.cli.model_check import run_known_mutants
 from crowseam.controller.pending_calls import PendingCalls
 from crowseam.gateway.http_dialect import ServerDialect
 from crowseam.model_checks.callers import check
@@ -111,7 +111,7 @@
 class Mutants(unittest.TestCase):
     def test_each_is_found_at_its_seed_and_taken_back(self):
         before = ServerDialect.is_for_other_request, UpstreamConnection._finish_answer
-        for mutant, violations in known("callers"):
+        for mutant, violations in run_known_mutants("callers"):
             with self.subTest(mutant.guard):
                 self.assertTrue(violations)
         self.assertEqual((ServerDialect.is_for_other_request, UpstreamConnection._finish_answer), before)
--- a/tests/crowseam/test_check_cutoff.py
+++ b/tests/crowseam/test_check_cutoff.py
@@ -10,18 +10,18 @@
 from crowseam.gateway.controller_session import ControllerSession
 from crowseam.model_checks.cutoff import check
 from crowseam.settings import Bind, Settings
-from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.link_faults import LinkFault
 from crowseam.simulator.world.patches import simulated_environment
 from crowseam.transport.messages import PeerHeartbeat, SessionHeartbeat, SilentServers
 from tests.crowseam import test_controller
-from tests.crowseam.test_controller import CTL, IPS, heartbeat
+from tests.crowseam.test_controller import CONTROL_ADDRS, IPS, heartbeat
 
 
 class Apart(unittest.TestCase):
     """Three controllers and a gateway; r1 is cut off from the other two, or hears them only."""
 
     def setUp(self):
-        self.system = system = test_controller.System(1)
+        self.system = system = test_controller.SimulatedCluster(1)
         self.enterContext(simulated_environment(system.world, lambda event, **fields: None))
         system.world.run(3.0)
         self.call("r2", "PUT", "/-/backends/i-1", heartbeat("i-1", "up", 1))
@@ -32,8 +32,8 @@
         return self.system.answers[name]
 
     def part(self, way="both", one="r1"):
-        others = frozenset(ip for name, ip in IPS.items() if name in CTL and name != one)
-        self.system.network.troubles.append(Trouble(frozenset([IPS[one]]), others, cut=True, way=way))
+        others = frozenset(ip for name, ip in IPS.items() if name in CONTROL_ADDRS and name != one)
+        self.system.network.link_faults.append(LinkFault(frozenset([IPS[one]]), others, cut=True, direction=way))
 
     def test_nothing_is_confirmed_or_refused_and_what_is_shown_tells_its_age(self):
         for way in ("out", "in", "both"):
@@ -80,7 +80,7 @@
 
     def test_a_leave_is_acknowledged_though_disks_take_longer_than_a_call_waits(self):
         for name in ("r2", "r3"):
-            self.system.disk_images[name].sync = 1.0
+            self.system.disk_images[name].sync_s = 1.0
         answers = [self.call("r1", "DELETE", "/-/backends/i-1", span=1.0).status for _ in range(4)]
         self.assertEqual((answers[0], answers[-1]), (503, 200))
 
@@ -127,9 +127,9 @@
 
     def test_who_hears_of_a_newer_slot_does_not_tell_gateways_that_it_is_current(self):
         peers, now = self.system.controllers["r1"].peers, self.system.controllers["r1"].now()
-        self.assertTrue(peers.is_in_touch(now) and peers.is_current(now))
-        peers.on_heartbeat(CTL["r2"], PeerHeartbeat(now, now, peers.node.last_slot + 1), now)
-        self.assertTrue(peers.is_in_touch(now))
+        self.assertTrue(peers.is_majority_reachable(now) and peers.is_current(now))
+        peers.on_heartbeat(CONTROL_ADDRS["r2"], PeerHeartbeat(now, now, peers.node.last_slot + 1), now)
+        self.assertTrue(peers.is_majority_reachable(now))
         self.assertFalse(peers.is_current(now))
 
 
@@ -162,7 +162,7 @@
         self.assertLess(max(report.moves), check.REJOIN)
 
     def test_each_guard_that_is_left_out_is_missed(self):
-        for mutant, violations in model_check.known("cutoff"):
+        for mutant, violations in model_check.run_known_mutants("cutoff"):
             with self.subTest(guard=mutant.guard):
                 self.assertTrue(violations)
         for mutant in check.MUTANTS:
--- a/tests/crowseam/test_check_handover.py
+++ b/tests/crowseam/test_check_handover.py
@@ -37,7 +37,7 @@
         self.assertEqual((one.events, one.outcomes), (other.events, other.outcomes))
 
     def test_planted_faults_are_found(self):
-        found = model_check.known("handover")
+        found = model_check.run_known_mutants("handover")
         self.assertGreaterEqual(len(found), 10)
         for mutant, violations in found:
             with self.subTest(without=mutant.guard):
@@ -54,7 +54,7 @@
     def test_a_founder_has_nothing_to_learn(self):
         handover = VoterCatchUp("1", True)
         handover.set_voters(OLD, 0.0)
-        self.assertEqual((self.asked(handover, 0.1), handover.ready, handover.counts), ({}, True, True))
+        self.assertEqual((self.asked(handover, 0.1), handover.ready, handover.is_caught_up), ({}, True, True))
 
     def test_a_newcomer_learns_before_it_is_let_in_and_once_more(self):
         # t     what
@@ -72,7 +72,7 @@
         self.assertEqual(list(self.asked(handover, RETRANSMIT_INTERVAL_S)), ["a", "c"])
         self.assertEqual((self.answer(handover, learn, "1"), handover.ready), ([True], False))
         handover.reply_saved(learn.number)
-        self.assertEqual((handover.ready, handover.counts, handover.is_catching_up), (True, False, False))
+        self.assertEqual((handover.ready, handover.is_caught_up, handover.is_catching_up), (True, False, False))
         handover.set_voters(NEW, 1.0)
         self.assertEqual((handover.ready, handover.is_catching_up), (False, True))
         self.assertEqual(self.answer(handover, learn, "1", "2"), [False, False])  # late, of before
@@ -82,7 +82,7 @@
         handover.reply_saved(learn.number)
         self.assertTrue(handover.is_catching_up)
         handover.reply_saved(again["a"].number)
-        self.assertEqual((handover.counts, handover.is_catching_up, handover.gave_up), (True, False, False))
+        self.assertEqual((handover.is_caught_up, handover.is_catching_up, handover.timed_out), (True, False, False))
 
     def test_other_voters_before_it_is_let_in_are_asked_anew(self):
         handover = VoterCatchUp("9", False)
@@ -99,7 +99,7 @@
         self.asked(handover, MAX_WAIT_S - 0.1)
         self.assertFalse(handover.ready)
         self.asked(handover, MAX_WAIT_S)
-        self.assertEqual((handover.ready, handover.gave_up), (True, True))
+        self.assertEqual((handover.ready, handover.timed_out), (True, True))
 
     def test_only_who_counts_answers_and_both_know_of_the_same_change(self):
         registry = ServiceRegistry("a")
--- a/tests/crowseam/test_check_membership.py
+++ b/tests/crowseam/test_check_membership.py
@@ -5,7 +5,7 @@
 import unittest
 from random import Random
 
-from crowseam.cli.model_check import known
+from crowseam.cli.model_check import run_known_mutants
 from crowseam.consensus import messages as wire
 from crowseam.consensus.effects import Effect, Send
 from crowseam.consensus.messages import Voter, VotersEntry
@@ -266,7 +266,7 @@
         self.assertGreater(report.outcomes["left"], 8)
 
     def test_known_mutants_are_found(self):
-        for mutant, violations in known("membership"):
+        for mutant, violations in run_known_mutants("membership"):
             with self.subTest(mutant.guard):
                 self.assertTrue(violations)
 
--- a/tests/crowseam/test_check_orders.py
+++ b/tests/crowseam/test_check_orders.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from crowseam.cli.model_check import known
+from crowseam.cli.model_check import run_known_mutants
 from crowseam.configuration.model import ConfigurationError, parse_change
 from crowseam.consensus.effects import CompleteRequest, Send
 from crowseam.consensus.messages import ConfigurationEntry, NoOpEntry, Promise, QuorumReadReply, Snapshot, Voter
@@ -15,12 +15,12 @@
 from crowseam.consensus.outcomes import OutcomeUnknown
 from crowseam.consensus.records import SnapshotRecord
 from crowseam.controller.state_machine import (
-    EARLIER_CHANGES,
-    RECENT_CHANGES,
+    MAX_EARLIER_CHANGES,
+    MAX_RECENT_CHANGES,
     AlreadyApplied,
     AppliedChange,
     ConfigurationStateMachine,
-    Forgotten,
+    OutcomeForgotten,
     UnknownParent,
 )
 from crowseam.gateway.controller_session import ControllerSession
@@ -58,7 +58,7 @@
     """Verdicts on orders that come again. Told as letters: A again, F forgotten, U unknown parent, else the status."""
 
     def told(self, machine, *orders):
-        letters = {AlreadyApplied: "A", Forgotten: "F", UnknownParent: "U", ConfigurationEntry: "taken"}
+        letters = {AlreadyApplied: "A", OutcomeForgotten: "F", UnknownParent: "U", ConfigurationEntry: "taken"}
         outcomes = [machine.propose(one, "t") for one in orders]
         return " ".join(
             str(one.status) if isinstance(one, ConfigurationError) else letters[type(one)] for one in outcomes
@@ -76,7 +76,7 @@
 
     def test_what_was_forgotten_gets_no_clear_answer_unless_it_never_was_valid(self):
         machine = taking(ConfigurationStateMachine(max_recent=2, max_earlier=3), 10)
-        self.assertEqual(machine.forgotten, 5)
+        self.assertEqual(machine.highest_forgotten_ver, 5)
         self.assertEqual(self.told(machine, *(order(ver, ver - 1) for ver in (1, 5, 6, 10))), "F F A A")
         self.assertEqual(
             self.told(machine, order(5, 4, "b"), order(6, 5, "b"), order(5, 10), order(5, 5)), "F 412 400 412"
@@ -96,12 +96,12 @@
 
     def test_the_memory_is_bounded(self):
         machine = ConfigurationStateMachine()
-        for ver in range(1, RECENT_CHANGES + EARLIER_CHANGES + 11):
+        for ver in range(1, MAX_RECENT_CHANGES + MAX_EARLIER_CHANGES + 11):
             one = order(ver, ver - 1)
             machine.apply(ver, ConfigurationEntry("t", ver, ver - 1, True, one.body, one.digest))
-        self.assertEqual((len(machine.recent), len(machine.earlier)), (RECENT_CHANGES, EARLIER_CHANGES))
-        self.assertEqual(machine.forgotten, 10)
-        self.assertLess(len(machine.snapshot()), RECENT_CHANGES * 90 + EARLIER_CHANGES * 20 + 200)
+        self.assertEqual((len(machine.recent), len(machine.earlier)), (MAX_RECENT_CHANGES, MAX_EARLIER_CHANGES))
+        self.assertEqual(machine.highest_forgotten_ver, 10)
+        self.assertLess(len(machine.snapshot()), MAX_RECENT_CHANGES * 90 + MAX_EARLIER_CHANGES * 20 + 200)
 
     def test_a_state_of_the_version_before_is_read_and_the_other_way_round(self):
         now = taking(ConfigurationStateMachine(), 300)
@@ -173,7 +173,7 @@
         day = read(Path(__file__).parents[2] / "examples" / "racing-operators.toml")
         day.length = 14.0
         day.faults = [fault for fault in day.faults if fault.at < 12.0]
-        told, _ = simulation.play(day, 1)
+        told, _ = simulation.run_day(day, 1)
         self.assertEqual((told.rules, told.failures, told.unacked), ({}, [], 0))
         self.assertGreaterEqual(len(told.acks), 6)
 
@@ -189,7 +189,7 @@
         self.assertEqual(check.run((9, 19, 29)).violations, [])
 
     def test_each_known_mutant_is_found_at_its_seed(self):
-        for mutant, violations in known("orders"):
+        for mutant, violations in run_known_mutants("orders"):
             self.assertTrue(violations, mutant.guard)
 
     def test_a_mutant_without_a_seed_says_why(self):
--- a/tests/crowseam/test_cli.py
+++ b/tests/crowseam/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: what a command says and with which code it ends. Calls are played, nothing opens a socket."""
+"""The command line: output and exit codes of commands. Calls are scripted; no socket is opened."""
 
 import contextlib
 import io
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from crowseam.cli import configuration_diff, control_client, demo_files, file_checks
-from crowseam.cli.demo_verdict import Count, Observations, most_within, verdict
+from crowseam.cli.demo_verdict import Observations, RequestCounts, max_in_window, verdict
 from crowseam.cli.dispatch import run
 from crowseam.cli.errors import RefusedError, UnclearError
 from crowseam.cli.tables import rows, table
@@ -23,50 +23,50 @@
 from crowseam.storage.store import Store
 
 
-class Played:
-    """Answers tries as a timeline tells: each line is a moment, each column an address.
+class ScriptedServers:
+    """Answers attempts by a script: each line is a step, each column an address.
 
-    A cell is an HTTP status, `307:ADDR` (sent on to another column), `-` (silence), or `.` (not called).
+    A cell is an HTTP status, `307:ADDR` (redirect to another column), `-` (no answer), or `.` (must not be called).
     """
 
     def __init__(self, timeline):
         lines = [re.split(r"\s{2,}", line.strip()) for line in timeline.strip().splitlines()]
         self.addresses = [f"{name}:1" for name in lines[0]]
-        self.moments = [dict(zip(self.addresses, line, strict=True)) for line in lines[1:]]
-        self.at = 0
+        self.steps = [dict(zip(self.addresses, line, strict=True)) for line in lines[1:]]
+        self.step = 0
         self.now = 0.0
         self.bodies = []
         self.pauses = []
 
     def send(self, address, method, path, body, timeout):
         self.bodies.append(body)
-        cell = self.moments[self.at][address]
-        assert cell != ".", f"{address} was not to be called at moment {self.at}"
+        cell = self.steps[self.step][address]
+        assert cell != ".", f"{address} must not be called at step {self.step}"
         if cell == "-":
             self.now += timeout
-            self.at += 1
+            self.step += 1
             raise control_client.NoAnswerError("silence")
         self.now += 0.01
-        status, _, onward = cell.partition(":")
-        self.moments[self.at][address] = "."
-        if not onward or self.moments[self.at][f"{onward}:1"] == ".":
-            self.at += 1
-        location = f"http://{onward}:1{path}" if onward else ""
+        status, _, target = cell.partition(":")
+        self.steps[self.step][address] = "."
+        if not target or self.steps[self.step][f"{target}:1"] == ".":
+            self.step += 1
+        location = f"http://{target}:1{path}" if target else ""
         return control_client.Answer(int(status), location, b'{"said": 1}')
 
-    def sleep(self, span):
-        self.pauses.append(span)
-        self.now += span
+    def sleep(self, duration_s):
+        self.pauses.append(duration_s)
+        self.now += duration_s
 
-    def call(self, name, body=b"", within=30.0):
+    def call(self, name, body=b"", timeout_s=30.0):
         rng = random.Random(5)
-        caller = control_client.Caller(self.addresses, within, self.send, lambda: self.now, self.sleep, rng)
-        return caller.call(name, body)
+        client = control_client.ControlClient(self.addresses, timeout_s, self.send, lambda: self.now, self.sleep, rng)
+        return client.call(name, body)
 
 
-class Calls(unittest.TestCase):
-    def test_a_put_goes_unchanged_from_one_to_the_next_until_a_clear_answer(self):
-        played = Played("""
+class ControlClientTest(unittest.TestCase):
+    def test_a_put_is_retried_unchanged_at_the_next_address_until_a_definite_answer(self):
+        servers = ScriptedServers("""
             a    b    c
             -    .    .
             .    503  .
@@ -74,54 +74,54 @@
             429  .    .
             .    200  .
         """)
-        self.assertEqual(played.call("put", b"body").ok.status, 200)
-        self.assertEqual(played.bodies, [b"body"] * 5)
-        self.assertGreater(played.pauses[3], played.pauses[0], "the pause has to grow")
+        self.assertEqual(servers.call("put", b"body").ok.status, 200)
+        self.assertEqual(servers.bodies, [b"body"] * 5)
+        self.assertGreater(servers.pauses[3], servers.pauses[0], "the backoff must grow")
 
-    def test_a_clear_refusal_ends_it(self):
-        for status in sorted(control_client.FINAL):
-            played = Played(f"""
+    def test_a_definite_refusal_ends_the_call_at_once(self):
+        for status in sorted(control_client.FINAL_STATUSES):
+            servers = ScriptedServers(f"""
                 a    b
                 {status}  .
             """)
-            error = played.call("put", b"body").error
+            error = servers.call("put", b"body").error
             self.assertIsInstance(error, RefusedError)
             self.assertEqual(error.status, status)
 
-    def test_other_refusals_end_it_at_the_third(self):
-        played = Played("""
+    def test_other_refusals_end_the_call_at_the_third(self):
+        servers = ScriptedServers("""
             a    b
             404  .
             .    503
             404  .
             .    403
         """)
-        self.assertEqual(played.call("servers").error.status, 403)
+        self.assertEqual(servers.call("servers").error.status, 403)
 
-    def test_sent_on_twice_and_no_further(self):
-        good = Played("""
+    def test_at_most_two_redirects_are_followed(self):
+        two_redirects = ScriptedServers("""
             a      b      c
             307:b  307:c  200
         """)
-        self.assertTrue(good.call("config").is_ok())
-        ring = Played("""
+        self.assertTrue(two_redirects.call("config").is_ok())
+        redirect_loop = ScriptedServers("""
             a      b      c
             307:b  307:c  307:a
             .      200    .
         """)
-        self.assertTrue(ring.call("config").is_ok())
-        self.assertEqual(len(ring.bodies), 4)
+        self.assertTrue(redirect_loop.call("config").is_ok())
+        self.assertEqual(len(redirect_loop.bodies), 4)
 
-    def test_time_runs_out_and_nothing_is_claimed(self):
-        played = Played("a  b\n" + "-  -\n" * 20)
-        error = played.call("put", b"x", within=6.0).error
+    def test_a_timeout_claims_no_outcome(self):
+        servers = ScriptedServers("a  b\n" + "-  -\n" * 20)
+        error = servers.call("put", b"x", timeout_s=6.0).error
         self.assertIsInstance(error, UnclearError)
         self.assertIn("may have been done or not", str(error))
-        self.assertLess(played.now, 7.5)
-        self.assertNotIn("may have been", str(Played("a\n" + "-\n" * 9).call("config", within=2.0).error))
+        self.assertLess(servers.now, 7.5)
+        self.assertNotIn("may have been", str(ScriptedServers("a\n" + "-\n" * 9).call("config", timeout_s=2.0).error))
 
 
-class Commands(unittest.TestCase):
+class CommandTest(unittest.TestCase):
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -134,7 +134,7 @@
         return str(path)
 
     def crowseam(self, *words, answer=None):
-        """Return (exit code, output, error output); calls are answered by (status, data), or not at all."""
+        """Run a command and return (exit code, output, error output). `answer` is (status, data) or a function."""
 
         def send(address, method, path, body, timeout):
             self.calls.append((address, method, path, body))
@@ -204,10 +204,10 @@
         )
 
     def test_the_addresses_come_from_the_settings_file(self):
-        told = self.file("node.json", demo_files.settings(0, "controller", self.folder))
+        settings_file = self.file("node.json", demo_files.settings(0, "controller", self.folder))
         with (
             mock.patch.object(control_client, "send", lambda *_: control_client.Answer(200, "", b"[]")) as _,
-            mock.patch.dict(os.environ, {"CROWSEAM_BOOT": told}),
+            mock.patch.dict(os.environ, {"CROWSEAM_BOOT": settings_file}),
             contextlib.redirect_stdout(io.StringIO()) as out,
         ):
             self.assertEqual(run(["servers"]), 0)
@@ -218,15 +218,15 @@
         code, out, _ = self.crowseam("operations", "--at", "a:1,b:1", answer=(200, summary))
         self.assertEqual((code, out.count("\n")), (0, 3), out)
         found = [{"state": "ended", "gateway": "edge-1", "status": 200}]
-        one = ("operations", "--at", "a:1", "--key", "k-1")
-        code, out, _ = self.crowseam(*one, "--tenant", "town", answer=(200, found))
+        by_key = ("operations", "--at", "a:1", "--key", "k-1")
+        code, out, _ = self.crowseam(*by_key, "--tenant", "town", answer=(200, found))
         self.assertIn("edge-1", out)
-        code, out, _ = self.crowseam(*one, answer=(200, []))
+        code, out, _ = self.crowseam(*by_key, answer=(200, []))
         self.assertEqual((code, "no controller" in out), (0, True))
-        code, _, said = self.crowseam("operations", "--at", "a:1")
-        self.assertEqual((code, "a:1" in said), (1, True))
+        code, _, error_output = self.crowseam("operations", "--at", "a:1")
+        self.assertEqual((code, "a:1" in error_output), (1, True))
 
-    def test_status_tells_what_is_wrong_on_one_screen(self):
+    def test_status_lists_the_problems_and_the_status_by_address(self):
         def two_of_three(address):
             if address == "c:1":
                 raise control_client.NoAnswerError("timed out")
@@ -254,29 +254,29 @@
         code, out, _ = self.crowseam("status", "--at", "a:1", answer=(200, {"ver": "0000000c", "servers": 3}))
         self.assertEqual((code, out.splitlines()[0]), (0, "nothing is wrong"))
 
-    def test_the_demonstration_says_what_did_not_hold(self):
-        seen = Observations(
-            tenants={"kitchen": Count(100, 96, 4), "pantry": Count(60, 20, 40)},
+    def test_the_demonstration_reports_failed_checks(self):
+        all_good = Observations(
+            tenants={"kitchen": RequestCounts(100, 96, 4), "pantry": RequestCounts(60, 20, 40)},
             served_at={"pantry": [0.3 * number for number in range(20)]},
             runs=Counter(["a", "b"]),
             served_while_down=9,
             versions=["00000002"] * 3,
             new_route=[200] * 3,
         )
-        self.assertEqual([check.ok for check in verdict(seen)], [True] * 7)
-        worse = Observations(
-            tenants={"kitchen": Count(100, 94, 6), "pantry": Count(60, 40, 20)},
+        self.assertEqual([check.ok for check in verdict(all_good)], [True] * 7)
+        all_failed = Observations(
+            tenants={"kitchen": RequestCounts(100, 94, 6), "pantry": RequestCounts(60, 40, 20)},
             served_at={"pantry": [0.12 * number for number in range(40)]},
             runs=Counter(["a", "b", "a"]),
             versions=["00000002", "00000001", "none"],
             new_route=[200, 404, 200],
             late_at_left=1,
         )
-        self.assertEqual([check.ok for check in verdict(worse)], [False] * 7)
-        self.assertEqual([most_within(times, 5.0) for times in ([], [0, 5], [9, 0, 4, 4.9])], [0, 1, 3])
+        self.assertEqual([check.ok for check in verdict(all_failed)], [False] * 7)
+        self.assertEqual([max_in_window(times, 5.0) for times in ([], [0, 5], [9, 0, 4, 4.9])], [0, 1, 3])
 
     def test_the_files_of_the_demonstration_pass_the_checks(self):
-        for _, file in demo_files.write(self.folder / "cell"):
+        for _, file in demo_files.write_files(self.folder / "cell"):
             self.assertEqual(self.crowseam("check", "settings", str(file))[0], 0, file)
         for name in ("configuration", "change"):
             self.assertEqual(self.crowseam("check", "config", str(self.folder / "cell" / f"{name}.json"))[0], 0)
@@ -302,7 +302,7 @@
             [{"undo": False, "ver": "v2", "svc": "menu"}, {"undo": True, "az": "a"}],
         )
 
-    def test_a_difference_can_be_sent_as_a_change(self):
+    def test_a_difference_can_be_sent_as_a_patch(self):
         old = demo_files.configuration()
         new = json.loads(json.dumps(old)) | {"ver": "00000009"}
         new["objs"][0]["spec"]["timeout"] = "3s"
@@ -323,25 +323,25 @@
             ],
         )
         out = self.crowseam("config", "diff", files[1], "--at", "h:1", "--as-patch", "0000000a", answer=(200, old))[1]
-        made = Configuration.from_put(json.dumps(old).encode()).patched(out.encode())
-        aim = Configuration.from_put(json.dumps(new).encode())
-        self.assertEqual((made.ver, configuration_diff.differences(made, aim)), (10, []))
+        patched = Configuration.from_put(json.dumps(old).encode()).patched(out.encode())
+        expected = Configuration.from_put(json.dumps(new).encode())
+        self.assertEqual((patched.ver, configuration_diff.differences(patched, expected)), (10, []))
 
-    def test_one_request_through_many_logs(self):
-        one = self.file(
+    def test_trace_finds_one_request_in_several_logs(self):
+        first_log = self.file(
             "one.log",
             b"t=10.5 event=arrived id=9c41 path=/a\nt=11.5 event=arrived id=9c412\n"
             b"t=12.5 event=answered id=9c41 status=200\n",
         )
-        two = self.file("two.log", b'noise 9c41\nt=11.0 event=sent try="9c41" why="slow \\"peer\\""\n')
-        code, out, _ = self.crowseam("trace", "9c41", two, one)
+        second_log = self.file("two.log", b'noise 9c41\nt=11.0 event=sent try="9c41" why="slow \\"peer\\""\n')
+        code, out, _ = self.crowseam("trace", "9c41", second_log, first_log)
         self.assertEqual(
             (code, [line.split("event=")[1].split()[0] for line in out.splitlines()]),
             (0, ["arrived", "sent", "answered"]),
         )
-        events = json.loads(self.crowseam("trace", "9c41", "--json", two, one)[1])
-        self.assertEqual((events[1]["why"], events[1]["line"], events[1]["log"]), ('slow "peer"', 2, two))
-        self.assertEqual(self.crowseam("trace", "ffff", one)[0], 1)
+        events = json.loads(self.crowseam("trace", "9c41", "--json", second_log, first_log)[1])
+        self.assertEqual((events[1]["why"], events[1]["line"], events[1]["log"]), ('slow "peer"', 2, second_log))
+        self.assertEqual(self.crowseam("trace", "ffff", first_log)[0], 1)
 
     def test_schemas_name_every_field_that_is_read(self):
         for name in ("config", "patch", "settings", "deploy"):
@@ -361,31 +361,31 @@
                 PromiseRecord(2, (3, "b")),
             ]
         )
-        copy = str(self.folder / "copy")
-        code, _, err = self.crowseam("snapshot", str(store.path), copy)
+        snapshot = str(self.folder / "copy")
+        code, _, err = self.crowseam("snapshot", str(store.path), snapshot)
         self.assertEqual(code, 1)
         self.assertIn("in use", err)
         store.close()
-        code, out, err = self.crowseam("snapshot", str(store.path), copy)
+        code, out, err = self.crowseam("snapshot", str(store.path), snapshot)
         self.assertEqual((code, out.split(", digest")[0]), (0, "slot 1, version 00000001"), err)
-        kept = []
-        for place, me in enumerate(("2.2.2.2:1", "3.3.3.3:1")):
-            path = self.folder / f"new{place}.db"
-            code, *_ = self.crowseam("restore", copy, str(path), "--voters=3.3.3.3:1,2.2.2.2:1", f"--me={me}")
+        restored = []
+        for index, me in enumerate(("2.2.2.2:1", "3.3.3.3:1")):
+            path = self.folder / f"new{index}.db"
+            code, *_ = self.crowseam("restore", snapshot, str(path), "--voters=3.3.3.3:1,2.2.2.2:1", f"--me={me}")
             self.assertEqual(code, 0)
-            new = Store(path)
-            new.open()
-            kept.append(new.load())
-            new.close()
-        self.assertEqual(kept[0].chosen, kept[1].chosen)
-        self.assertEqual([voter.id for voter in kept[0].chosen[2].voters], [each.id for each in kept])
-        self.assertEqual(kept[0].votes, {})
-        damaged = Path(copy).read_bytes()[:-1] + b"?"
+            new_store = Store(path)
+            new_store.open()
+            restored.append(new_store.load())
+            new_store.close()
+        self.assertEqual(restored[0].chosen, restored[1].chosen)
+        self.assertEqual([voter.id for voter in restored[0].chosen[2].voters], [state.id for state in restored])
+        self.assertEqual(restored[0].votes, {})
+        damaged = Path(snapshot).read_bytes()[:-1] + b"?"
         code, _, err = self.crowseam("restore", self.file("bad", damaged), str(self.folder / "no.db"))
         self.assertEqual((code, (self.folder / "no.db").exists()), (1, False), err)
 
 
-class Checks(unittest.TestCase):
+class FileCheckTest(unittest.TestCase):
     def test_settings(self):
         good = demo_files.settings(1, "gateway", Path("/x"))
         self.assertEqual(file_checks.check_settings(json.dumps(good | {"new": 1}).encode()), [])
@@ -458,11 +458,11 @@
                 found = file_checks.check_deploy(good.replace(old, new, 1).encode())
                 self.assertIn(field, [each for each, _ in found])
 
-    def test_a_role_that_is_no_table_is_a_fault(self):
+    def test_a_role_that_is_not_a_table_is_a_fault(self):
         found = file_checks.check_deploy(b'packages = ["python3"]\nbuild = "x"\n[roles]\nx = 3\n')
         self.assertEqual(found[0], ("roles.x", "has to be an object, not int"))
 
-    def test_the_deploy_file_of_the_system_is_without_fault(self):
+    def test_the_deploy_file_of_the_system_has_no_faults(self):
         self.assertEqual(file_checks.check_deploy(Path("deploy/system.toml").read_bytes()), [])
 
 
--- a/tests/crowseam/test_controller.py
+++ b/tests/crowseam/test_controller.py
@@ -1,13 +1,15 @@
-"""Three controllers and a gateway's session over links in memory, on a virtual clock.
-
-Timelines have a column for what befalls the system (``cut NAME``: from the other controllers and the gateway,
-``heal``, ``kill NAME``, ``start NAME``, ``disk NAME S``: it hangs for so long, ``wipe NAME``,
-``upgrade NAME``: it, or the gateway, speaks the next version of the protocol from now on), one for each
-controller and one for the gateway. A controller's cells hold calls: ``put VER PARENT``, ``bad VER PARENT``,
-``keyed VER PARENT``: with a route of keyed operations, ``get``,
-``heartbeat ID PHASE SEQ``, ``delete ID``; and the answer that its newest call has by now: ``?STATUS [VER]`` or
-``?none``. The gateway's cells say what it follows: ``?ver N``, ``?usable ID ...`` (all of them), ``?at NAME``,
-``?ready``.
+"""Three controllers and a gateway's session over in-memory links, on a virtual clock.
+
+Each test is a timeline, a table with one column per actor. Cells contain steps, separated by semicolons:
+
+- ``events``: ``cut NAME`` (partition a controller from the other controllers and the gateway), ``heal``,
+  ``kill NAME``, ``start NAME``, ``disk NAME S`` (the disk hangs for S seconds), ``wipe NAME``, ``upgrade NAME``
+  (restart a controller, or switch the gateway, with the next protocol version).
+- Controllers: the calls ``put VER PARENT``, ``bad VER PARENT`` (invalid), ``keyed VER PARENT`` (with a route of keyed
+  operations), ``get``, ``heartbeat ID PHASE SEQ`` and ``delete ID``; ``?STATUS [VER]`` or ``?none`` checks the answer
+  to the latest call.
+- ``gateway``: checks of what it follows: ``?ver N``, ``?usable ID ...`` (the complete set), ``?at NAME`` (its
+  controller), ``?ready``.
 """
 
 import itertools
@@ -22,7 +24,7 @@
 from crowseam.simulator.actors import http_client
 from crowseam.simulator.memory_controller import MemoryController
 from crowseam.simulator.world.disk import DiskImage
-from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.link_faults import LinkFault
 from crowseam.simulator.world.loop import World
 from crowseam.simulator.world.network import Network
 from crowseam.simulator.world.patches import simulated_environment
@@ -30,8 +32,8 @@
 
 IPS = {"r1": "10.1.0.5", "r2": "10.2.0.5", "r3": "10.3.0.5", "gateway": "10.1.0.9"}
 CONTROLLERS = ("r1", "r2", "r3")
-CTL = {name: f"{IPS[name]}:8407" for name in CONTROLLERS}
-COST = 0.0002  # s of the processor for each callback
+CONTROL_ADDRS = {name: f"{IPS[name]}:8407" for name in CONTROLLERS}
+CALLBACK_COST_S = 0.0002  # virtual processor time of each callback
 
 
 def config(ver, parent, prefix="/loans/", kind="safe"):
@@ -67,17 +69,17 @@
     ).encode()
 
 
-class System:
+class SimulatedCluster:
     def __init__(self, seed):
         self.world = World(seed)
         self.network = Network(self.world, lambda a, b: 0.002, lambda ip: ip.rsplit(".", 2)[0])
         self.caller = self.network.process("caller", "10.250.0.1")
         self.disk_images = {name: DiskImage(self.world.random(name)) for name in CONTROLLERS}
-        self.processes, self.controllers, self.answers, self.asked, self.lives = {}, {}, {}, {}, {}
-        self.said, self.versions = [], {}
+        self.processes, self.controllers, self.answers, self.call_numbers, self.incarnations = {}, {}, {}, {}, {}
+        self.logged_events, self.versions = [], {}
         for name in CONTROLLERS:
             self.start(name, True)
-        process = self.network.process("gateway", IPS["gateway"], COST)
+        process = self.network.process("gateway", IPS["gateway"], CALLBACK_COST_S)
         self.table, self.servers = None, {}
         self.controller_session = ControllerSession(
             process.loop,
@@ -96,22 +98,22 @@
             ip=IPS[name],
             az="z",
             port_range=(7660, 7675),
-            seeds=list(CTL.values()),
-            bind=settings_file.Bind(ctl=CTL.get(name, "")),
+            seeds=list(CONTROL_ADDRS.values()),
+            bind=settings_file.Bind(ctl=CONTROL_ADDRS.get(name, "")),
             bootstrap=bootstrap,
-            voting=name in CTL,
-            datadir="memory" if name in CTL else "",
+            voting=name in CONTROL_ADDRS,
+            datadir="memory" if name in CONTROL_ADDRS else "",
         )
 
     def start(self, name, bootstrap=False):
-        life = self.lives[name] = self.lives.get(name, 0) + 1
+        incarnation = self.incarnations[name] = self.incarnations.get(name, 0) + 1
         process = self.processes[name] = self.network.process(
-            f"{name}/{life}", IPS[name], COST, offset=100.0 * life + 7.0 * ord(name[1])
+            f"{name}/{incarnation}", IPS[name], CALLBACK_COST_S, offset=100.0 * incarnation + 7.0 * ord(name[1])
         )
 
         def begin():
             controller = self.controllers[name] = MemoryController(
-                process, self.settings(name, bootstrap), self.disk_images[name], Random(f"{name}/{life}")
+                process, self.settings(name, bootstrap), self.disk_images[name], Random(f"{name}/{incarnation}")
             )
             for part in (controller.peers, controller.gateways):
                 part.protocol_check.ours = self.versions.get(name, PROTOCOL_VERSION)
@@ -120,8 +122,8 @@
         process.loop.call_soon(begin)
 
     def kill(self, name):
-        self.network.ended(self.processes[name])
-        self.controllers[name].disk.cut_short()
+        self.network.process_ended(self.processes[name])
+        self.controllers[name].disk.crash()
 
     def upgrade(self, name):
         self.versions[name] = PROTOCOL_VERSION + 1
@@ -133,11 +135,11 @@
 
     def cut(self, name):
         others = frozenset(ip for other, ip in IPS.items() if other != name)
-        self.network.troubles.append(Trouble(frozenset([IPS[name]]), others, cut=True))
+        self.network.link_faults.append(LinkFault(frozenset([IPS[name]]), others, cut=True))
 
     def heal(self):
-        self.network.troubles.clear()
-        self.network.look()
+        self.network.link_faults.clear()
+        self.network.resume_links()
 
     def disk(self, name, span):
         self.disk_images[name].hangs_until = self.world.now + float(span)
@@ -145,45 +147,54 @@
     def wipe(self, name):
         self.disk_images[name].wipe()
 
-    def held(self):
-        """The duties that some controller holds."""
-        nows = {name: process.clock(self.world.now) for name, process in self.processes.items()}
+    def held_roles(self):
+        """The roles that some controller holds."""
+        times = {name: process.clock(self.world.now) for name, process in self.processes.items()}
         return {
             key
             for key in ROLE_KEYS
-            if any(each.role_leases.held_fencing_token(key, nows[name]) for name, each in self.controllers.items())
+            if any(
+                controller.role_leases.held_fencing_token(key, times[name])
+                for name, controller in self.controllers.items()
+            )
         }
 
     def on_table(self, table):
         self.table = table
 
-    def on_servers(self, records, whole):
-        if whole:
+    def on_servers(self, records, is_complete):
+        if is_complete:
             self.servers.clear()
         self.servers.update((record.id, record) for record in records)
 
     def call(self, name, method, path, body=b""):
-        self.asked[name] = number = self.asked.get(name, 0) + 1
+        self.call_numbers[name] = number = self.call_numbers.get(name, 0) + 1
         self.answers[name] = None
 
         def answered(answer):
-            if self.asked[name] == number:
+            if self.call_numbers[name] == number:
                 self.answers[name] = answer
 
-        http_client.fetch(self.caller, CTL[name], http_client.request(method, CTL[name], path, [], body), 2.0, answered)
+        http_client.fetch(
+            self.caller,
+            CONTROL_ADDRS[name],
+            http_client.request(method, CONTROL_ADDRS[name], path, [], body),
+            2.0,
+            answered,
+        )
 
 
-class Case(unittest.TestCase):
+class TimelineTestCase(unittest.TestCase):
     def play(self, text, seed=1):
         lines = [[cell.strip() for cell in line.split("|")] for line in text.splitlines() if line.strip()]
         names = lines[0][1:]
-        system = System(seed)
+        system = SimulatedCluster(seed)
 
-        def say(event, **fields):
+        def record_event(event, **fields):
             self.assertFalse(event.endswith("failed"), fields)
-            system.said.append((event, fields))
+            system.logged_events.append((event, fields))
 
-        with simulated_environment(system.world, say):
+        with simulated_environment(system.world, record_event):
             for time, *cells in lines[1:]:
                 system.world.run(float(time))
                 line = " | ".join([time, *cells])
@@ -193,9 +204,9 @@
                         if name == "events":
                             getattr(system, verb)(*args)
                         elif name == "gateway":
-                            self.follows(system, verb, args, line)
+                            self.check_gateway(system, verb, args, line)
                         elif verb.startswith("?"):
-                            self.answered(system.answers[name], verb[1:], args, line)
+                            self.check_answer(system.answers[name], verb[1:], args, line)
                         else:
                             self.call(system, name, verb, args)
             self.assertEqual(system.world.failures, [])
@@ -216,44 +227,44 @@
         else:
             raise ValueError(verb)
 
-    def answered(self, answer, status, args, line):
+    def check_answer(self, answer, status, args, line):
         self.assertEqual("none" if answer is None else str(answer.status), status, line)
         if args:
             self.assertEqual(Configuration.from_put(answer.body).ver, int(args[0]), line)
 
-    def follows(self, system, verb, args, line):
+    def check_gateway(self, system, verb, args, line):
         if verb == "?ver":
             self.assertEqual(system.table.ver if system.table else 0, int(args[0]), line)
         elif verb == "?usable":
             self.assertEqual(sorted(r.id for r in system.servers.values() if r.usable), args, line)
         elif verb == "?at":
-            self.assertEqual(system.controller_session.controller_addr, CTL[args[0]], line)
+            self.assertEqual(system.controller_session.controller_addr, CONTROL_ADDRS[args[0]], line)
         elif verb == "?ready":
             self.assertTrue(system.controller_session.is_caught_up, line)
         else:
             raise ValueError(verb)
 
 
-class Configurations(Case):
-    def test_what_is_taken_at_one_is_read_at_the_others_and_followed(self):
+class Configurations(TimelineTestCase):
+    def test_accepted_change_is_read_at_other_controllers_and_sent_to_gateways(self):
         self.play("""
-            time | events | r1        | r2       | r3         | gateway
-            2    |        | put 1 0   |          |            | ?ver 0
-            2.3  |        | ?200; get | get      | get        | ?ver 1; ?ready
-            2.6  |        | ?200 1    | ?200 1   | ?200 1     |
-            3    |        |           |          | put 4 1    |
-            3.1  |        |           |          | ?200       |
-            3.3  |        | get       | get      | put 4 1    | ?ver 4
-            3.6  |        | ?200 4    | ?200 4   | ?200       |
+            time | events | r1        | r2     | r3      | gateway
+            2    |        | put 1 0   |        |         | ?ver 0
+            2.3  |        | ?200; get | get    | get     | ?ver 1; ?ready
+            2.6  |        | ?200 1    | ?200 1 | ?200 1  |
+            3    |        |           |        | put 4 1 |
+            3.1  |        |           |        | ?200    |
+            3.3  |        | get       | get    | put 4 1 | ?ver 4
+            3.6  |        | ?200 4    | ?200 4 | ?200    |
             """)
 
-    def test_of_two_on_the_same_version_one_wins(self):
+    def test_one_of_two_concurrent_changes_wins(self):
         for seed in range(5):
             system = self.play(
                 """
-                time | events | r1        | r2        | r3         | gateway
-                2    |        | put 1 0   |           |            |
-                3    |        | put 2 1   | put 3 1   |            |
+                time | events | r1      | r2      | r3 | gateway
+                2    |        | put 1 0 |         |    |
+                3    |        | put 2 1 | put 3 1 |    |
                 """,
                 seed,
             )
@@ -263,60 +274,60 @@
             winner = 2 if system.answers["r1"].status == 200 else 3
             self.assertEqual(system.table.ver, winner)
 
-    def test_what_is_refused_is_nowhere_in_force(self):
+    def test_rejected_change_takes_effect_nowhere(self):
         self.play("""
-            time | events | r1        | r2        | r3         | gateway
-            2    |        | put 5 0   |           |            |
-            3    |        | bad 6 5   | put 5 5   | put 9 0    |
-            3.5  |        | ?400      | ?400      | ?412       | ?ver 5
-            3.6  |        | get       | get       | get        |
-            4    |        | ?200 5    | ?200 5    | ?200 5     |
+            time | events | r1      | r2      | r3      | gateway
+            2    |        | put 5 0 |         |         |
+            3    |        | bad 6 5 | put 5 5 | put 9 0 |
+            3.5  |        | ?400    | ?400    | ?412    | ?ver 5
+            3.6  |        | get     | get     | get     |
+            4    |        | ?200 5  | ?200 5  | ?200 5  |
             """)
 
-    def test_one_with_a_route_of_keyed_operations_is_taken(self):
+    def test_change_with_a_keyed_route_is_accepted(self):
         self.play("""
-            time | events | r1        | r2        | r3         | gateway
-            2    |        | keyed 1 0 |           |            | ?ver 0
-            2.3  |        | ?200; get |           |            | ?ver 1; ?ready
-            2.6  |        | ?200 1    |           |            |
+            time | events | r1        | r2 | r3 | gateway
+            2    |        | keyed 1 0 |    |    | ?ver 0
+            2.3  |        | ?200; get |    |    | ?ver 1; ?ready
+            2.6  |        | ?200 1    |    |    |
             """)
 
-    def test_one_that_cannot_be_read_is_logged_with_its_field(self):
+    def test_invalid_change_is_logged_with_its_field(self):
         system = self.play("""
-            time | events | r1        | r2        | r3         | gateway
-            2    |        | bad 1 0   |           |            |
-            2.3  |        | ?400      |           |            | ?ver 0
+            time | events | r1      | r2 | r3 | gateway
+            2    |        | bad 1 0 |    |    |
+            2.3  |        | ?400    |    |    | ?ver 0
             """)
-        rejected = [fields for event, fields in system.said if event == "change_rejected"]
+        rejected = [fields for event, fields in system.logged_events if event == "change_rejected"]
         self.assertEqual([fields["status"] for fields in rejected], [400])
         self.assertIn("objs[0].spec.prefix", str(rejected[0]["reason"]))
 
-    def test_a_minority_neither_takes_nor_reads_and_catches_up(self):
+    def test_minority_serves_neither_changes_nor_reads_and_catches_up(self):
         self.play("""
-            time | events | r1        | r2        | r3         | gateway
-            2    |        | put 1 0   |           |            |
-            3    | cut r3 |           |           |            |
-            3.1  |        | put 2 1   |           | put 3 1    |
-            3.5  |        | ?200      | get       |            | ?ver 2
-            4.2  |        |           | ?200 2    | ?503       |
-            4.3  |        |           |           | get        |
-            5.3  |        |           |           | ?503       |
-            6    | heal   |           |           |            |
-            9    |        |           |           | get        | ?ver 2
-            9.5  |        |           |           | ?200 2     | ?ver 2
+            time | events | r1      | r2     | r3      | gateway
+            2    |        | put 1 0 |        |         |
+            3    | cut r3 |         |        |         |
+            3.1  |        | put 2 1 |        | put 3 1 |
+            3.5  |        | ?200    | get    |         | ?ver 2
+            4.2  |        |         | ?200 2 | ?503    |
+            4.3  |        |         |        | get     |
+            5.3  |        |         |        | ?503    |
+            6    | heal   |         |        |         |
+            9    |        |         |        | get     | ?ver 2
+            9.5  |        |         |        | ?200 2  | ?ver 2
             """)
 
-    def test_what_was_acknowledged_outlives_the_end_of_all(self):
+    def test_acknowledged_change_survives_a_restart_of_all_controllers(self):
         self.play("""
-            time | events                    | r1      | r2      | r3      | gateway
-            2    |                           | put 1 0 |         |         |
-            2.4  | kill r1; kill r2; kill r3 | ?200    |         |         |
-            3    | start r1; start r2; start r3 |      |         |         | ?ver 1
-            6    |                           | get     | get     | put 2 1 |
-            6.5  |                           | ?200 1  |         | ?200    | ?ver 2
+            time | events                       | r1      | r2  | r3      | gateway
+            2    |                              | put 1 0 |     |         |
+            2.4  | kill r1; kill r2; kill r3    | ?200    |     |         |
+            3    | start r1; start r2; start r3 |         |     |         | ?ver 1
+            6    |                              | get     | get | put 2 1 |
+            6.5  |                              | ?200 1  |     | ?200    | ?ver 2
             """)
 
-    def test_role_leases_are_held_a_tenth_of_a_second_after_a_majority_is_back(self):
+    def test_role_leases_are_held_100_ms_after_a_majority_is_back(self):
         for first, second, third in itertools.permutations(CONTROLLERS):
             system = self.play(f"""
                 time | events
@@ -326,107 +337,107 @@
                 4.42 | start {third}
                 4.52 |
                 """)
-            self.assertEqual(system.held(), set(ROLE_KEYS), first)
+            self.assertEqual(system.held_roles(), set(ROLE_KEYS), first)
 
-    def test_one_that_lost_its_disk_votes_again_under_a_new_id(self):
+    def test_controller_that_lost_its_disk_votes_again_under_a_new_id(self):
         system = self.play("""
-            time | events            | r1      | r2      | r3      | gateway
-            2    |                   | put 1 0 |         |         |
-            3    | kill r2; wipe r2  |         |         |         |
-            3.5  | start r2          |         |         |         |
-            10   | kill r1           |         | get     |         |
-            11   |                   |         | ?200 1  | put 2 1 |
-            12   |                   |         |         | ?200    | ?ver 2
+            time | events           | r1      | r2     | r3      | gateway
+            2    |                  | put 1 0 |        |         |
+            3    | kill r2; wipe r2 |         |        |         |
+            3.5  | start r2         |         |        |         |
+            10   | kill r1          |         | get    |         |
+            11   |                  |         | ?200 1 | put 2 1 |
+            12   |                  |         |        | ?200    | ?ver 2
             """)
         self.assertEqual(len(system.controllers["r2"].node.voters), 3)
 
-    def test_a_hanging_disk_holds_up_neither_the_others_nor_heartbeats(self):
+    def test_hanging_disk_delays_neither_other_controllers_nor_heartbeats(self):
         self.play("""
-            time | events    | r1      | r2             | r3      | gateway
-            2    |           | put 1 0 |                |         |
-            3    | disk r2 4 |         |                |         |
-            3.1  |           | put 2 1 | heartbeat i-1 up 1  |         |
-            3.8  |           | ?200    | ?200           |         | ?ver 2; ?usable i-1
+            time | events    | r1      | r2                 | r3 | gateway
+            2    |           | put 1 0 |                    |    |
+            3    | disk r2 4 |         |                    |    |
+            3.1  |           | put 2 1 | heartbeat i-1 up 1 |    |
+            3.8  |           | ?200    | ?200               |    | ?ver 2; ?usable i-1
             """)
 
 
-class Reports(Case):
-    def test_a_gateway_hears_of_servers_that_report_anywhere(self):
+class Reports(TimelineTestCase):
+    def test_gateway_learns_of_servers_that_report_to_any_controller(self):
         self.play("""
-            time | events | r1             | r2                   | r3             | gateway
-            2    |        | heartbeat i-1 up 1  | heartbeat i-2 up 1        | heartbeat i-3 up 1  | ?usable
-            2.2  |        | ?200           | ?200                 | ?200           | ?usable i-1 i-2 i-3
-            2.5  |        | heartbeat i-2 up 3  | heartbeat i-1 draining 4  | delete i-3     |
-            2.7  |        | ?200           | ?200                 | ?200           | ?usable i-2
-            2.8  |        | heartbeat i-1 up 3  |                      | heartbeat i-3 up 9  |
-            3    |        | ?200           |                      | ?200           | ?usable i-2
+            time | events | r1                 | r2                       | r3                 | gateway
+            2    |        | heartbeat i-1 up 1 | heartbeat i-2 up 1       | heartbeat i-3 up 1 | ?usable
+            2.2  |        | ?200               | ?200                     | ?200               | ?usable i-1 i-2 i-3
+            2.5  |        | heartbeat i-2 up 3 | heartbeat i-1 draining 4 | delete i-3         |
+            2.7  |        | ?200               | ?200                     | ?200               | ?usable i-2
+            2.8  |        | heartbeat i-1 up 3 |                          | heartbeat i-3 up 9 |
+            3    |        | ?200               |                          | ?200               | ?usable i-2
             """)
 
-    def test_a_cut_off_controller_does_not_acknowledge_that_a_server_leaves(self):
+    def test_partitioned_controller_does_not_acknowledge_that_a_server_leaves(self):
         self.play("""
-            time | events | r1            | r2             | r3                  | gateway
-            2    |        | heartbeat i-1 up 1 | heartbeat i-2 up 1  |                     |
-            3    | cut r3 |               |                |                     | ?usable i-1 i-2
-            3.05 |        |               |                | heartbeat i-1 draining 2 |
-            3.1  |        |               |                | ?none               |
-            4    |        |               |                | ?503                | ?usable i-1 i-2
-            4.1  |        |               |                | delete i-2          |
-            4.2  |        |               |                | ?503                |
-            4.3  |        |               |                | heartbeat i-3 up 1       |
-            4.4  |        | heartbeat i-1 draining 3 |          | ?503                |
-            4.6  |        | ?200          |                |                     | ?usable i-2
-            6    | heal   |               |                |                     |
-            9    |        |               |                |                     | ?usable i-3
+            time | events | r1                       | r2                 | r3                       | gateway
+            2    |        | heartbeat i-1 up 1       | heartbeat i-2 up 1 |                          |
+            3    | cut r3 |                          |                    |                          | ?usable i-1 i-2
+            3.05 |        |                          |                    | heartbeat i-1 draining 2 |
+            3.1  |        |                          |                    | ?none                    |
+            4    |        |                          |                    | ?503                     | ?usable i-1 i-2
+            4.1  |        |                          |                    | delete i-2               |
+            4.2  |        |                          |                    | ?503                     |
+            4.3  |        |                          |                    | heartbeat i-3 up 1       |
+            4.4  |        | heartbeat i-1 draining 3 |                    | ?503                     |
+            4.6  |        | ?200                     |                    |                          | ?usable i-2
+            6    | heal   |                          |                    |                          |
+            9    |        |                          |                    |                          | ?usable i-3
             """)
 
-    def test_what_was_acknowledged_of_a_server_outlives_a_loss_of_power_of_all(self):
-        for after in ("3.25", "3.5", "3.75", "4.1"):  # the whole registry is written each second
+    def test_acknowledged_leave_survives_a_power_loss_of_all_controllers(self):
+        for after in ("3.25", "3.5", "3.75", "4.1"):  # the whole registry is saved every second
             with self.subTest(after=after):
                 system = self.play(f"""
-                    time    | events                       | r1                  | r2            | r3
+                    time    | events                       | r1                       | r2                 | r3
                     2       |                              | heartbeat i-1 up 1       | heartbeat i-2 up 1 |
-                    3.1     |                              | heartbeat i-1 draining 2 | delete i-2    |
-                    3.2     |                              | ?200                | ?200          |
-                    {after} | kill r1; kill r2; kill r3    |                     |               |
-                    4.5     | start r1; start r2; start r3 |                     |               |
-                    5       |                              |                     |               |
+                    3.1     |                              | heartbeat i-1 draining 2 | delete i-2         |
+                    3.2     |                              | ?200                     | ?200               |
+                    {after} | kill r1; kill r2; kill r3    |                          |                    |
+                    4.5     | start r1; start r2; start r3 |                          |                    |
+                    5       |                              |                          |                    |
                     """)
                 for name, controller in system.controllers.items():
                     usable = [r.id for r in controller.registry.records(controller.now()) if r.usable]
                     self.assertEqual(usable, [], name)
 
-    def test_an_acknowledged_end_is_known_after_any_one_is_lost(self):
+    def test_acknowledged_leave_survives_the_loss_of_any_controller(self):
         for lost in CONTROLLERS:
             self.play(f"""
-                time | events      | r1                  | r2            | r3      | gateway
-                2    |             | heartbeat i-1 up 1       | heartbeat i-2 up 1 |         |
-                3    |             | heartbeat i-1 draining 2 |               |         | ?usable i-1 i-2
-                3.1  | kill {lost} | ?200                |               |         |
-                6    |             |                     |               |         | ?usable i-2
+                time | events      | r1                       | r2                 | r3 | gateway
+                2    |             | heartbeat i-1 up 1       | heartbeat i-2 up 1 |    |
+                3    |             | heartbeat i-1 draining 2 |                    |    | ?usable i-1 i-2
+                3.1  | kill {lost} | ?200                     |                    |    |
+                6    |             |                          |                    |    | ?usable i-2
                 """)
 
 
-class Sessions(Case):
-    def test_a_gateway_whose_controller_ends_goes_on_at_another(self):
+class Sessions(TimelineTestCase):
+    def test_gateway_fails_over_when_its_controller_ends(self):
         self.play("""
-            time | events  | r1      | r2      | r3            | gateway
+            time | events  | r1      | r2      | r3                 | gateway
             2    |         | put 1 0 |         | heartbeat i-1 up 1 | ?at r1
-            2.5  | kill r1 |         |         |               | ?ver 1
+            2.5  | kill r1 |         |         |                    | ?ver 1
             4    |         |         | put 2 1 | heartbeat i-2 up 1 |
-            4.5  |         |         | ?200    |               | ?ver 2; ?usable i-1 i-2
+            4.5  |         |         | ?200    |                    | ?ver 2; ?usable i-1 i-2
             """)
 
-    def test_a_gateway_leaves_a_controller_that_is_cut_off(self):
-        # r1 and the gateway are in the same place, but r1 is cut off from all; the link is silent.
+    def test_gateway_leaves_a_partitioned_controller(self):
+        # r1 and the gateway are in the same zone, but r1 is partitioned: the link stays open without messages.
         self.play("""
-            time | events | r1      | r2      | r3      | gateway
-            2    |        | put 1 0 |         |         | ?at r1
-            3    | cut r1 |         |         |         |
-            3.1  |        |         | put 2 1 |         |
-            5.5  |        |         | ?200    |         | ?ver 2
+            time | events | r1      | r2      | r3 | gateway
+            2    |        | put 1 0 |         |    | ?at r1
+            3    | cut r1 |         |         |    |
+            3.1  |        |         | put 2 1 |    |
+            5.5  |        |         | ?200    |    | ?ver 2
             """)
 
-    def test_a_session_stands_and_is_known_everywhere_before_there_is_a_configuration(self):
+    def test_session_is_open_and_known_everywhere_before_the_first_configuration(self):
         system = self.play("""
             time | events | r1 | r2 | r3 | gateway
             2    |        |    |    |    | ?at r1
@@ -439,37 +450,38 @@
                 controller = system.controllers[name]
                 self.assertEqual(list(controller.session_table.members(controller.now())), ["gateway"])
 
-    def test_unlike_versions_refuse_each_other_and_meet_again_once_they_are_alike(self):
+    def test_different_protocol_versions_reject_each_other_until_they_are_equal(self):
         system = self.play("""
-            time | events          | r1      | r2      | r3      | gateway
-            2    |                 | put 1 0 |         |         |
-            2.5  | upgrade r1      |         |         |         | ?ver 1
-            6    |                 | get     | put 2 1 |         |
-            7    |                 | ?503    | ?200    |         | ?ver 2
-            7.1  | upgrade r2      |         |         |         |
-            11   |                 | get     |         | get     |
-            12   |                 | ?200 2  |         | ?503    | ?ver 2
-            12.1 |                 | put 3 2 |         |         |
-            13   | upgrade r3      | ?200    |         |         | ?ver 2
-            18   |                 |         |         | get     |
-            19   | upgrade gateway |         |         | ?200 3  | ?ver 2
-            25   |                 |         |         |         | ?ver 3; ?ready
+            time | events          | r1      | r2      | r3     | gateway
+            2    |                 | put 1 0 |         |        |
+            2.5  | upgrade r1      |         |         |        | ?ver 1
+            6    |                 | get     | put 2 1 |        |
+            7    |                 | ?503    | ?200    |        | ?ver 2
+            7.1  | upgrade r2      |         |         |        |
+            11   |                 | get     |         | get    |
+            12   |                 | ?200 2  |         | ?503   | ?ver 2
+            12.1 |                 | put 3 2 |         |        |
+            13   | upgrade r3      | ?200    |         |        | ?ver 2
+            18   |                 |         |         | get    |
+            19   | upgrade gateway |         |         | ?200 3 | ?ver 2
+            25   |                 |         |         |        | ?ver 3; ?ready
             """)
-        told = [tuple(fields.values()) for event, fields in system.said if event == "protocol_mismatch"]
+        mismatches = [tuple(fields.values()) for event, fields in system.logged_events if event == "protocol_mismatch"]
         ours, theirs = PROTOCOL_VERSION, PROTOCOL_VERSION + 1
         self.assertLessEqual(
-            {(CTL["r1"], ours, theirs), (CTL["r3"], theirs, ours), ("gateway", theirs, ours)}, set(told)
+            {(CONTROL_ADDRS["r1"], ours, theirs), (CONTROL_ADDRS["r3"], theirs, ours), ("gateway", theirs, ours)},
+            set(mismatches),
         )
-        # Each tells it once of each of the others that it meets in its life.
-        self.assertLessEqual(len(told), 16)
+        # Each process logs the mismatch once per peer.
+        self.assertLessEqual(len(mismatches), 16)
 
-    def test_a_ticket_of_an_earlier_life_is_none_of_a_later_one(self):
-        # Others may answer an earlier life once a later one has begun, and tickets are all they name.
+    def test_call_numbers_are_not_reused_after_a_restart(self):
+        # Replies to an earlier incarnation may arrive later, and are matched by the call number only.
         timeline = """
-            time | events             | r1
-            2    |                    |
-            2.1  | kill r1; start r1  |
-            2.2  |                    |
+            time | events            | r1
+            2    |                   |
+            2.1  | kill r1; start r1 |
+            2.2  |                   |
             """
         controller = self.play("time | events\n2 |", 3).controllers["r1"]
         first = [controller.pending_calls.next_number() for _ in range(1000)]
--- a/tests/crowseam/test_detection.py
+++ b/tests/crowseam/test_detection.py
@@ -1,4 +1,4 @@
-"""The measure of failure detection: what is dead is told, what is slow is not taken for dead."""
+"""The failure detection measurement: dead controllers are detected, slow ones are not reported dead."""
 
 import unittest
 from contextlib import redirect_stderr
@@ -9,20 +9,20 @@
 
 
 class DetectionTest(unittest.TestCase):
-    def test_a_dead_controller_is_told_by_all_others_within_a_second_and_a_slow_one_is_not_dead(self):
-        told = detection.summary("without power", 1)
-        self.assertEqual(told["missed"], 0)
-        self.assertTrue(0.5 < told["longest_s"] < 1.2, told)
-        told = detection.summary("8 times slower", 1)
-        self.assertLess(told["wrong_part"], 0.001)
+    def test_all_others_detect_a_dead_controller_within_about_a_second_and_a_slow_one_is_not_reported_dead(self):
+        summary = detection.summarize_detection("without power", 1)
+        self.assertEqual(summary["missed"], 0)
+        self.assertTrue(0.5 < summary["longest_s"] < 1.2, summary)
+        summary = detection.summarize_detection("8 times slower", 1)
+        self.assertLess(summary["wrong_part"], 0.001)
 
-    def test_all_gateways_have_left_a_server_within_milliseconds_of_its_acknowledgement(self):
-        times = detection.letting_go(None, 1)
+    def test_all_gateways_stop_using_a_server_within_50_ms_of_its_drain_acknowledgement(self):
+        times = detection.drain_delays(None, 1)
         self.assertEqual(len(times), 3)
         self.assertLess(max(times), 0.05)
 
-    def test_a_number_of_runs_that_is_none_is_told(self):
-        told = StringIO()
-        with redirect_stderr(told):
+    def test_an_invalid_number_of_runs_is_reported(self):
+        error_output = StringIO()
+        with redirect_stderr(error_output):
             self.assertEqual(run(["detection", "--runs=many"]), 2)
-        self.assertIn("--runs", told.getvalue())
+        self.assertIn("--runs", error_output.getvalue())
--- a/tests/crowseam/test_docs.py
+++ b/tests/crowseam/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages name what there is: files, modules, classes, methods and metrics (events: test_logs.py)."""
+"""The files, modules, classes, methods and metrics that the pages mention exist (for log events see test_logs.py)."""
 
 import ast
 import importlib
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parents[2]
-BUILT = "target/"  # left by the build, not in the repository
+BUILD_DIRECTORY = "target/"  # created by the build, not in the repository
 PLAIN_PATH = re.compile(r"(?![/.-])[\w./-]+(?:/|/[\w.-]+|\.(?:md|toml|txt|py))")
 NAMES_CHECKED = ("architecture.md", "glossary.md")
 PACKAGES = sorted(path.parent.name for path in (ROOT / "crowseam").glob("*/__init__.py"))
@@ -17,24 +17,24 @@
 
 
 def code_spans(page: str) -> list[str]:
-    """Return what a page sets in single backticks, outside of code blocks."""
+    """Return the texts in single backticks on a page, outside of code blocks."""
     text = re.sub(r"```.*?```", "", (ROOT / page).read_text(), flags=re.DOTALL)
     return re.findall(r"`([^`\n]+)`", text)
 
 
-def texts(node: ast.AST) -> set[str]:
-    """Return all string constants in a part of the code."""
-    return {each.value for each in ast.walk(node) if isinstance(each, ast.Constant) and isinstance(each.value, str)}
+def string_constants(node: ast.AST) -> set[str]:
+    """Return all string constants in a syntax tree."""
+    return {child.value for child in ast.walk(node) if isinstance(child, ast.Constant) and isinstance(child.value, str)}
 
 
 def exported_metrics() -> set[str]:
-    """Return the names of all metrics that the processes export, without the ending of counters."""
+    """Return the names of all exported metrics, without the suffix of counters."""
     code = ast.parse((ROOT / "crowseam/metrics/families.py").read_text())
-    return {text for text in texts(code) if re.fullmatch(r"crowseam_\w+", text)}
+    return {text for text in string_constants(code) if re.fullmatch(r"crowseam_\w+", text)}
 
 
 def names_in(text: str) -> set[str]:
-    """The names of the code in a page, each in full: those that begin with one of our packages."""
+    """Return the full names of code objects in a page: those that start with one of our packages or modules."""
     names = set()
     for name in CODE.findall(text):
         if not DOTTED.fullmatch(name):
@@ -48,7 +48,7 @@
 
 
 def exists(name: str) -> bool:
-    """Whether a module, or something in it, has this name: a function, a class, a method or a declared field."""
+    """Return whether a module, function, class, method or declared field with this name exists."""
     parts = name.split(".")
     for count in range(len(parts), 0, -1):
         try:
@@ -73,7 +73,7 @@
         self.assertGreater(len(paths), 40)
         for path in paths:
             with self.subTest(path=path):
-                self.assertTrue(path.startswith(BUILT) or (ROOT / path).exists())
+                self.assertTrue(path.startswith(BUILD_DIRECTORY) or (ROOT / path).exists())
 
     def test_each_module_that_the_design_page_names_exists(self):
         names = [span for span in code_spans("docs/system.md") if re.fullmatch(r"crowseam(\.\w+)+", span)]
@@ -89,22 +89,22 @@
 
 
 class Names(unittest.TestCase):
-    def test_what_the_two_pages_mention_exists(self):
+    def test_names_on_the_checked_pages_exist(self):
         for page in NAMES_CHECKED:
             text = (ROOT / "docs" / page).read_text()
             names = names_in(text)
             self.assertGreater(len(names), 40, page)
             self.assertEqual(sorted(name for name in names if not exists(name)), [], page)
 
-    def test_each_place_of_the_glossary_is_a_name_of_the_code(self):
+    def test_each_location_in_the_glossary_is_a_code_name(self):
         rows = [line.split("|") for line in (ROOT / "docs" / "glossary.md").read_text().splitlines() if "|" in line]
-        places = [cells[4] for cells in rows if len(cells) == 6 and "`" in cells[4]]
-        self.assertGreater(len(places), 50)
-        for place in places:
-            for name in CODE.findall(place):
+        locations = [cells[4] for cells in rows if len(cells) == 6 and "`" in cells[4]]
+        self.assertGreater(len(locations), 50)
+        for location in locations:
+            for name in CODE.findall(location):
                 self.assertTrue(names_in(f"`{name}`"), name)
 
-    def test_a_name_that_is_gone_is_found(self):
+    def test_missing_name_is_found(self):
         text = (
             "`consensus.node.Node.read`, `consensus.node.Node.reads`, `crowseam.gone.away`, `peers.Peers`, `system.md`"
         )
@@ -120,10 +120,10 @@
             for path in re.findall(r"`((?:crowseam|fennelpoint|tests|deploy|examples)/[\w./]*)`", page.read_text()):
                 self.assertTrue((ROOT / path).exists(), f"{page.name}: {path}")
 
-    def test_names_in_full_that_any_page_mentions_exist(self):
+    def test_full_names_on_any_page_exist(self):
         for page in [ROOT / "README.md", *sorted((ROOT / "docs").glob("*.md"))]:
-            full = {name for name in names_in(page.read_text()) if f"`{name}`" in page.read_text()}
-            self.assertEqual(sorted(name for name in full if not exists(name)), [], page.name)
+            full_names = {name for name in names_in(page.read_text()) if f"`{name}`" in page.read_text()}
+            self.assertEqual(sorted(name for name in full_names if not exists(name)), [], page.name)
 
 
 if __name__ == "__main__":
--- a/tests/crowseam/test_gateway.py
+++ b/tests/crowseam/test_gateway.py
@@ -28,7 +28,7 @@
 
 class Case(unittest.TestCase):
     def setUp(self):
-        system = test_controller.System(1)
+        system = test_controller.SimulatedCluster(1)
         self.world, process = system.world, system.network.process("x", "10.1.0.30")
         stack = contextlib.ExitStack()
         self.addCleanup(stack.close)
--- a/tests/crowseam/test_golden.py
+++ b/tests/crowseam/test_golden.py
@@ -131,7 +131,7 @@
         )
         self.addCleanup(store.writer.store.close)
         self.assertTrue(store.has_complete_members)
-        self.assertTrue(store.has_counted)
+        self.assertTrue(store.was_caught_up)
         self.assertEqual(store.granted_roles(), {"tenants/3": "10.2.0.5:8407 77"})
         self.assertEqual(store.members(), {"10.1.0.4:8080"})
 
@@ -142,7 +142,7 @@
         self.assertEqual(machine.snapshot(), golden)
         self.assertEqual(golden_samples.state_bytes(), golden)
         self.assertEqual(
-            (machine.config.ver, len(machine.recent), len(machine.earlier), machine.forgotten), (3, 1, 1, 1)
+            (machine.config.ver, len(machine.recent), len(machine.earlier), machine.highest_forgotten_ver), (3, 1, 1, 1)
         )
 
 
--- a/tests/crowseam/test_guards.py
+++ b/tests/crowseam/test_guards.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from crowseam.cli import dispatch
-from crowseam.cli.model_check import PARTS, guards
+from crowseam.cli.model_check import PARTS, guard_rows
 
 PAGE = Path(__file__).resolve().parents[2] / "docs/control.md"
 
@@ -19,7 +19,7 @@
             for line in PAGE.read_text().splitlines()
             if line.split("|")[1:2] and line.split("|")[1].strip() in PARTS
         ]
-        self.assertEqual(told, [row for part in PARTS for row in guards(part)])
+        self.assertEqual(told, [row for part in PARTS for row in guard_rows(part)])
 
     def test_each_has_a_seed_or_a_reason(self):
         for part, module in PARTS.items():
@@ -31,4 +31,4 @@
         told = StringIO()
         with redirect_stdout(told):
             self.assertEqual(dispatch.run(["model-check", "--part=callers", "--guards"]), 0)
-        self.assertEqual(told.getvalue().splitlines(), guards("callers"))
+        self.assertEqual(told.getvalue().splitlines(), guard_rows("callers"))
--- a/tests/crowseam/test_known_red.py
+++ b/tests/crowseam/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail: what it says, and that it can't hide more than it says."""
+"""The list of known failures: its format, and that it excuses only the listed tests."""
 
 import subprocess
 import sys
@@ -10,7 +10,7 @@
 
 from tests import conftest
 
-ONE = """import unittest
+TEST_SOURCE = """import unittest
 
 
 class T(unittest.TestCase):
@@ -27,29 +27,29 @@
             path = Path(folder) / "KNOWN-RED.txt"
             if text is not None:
                 path.write_text(text)
-            return conftest.known_red(path)
+            return conftest.known_failures(path)
 
-    def test_no_list_is_an_empty_one(self):
+    def test_missing_list_is_empty(self):
         self.assertEqual(self.read(None), {})
 
     def test_each_line_names_test_cause_and_issue(self):
         line = "tests/crowseam/test_a.py::B::test_c | a lease is counted twice | 19"
         self.assertEqual(self.read(f"{line}\n\n"), {"tests/crowseam/test_a.py::B::test_c": line})
-        four = "\n".join(f"t{number} | b | 1" for number in range(4))
-        for wrong in ("tests/a.py", "a | b", "a | | c", "a | b | 1\na | b | 2", four):
-            with self.subTest(text=wrong), self.assertRaises(pytest.UsageError):
-                self.read(wrong)
+        too_many = "\n".join(f"t{number} | b | 1" for number in range(4))
+        for malformed in ("tests/a.py", "a | b", "a | | c", "a | b | 1\na | b | 2", too_many):
+            with self.subTest(text=malformed), self.assertRaises(pytest.UsageError):
+                self.read(malformed)
 
 
 class OutcomeTest(unittest.TestCase):
     def outcome(self, listed, passes, *args):
-        """The exit code and what is printed for a tree with two tests."""
+        """Run pytest on a tree with two tests; return the exit code and the output."""
         with tempfile.TemporaryDirectory() as folder:
             root = Path(folder)
             (root / "tests/crowseam").mkdir(parents=True)
             for package in ("tests", "tests/crowseam"):
                 (root / package / "__init__.py").write_text("")
-            (root / "tests/crowseam/test_one.py").write_text(ONE.format(passes=passes))
+            (root / "tests/crowseam/test_one.py").write_text(TEST_SOURCE.format(passes=passes))
             (root / "tests/test_two.py").write_text("def test_y(): pass\n")
             (root / "tests/conftest.py").write_text(Path(conftest.__file__).read_text())
             (root / "pyproject.toml").write_text('[tool.pytest.ini_options]\ntestpaths = ["tests"]\n')
@@ -59,7 +59,7 @@
             done = subprocess.run(command, cwd=root, capture_output=True, text=True)
             return done.returncode, done.stdout + done.stderr
 
-    def test_a_listed_one_may_fail_and_has_to(self):
+    def test_listed_test_must_fail(self):
         line = "tests/crowseam/test_one.py::T::test_x | why | 19"
         self.assertEqual(self.outcome(None, True)[0], 0)
         self.assertEqual(self.outcome(None, False)[0], 1)
@@ -70,23 +70,23 @@
         self.assertEqual(code, 1, printed)
         self.assertIn("XPASS(strict)", printed)
 
-    def test_only_what_is_listed_is_set_apart(self):
+    def test_unlisted_failure_fails_the_run(self):
         code, printed = self.outcome("tests/test_two.py::test_y | why | 19", False)
         self.assertEqual(code, 1)
         self.assertIn("2 failed", printed)
 
-    def test_what_is_listed_has_to_be_a_test(self):
+    def test_listed_name_must_be_a_test(self):
         for name in ("tests/crowseam/test_one.py::T::test_z", "tests/test_three.py::test_y", "tests/test_two.py"):
             code, printed = self.outcome(f"{name} | why | 19", True)
             self.assertNotEqual(code, 0, name)
-            self.assertIn("what is no test", printed)
+            self.assertIn("names that are not tests", printed)
 
-    def test_a_list_out_of_order_fails_the_run(self):
+    def test_malformed_list_fails_the_run(self):
         code, printed = self.outcome("a | b", True)
         self.assertNotEqual(code, 0)
         self.assertIn("test | cause | issue", printed)
 
-    def test_a_run_of_another_file_is_no_matter_of_the_list(self):
+    def test_run_of_other_files_ignores_the_list(self):
         line = "tests/crowseam/test_one.py::T::test_x | why | 19"
         code, printed = self.outcome(line, False, "tests/test_two.py")
         self.assertEqual(code, 0, printed)
--- a/tests/crowseam/test_large_states.py
+++ b/tests/crowseam/test_large_states.py
@@ -24,7 +24,7 @@
 from crowseam.model_checks.agreement.check import Ledger, Order
 from crowseam.model_checks.catchup.check import Padded
 from crowseam.settings import Bind, Settings
-from crowseam.simulator.slow_links import MEMBER, RATE, SEEDS, SlowLinks, configuration
+from crowseam.simulator.slow_links import LINK_BANDWIDTH, NEW_CONTROLLER, SEEDS, SlowLinks, configuration
 from crowseam.simulator.world.patches import simulated_environment
 from crowseam.transport.codec import decode, pack
 from crowseam.transport.messages import FollowingLog, OpenSession
@@ -45,7 +45,10 @@
             self.assertLess(one.seconds, 3.0, name)
             self.assertLess(one.bytes, 250_000, name)
             self.assertLess(one.gap, 0.7, name)
-        self.assertEqual((took["gateway"].left, scenario.heard["State"], scenario.world.failures), (0, 0, []))
+        self.assertEqual(
+            (took["gateway"].left, scenario.messages_received["ConfigurationState"], scenario.world.failures),
+            (0, 0, []),
+        )
 
     def test_a_reconnecting_gateway_gets_only_the_steps_it_missed(self):
         scenario = SlowLinks(1, BODY, 0.2)
@@ -53,29 +56,29 @@
         with simulated_environment(scenario.world, quiet):
             for span in (0.5, 3.0):
                 scenario.controller_session.link.close()
-                before, slot = scenario.heard.copy(), scenario.controller_session.slot
+                before, slot = scenario.messages_received.copy(), scenario.controller_session.slot
                 scenario.run(span)
                 scenario.world.run(scenario.world.now + 1.0)
                 self.assertGreater(scenario.controller_session.slot, slot)
                 self.assertEqual(scenario.controller_session.config.ver, scenario.ver)
-                for kind in ("State", "SnapshotOffer", "SnapshotPart"):
-                    self.assertEqual(scenario.heard[kind], before[kind], kind)
+                for kind in ("ConfigurationState", "SnapshotOffer", "SnapshotChunk"):
+                    self.assertEqual(scenario.messages_received[kind], before[kind], kind)
 
     def test_a_full_configuration_delays_heartbeats_on_a_slow_link_only_by_its_compressed_size(self):
         scenario = SlowLinks(1, configuration(20, 20, 2), 0.5)
         body = configuration(1300, 5100, 70, 2, 1)
-        transfer_s = len(pack(body)) / RATE
+        transfer_s = len(pack(body)) / LINK_BANDWIDTH
         with simulated_environment(scenario.world, quiet):
             scenario.world.run(2.0)
-            scenario.change()
-            scenario.start(MEMBER)
+            scenario.send_change()
+            scenario.start(NEW_CONTROLLER)
             scenario.world.run(6.0)
-            self.assertIn(f"{MEMBER}:8407", scenario.controllers[SEEDS[0]].peers.voters())
+            self.assertIn(f"{NEW_CONTROLLER}:8407", scenario.controllers[SEEDS[0]].peers.voters())
             scenario.body, scenario.ver = body, 0
-            scenario.change()
+            scenario.send_change()
             scenario.world.run(20.0)
-        self.assertEqual(scenario.controllers[MEMBER].machine.config.ver, 2)
-        heartbeat_times = scenario.signs[MEMBER].values()
+        self.assertEqual(scenario.controllers[NEW_CONTROLLER].machine.config.ver, 2)
+        heartbeat_times = scenario.heartbeat_times[NEW_CONTROLLER].values()
         gaps = [b - a for times in heartbeat_times for a, b in zip(times, times[1:], strict=False)]
         self.assertLess(transfer_s, max(gaps))
         self.assertLess(max(gaps), transfer_s + 0.8)
@@ -84,7 +87,7 @@
         scenario = SlowLinks(2, configuration(1300, 5100, 70), 0.5)
         with simulated_environment(scenario.world, quiet):
             scenario.world.run(2.0)
-            scenario.change()
+            scenario.send_change()
             scenario.world.run(4.0)
             scenario.start_gateway()
             while not (
@@ -93,14 +96,14 @@
                 and len(scenario.controller_session.download.chunks) >= 4
             ):
                 scenario.world.run(scenario.world.now + 0.05)
-            first, parts = scenario.controller_session.controller_addr, scenario.heard["SnapshotPart"]
+            first, parts = scenario.controller_session.controller_addr, scenario.messages_received["SnapshotChunk"]
             ip = first.partition(":")[0]
-            scenario.network.ended(scenario.controllers[ip].loop.process)
+            scenario.network.process_ended(scenario.controllers[ip].loop.process)
             scenario.world.run(scenario.world.now + 6.0)
         self.assertEqual(scenario.controller_session.config.ver, 1)
         self.assertNotEqual(scenario.controller_session.controller_addr, first)
         size = len(pack(scenario.controllers[next(s for s in SEEDS if s != ip)].machine.config.dump()))
-        self.assertLessEqual(scenario.heard["SnapshotPart"], -(-size // (32 << 10)) + 2, parts)
+        self.assertLessEqual(scenario.messages_received["SnapshotChunk"], -(-size // (32 << 10)) + 2, parts)
 
 
 class Gateway(unittest.TestCase):
--- a/tests/crowseam/test_layers.py
+++ b/tests/crowseam/test_layers.py
@@ -1,18 +1,17 @@
-"""The layers: which package may import which, what the cores may not use, and no circle of files."""
+"""The layering rules: allowed imports between packages, forbidden modules in the cores, no import cycles."""
 
 import functools
 import unittest
 from pathlib import Path
 
-from tests.crowseam.import_graph import Graph, circles, graph, imports_of, sources
+from tests.crowseam.import_graph import Graph, build_graph, import_cycles, imports_of, read_sources
 
 ROOT = Path(__file__).parents[2]
 CORES = ("configuration", "consensus", "discovery", "membership", "operations", "quotas")
 DAEMON_LIBRARIES = {"configuration", "consensus", "discovery", "membership", "operations", "quotas", "transport"}
 DAEMON_LIBRARIES |= {"clock", "control_calls", "logs", "metrics", "quorum", "settings"}
 DAEMONS = DAEMON_LIBRARIES | {"controller", "gateway", "storage"}
-# By part of crowseam: the other parts that it may import; what is not listed, it may not.  Parts of fennelpoint are
-# named in full.
+# For each part of crowseam, the other parts that it may import. Parts of fennelpoint are listed by their full names.
 ALLOWED: dict[str, set[str]] = {
     "__init__": set(),
     "__main__": {"cli", "controller", "gateway"},
@@ -50,7 +49,7 @@
         "storage",
     },
 }
-# Clocks, loops, sockets, processes and files: the cores are given time, randomness and messages as arguments.
+# Clocks, event loops, sockets, processes and files: the cores get time, randomness and messages as arguments.
 FORBIDDEN_IN_CORES = {
     "asyncio",
     "http",
@@ -71,7 +70,7 @@
 
 
 def part(module: str) -> str:
-    """The part that a module belongs to, as ALLOWED names it."""
+    """Return the part that a module belongs to, as named in ALLOWED."""
     package, *rest = module.split(".")
     if package == "crowseam":
         return rest[0] if rest else "__init__"
@@ -81,61 +80,61 @@
 
 
 def violations(imports: Graph) -> list[str]:
-    """Imports across parts that ALLOWED does not list, and what the cores may not use."""
+    """Return the imports between parts that ALLOWED does not list, and forbidden imports in the cores."""
     found = []
     for module, others in imports.items():
-        mine = part(module)
+        importing_part = part(module)
         for other in sorted(others):
-            theirs = part(other)
+            imported_part = part(other)
             if not module.startswith("crowseam"):
-                wrong = theirs and not theirs.startswith("fennelpoint")
-            elif theirs:
-                wrong = theirs != mine and theirs not in ALLOWED.get(mine, ())
+                is_forbidden = imported_part and not imported_part.startswith("fennelpoint")
+            elif imported_part:
+                is_forbidden = imported_part != importing_part and imported_part not in ALLOWED.get(importing_part, ())
             else:
-                wrong = mine in CORES and other.partition(".")[0] in FORBIDDEN_IN_CORES
-            if wrong:
+                is_forbidden = importing_part in CORES and other.partition(".")[0] in FORBIDDEN_IN_CORES
+            if is_forbidden:
                 found.append(f"{module} imports {other}")
     return found
 
 
 @functools.cache
 def known_modules() -> dict[str, str]:
-    return sources(ROOT, ("crowseam", "fennelpoint"))
+    return read_sources(ROOT, ("crowseam", "fennelpoint"))
 
 
 @functools.cache
 def known_imports() -> Graph:
-    return graph(known_modules())
+    return build_graph(known_modules())
 
 
 class LayersTest(unittest.TestCase):
-    def test_each_part_imports_only_what_it_may(self):
+    def test_parts_import_only_allowed_parts(self):
         self.assertEqual(violations(known_imports()), [])
 
-    def test_every_part_is_listed_and_the_list_names_no_other(self):
+    def test_the_rules_list_exactly_the_existing_parts(self):
         parts = {part(module) for module in known_modules() if module.startswith("crowseam")}
         self.assertEqual(parts, set(ALLOWED))
-        self.assertEqual({each for each in set().union(*ALLOWED.values()) if "." not in each} - parts, set())
+        self.assertEqual({name for name in set().union(*ALLOWED.values()) if "." not in name} - parts, set())
 
-    def test_production_knows_nothing_of_its_tools_and_the_daemons_not_of_each_other(self):
+    def test_daemons_may_import_neither_tools_nor_each_other(self):
         tools = {"capacity", "cli", "model_checks", "simulator", "soak"}
         for name in DAEMONS:
             self.assertFalse(ALLOWED[name] & tools, name)
         self.assertNotIn("gateway", ALLOWED["controller"])
         self.assertNotIn("controller", ALLOWED["gateway"])
 
-    def test_no_files_import_each_other(self):
-        self.assertEqual(circles(known_imports()), [])
+    def test_there_are_no_import_cycles(self):
+        self.assertEqual(import_cycles(known_imports()), [])
 
 
 class PlantedTest(unittest.TestCase):
-    """What the checks are for is found where it is planted, also in functions and for type checkers."""
+    """The checks find violations that are added to the sources, also in functions and under TYPE_CHECKING."""
 
     def planted(self, module: str, line: str) -> Graph:
         source = f"{known_modules()[module]}\n{line}\n"
         return known_imports() | {module: imports_of(module, source, known_modules())}
 
-    def test_an_import_against_the_layers_is_found(self):
+    def test_forbidden_import_is_found(self):
         for module, line, found in (
             ("crowseam.consensus.node", "import time", "time"),
             ("crowseam.quotas.lease_grantor", "from crowseam import clock", "crowseam.clock"),
@@ -148,19 +147,19 @@
                 (violation,) = violations(self.planted(module, line))
                 self.assertTrue(violation.startswith(f"{module} imports ") and violation.endswith(found), violation)
 
-    def test_a_circle_of_files_is_found_whole(self):
+    def test_import_cycle_is_found_completely(self):
         for line in (
             "from crowseam.simulator.simulation import Simulation",
             "if TYPE_CHECKING:\n    from crowseam.simulator.simulation import Simulation",
             "def f():\n    import crowseam.simulator.simulation",
         ):
-            (circle,) = circles(self.planted("crowseam.simulator.machine", line))
-            self.assertIn("crowseam.simulator.machine", circle)
-            self.assertIn("crowseam.simulator.simulation", circle)
+            (cycle,) = import_cycles(self.planted("crowseam.simulator.machine", line))
+            self.assertIn("crowseam.simulator.machine", cycle)
+            self.assertIn("crowseam.simulator.simulation", cycle)
 
-    def test_a_circle_of_three_is_one_circle(self):
+    def test_cycle_of_three_modules_is_one_cycle(self):
         modules = {"a": "import b", "b": "import c", "c": "import a", "d": "import a"}
-        self.assertEqual(circles(graph(modules)), [["a", "b", "c"]])
+        self.assertEqual(import_cycles(build_graph(modules)), [["a", "b", "c"]])
 
 
 if __name__ == "__main__":
--- a/tests/crowseam/test_logs.py
+++ b/tests/crowseam/test_logs.py
@@ -1,4 +1,4 @@
-"""The list of events for operators, held against what the code logs; and how a line is written."""
+"""The documented log events against those that the code emits, and the format of log lines."""
 
 import ast
 import re
@@ -16,8 +16,8 @@
 ROLES = {"gateway": ("gateway",), "controller": ("controller",), "both": BOTH}
 
 
-def said():
-    """(role, event) -> (fields, whether there may be more) of the calls in the code."""
+def logged_events():
+    """Return the events emitted in the code: (role, event) -> (fields, whether there may be more)."""
     found = {}
     for package, roles in PACKAGES.items():
         for path in sorted((ROOT / "crowseam" / package).glob("*.py")):
@@ -27,13 +27,13 @@
                     and isinstance(node.func, ast.Attribute)
                     and isinstance(node.func.value, ast.Name)
                     and node.func.value.id == "logs"
-                    and node.func.attr in ("say", "failure")
+                    and node.func.attr in ("emit", "exception")
                 ):
                     continue
                 event = node.args[0]
                 events = [event.body, event.orelse] if isinstance(event, ast.IfExp) else [event]
                 names = {keyword.arg for keyword in node.keywords}
-                if node.func.attr == "failure":
+                if node.func.attr == "exception":
                     names = {"trace"}
                 for each in events:
                     for role in roles:
@@ -42,33 +42,33 @@
     return found
 
 
-def listed():
-    """(role, event) -> (fields, those that are there only at times) of the list."""
+def documented_events():
+    """Return the events on the page: (role, event) -> (fields, optional fields)."""
     found = {}
     for line in PAGE.read_text().splitlines():
         if line.startswith("| `"):
             event, _, role, fields, meaning, _ = (cell.strip() for cell in line.strip("|").split("|"))
             assert meaning, line
-            always, _, at_times = fields.partition("(")
+            always, _, optional = fields.partition("(")
             for each in ROLES[role]:
-                found[each, event.strip("`")] = tuple(set(re.findall(r"`(\w+)`", part)) for part in (always, at_times))
+                found[each, event.strip("`")] = tuple(set(re.findall(r"`(\w+)`", part)) for part in (always, optional))
     return found
 
 
 class Events(unittest.TestCase):
-    def test_all_that_is_logged_is_listed_and_the_other_way_round(self):
-        code, told = said(), listed()
-        self.assertEqual(sorted(code), sorted(told))
+    def test_emitted_and_documented_events_are_the_same(self):
+        code, documented = logged_events(), documented_events()
+        self.assertEqual(sorted(code), sorted(documented))
         for key, (fields, more) in code.items():
-            self.assertEqual(fields, told[key][0], key)
-            self.assertEqual(more, bool(told[key][1]), key)
+            self.assertEqual(fields, documented[key][0], key)
+            self.assertEqual(more, bool(documented[key][1]), key)
 
-    def test_a_name_of_before_is_no_event_of_today_and_has_one_successor(self):
+    def test_former_event_names_are_unique_and_no_longer_in_use(self):
         rows = [line.strip("|").split("|") for line in PAGE.read_text().splitlines() if line.startswith("| `")]
-        before = [name for row in rows if (name := row[1].strip().strip("`"))]
-        self.assertGreater(len(before), 15)
-        self.assertEqual(len(before), len(set(before)))
-        self.assertEqual(set(before) & {row[0].strip().strip("`") for row in rows}, set())
+        former_names = [name for row in rows if (name := row[1].strip().strip("`"))]
+        self.assertGreater(len(former_names), 15)
+        self.assertEqual(len(former_names), len(set(former_names)))
+        self.assertEqual(set(former_names) & {row[0].strip().strip("`") for row in rows}, set())
 
 
 class Lines(unittest.TestCase):
@@ -83,33 +83,33 @@
             patch.start()
             self.addCleanup(patch.stop)
 
-    def test_one_line_of_pairs(self):
-        logs.say("refused", id="a", wait=0.123456, reason="two words", rest="x=1")
+    def test_event_is_one_line_of_pairs(self):
+        logs.emit("refused", id="a", wait=0.123456, reason="two words", rest="x=1")
         self.assertEqual(self.lines, ['t=1050.000 event=refused id=a wait=0.1235 reason="two words" rest="x=1"'])
 
-    def test_whatever_is_told_it_stays_one_line_that_can_be_taken_apart(self):
+    def test_any_value_stays_on_one_line_that_can_be_parsed(self):
         for text in ('he said "no"', "a\nb", "a\r\n level=INFO", "", "tab\there", "\\", 'x"y', "\x00", "\u2028z"):
             self.lines.clear()
             self.now += 2.0
-            logs.say("e", text=text, last=1)
+            logs.emit("e", text=text, last=1)
             self.assertEqual(len(self.lines[0].splitlines()), 1, repr(self.lines[0]))
             pairs = re.findall(r'(\w+)=("(?:[^"\\]|\\.)*"|[^\s"]+)(?: |$)', self.lines[0])
             self.assertEqual([name for name, _ in pairs], ["t", "event", "text", "last"], self.lines[0])
 
-    def test_a_flood_is_sampled_and_what_is_left_out_is_told(self):
+    def test_frequent_events_are_sampled_and_the_omitted_ones_counted(self):
         for _ in range(12):
-            logs.say("e")
-        logs.say("other")
+            logs.emit("e")
+        logs.emit("other")
         self.assertEqual(len(self.lines), 6)
         self.now += 1.1
-        logs.say("e")
+        logs.emit("e")
         self.assertIn("left_out=7", self.lines[-1])
 
-    def test_a_failure_is_one_line_too(self):
+    def test_exception_is_one_line(self):
         try:
             raise ValueError('a "quoted"\ntext')
         except ValueError:
-            logs.failure("e")
+            logs.exception("e")
         self.assertEqual(len(self.lines[0].splitlines()), 1)
         self.assertIn("ValueError", self.lines[0])
 
--- a/tests/crowseam/test_metrics.py
+++ b/tests/crowseam/test_metrics.py
@@ -14,7 +14,7 @@
 
 from crowseam.cli import control_client
 from crowseam.cli.dispatch import run
-from crowseam.cli.metrics_table import Merged
+from crowseam.cli.metrics_table import MergedMetrics
 from crowseam.discovery.server_record import ServerRecord
 from crowseam.gateway.gateway import Gateway
 from crowseam.gateway.request_reader import RequestReader
@@ -43,7 +43,7 @@
     process = Process(asyncio.get_running_loop(), told, Random(1))
     await process.start()
     found = [loaded()]
-    reader, writer = await asyncio.open_connection(*settings.address(readyz))
+    reader, writer = await asyncio.open_connection(*settings.parse_address(readyz))
     writer.write(b"GET /-/metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
     answer = (await reader.read()).decode()
     found.append(loaded())
@@ -146,7 +146,7 @@
 
 class OfDaemons(unittest.TestCase):
     def test_a_gateway_counts_outcomes_and_its_exposition_can_be_parsed(self):
-        system = test_controller.System(1)
+        system = test_controller.SimulatedCluster(1)
         process = system.network.process("x", "10.1.0.30")
         with simulated_environment(system.world, lambda event, **fields: None):
             system.world.enter(process)
@@ -194,12 +194,12 @@
             self.assertEqual(exported[f"crowseam_{name}", *labels], value, (name, labels))
 
     def test_metrics_of_a_controller(self):
-        system = test_controller.System(1)
+        system = test_controller.SimulatedCluster(1)
         with simulated_environment(system.world, lambda event, **fields: None):
             system.world.run(3.0)
             controller = system.controllers["r1"]
             system.world.enter(system.processes["r1"])
-            controller.api.counts["status"] = 2
+            controller.api.call_counts["status"] = 2
             exported = samples(exposition.render(families.of_controller(controller.api, controller.now())))
         self.assertEqual(exported["crowseam_calls_total", "status"], 2)
         for name, value in (("in_touch", 1), ("voters", 3), ("voter", 1), ("gateways", 1)):
@@ -227,7 +227,7 @@
     def test_merged_metrics_of_two_gateways_equal_those_of_one_with_all_requests(self):
         rng = Random(2)
         fast, slow = [rng.uniform(0.01, 0.1) for _ in range(900)], [rng.uniform(0.3, 0.8) for _ in range(100)]
-        merged, alone = Merged(SKETCH_TYPE), Merged(SKETCH_TYPE)
+        merged, alone = MergedMetrics(SKETCH_TYPE), MergedMetrics(SKETCH_TYPE)
         for text in (self.text(fast, refused=4), self.text(slow, refused=6)):
             merged.add(text.decode())
         alone.add(self.text(fast + slow, refused=10).decode())
--- a/tests/crowseam/test_operations.py
+++ b/tests/crowseam/test_operations.py
@@ -283,9 +283,9 @@
             newcomer._requested_at = -1e9  # makes its requests due again
             part, is_complete = self.teach(newcomer, own, teacher, replica)
             self.assertEqual(is_complete, is_enough)
-        self.assertFalse(newcomer.counts)
+        self.assertFalse(newcomer.is_caught_up)
         newcomer.reply_saved(part.number)
-        self.assertTrue(newcomer.counts)
+        self.assertTrue(newcomer.is_caught_up)
         self.assertEqual(len(own), 100)
 
     def test_records_that_could_not_be_written_are_requested_again(self):
@@ -331,7 +331,7 @@
     """The claims of a gateway; the test plays the controller."""
 
     def setUp(self):
-        system = test_controller.System(1)
+        system = test_controller.SimulatedCluster(1)
         self.world, process = system.world, system.network.process("x", "10.1.0.30")
         stack = self.enterContext
         stack(test_controller.simulated_environment(self.world, lambda event, **fields: None))
--- a/tests/crowseam/test_quotas.py
+++ b/tests/crowseam/test_quotas.py
@@ -43,7 +43,7 @@
             "the extra": "the rule allows",
             "the reserve": "the rule allows",
         }
-        mutants = model_check.known("quotas")
+        mutants = model_check.run_known_mutants("quotas")
         self.assertGreaterEqual(len(mutants), 12)
         for mutant, violations in mutants:
             with self.subTest(without=mutant.guard):
--- a/tests/crowseam/test_retirement.py
+++ b/tests/crowseam/test_retirement.py
@@ -35,17 +35,17 @@
 from crowseam.gateway.gateway import Gateway
 from crowseam.simulator import simulation
 from crowseam.simulator.actors import http_client
-from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.link_faults import LinkFault
 from crowseam.simulator.world.patches import simulated_environment
 from tests.crowseam import test_controller
-from tests.crowseam.test_controller import CONTROLLERS, COST
+from tests.crowseam.test_controller import CALLBACK_COST_S, CONTROLLERS
 from tests.crowseam.test_load_balancer import ROUTES
-from tests.crowseam.test_simulator import small
+from tests.crowseam.test_simulator import small_day
 
 IPS = test_controller.IPS | {"a": "10.1.0.21", "b": "10.3.0.22"}
 
 
-class System(test_controller.System):
+class System(test_controller.SimulatedCluster):
     """Three controllers and two gateways that record the server updates they receive."""
 
     def __init__(self, seed):
@@ -61,8 +61,8 @@
             self.start_gateway(name)
 
     def start_gateway(self, name):
-        incarnation = self.lives[name] = self.lives.get(name, 0) + 1
-        process = self.processes[name] = self.network.process(f"{name}/{incarnation}", IPS[name], COST)
+        incarnation = self.incarnations[name] = self.incarnations.get(name, 0) + 1
+        process = self.processes[name] = self.network.process(f"{name}/{incarnation}", IPS[name], CALLBACK_COST_S)
         servers = self.servers_seen[name] = {}
         self.in_flight[name] = {}
 
@@ -96,13 +96,13 @@
     def kill(self, *names):
         for name in names:
             if name in ("a", "b"):
-                self.network.ended(self.processes[name])
+                self.network.process_ended(self.processes[name])
             else:
                 super().kill(name)
 
     def cut(self, name):
         others = frozenset(ip for other, ip in IPS.items() if other != name)
-        self.network.troubles.append(Trouble(frozenset([IPS[name]]), others, cut=True))
+        self.network.link_faults.append(LinkFault(frozenset([IPS[name]]), others, cut=True))
 
     def behind(self, ident, *names):
         for name in names:
@@ -446,7 +446,7 @@
 
 class RequestsInFlight(unittest.TestCase):
     def test_a_request_waiting_for_a_connection_moves_at_once_and_that_is_no_retry(self):
-        system = test_controller.System(1)
+        system = test_controller.SimulatedCluster(1)
         server = system.network.process("i-2", "10.9.0.2")
         received = []
 
@@ -455,7 +455,7 @@
                 received.append((system.world.now, data))
 
         system.network.listen(server, ReceivingProtocol, "10.9.0.2", 80)
-        system.network.off.add("10.9.0.1")  # connections there are neither established nor refused
+        system.network.powered_off.add("10.9.0.1")  # connections there are neither established nor refused
         process = system.network.process("x", "10.1.0.30")
         with simulated_environment(system.world, lambda event, **fields: None):
             system.world.enter(process)
@@ -478,23 +478,23 @@
 
     def retire(self, seed, command):
         """Simulate a day on which `command` is given; the servers are switched off as soon as that is safe."""
-        day = small(8.0)
+        day = small_day(8.0)
         simulated = simulation.Simulation(day, seed)
-        started_at, replies, ended_servers, views = simulated.begins + 1.0, [], [], []
+        started_at, replies, ended_servers, views = simulated.load_begins + 1.0, [], [], []
 
         def call(address, method, path, body, done):
             data = http_client.request(method, address, path, [], body)
             http_client.fetch(simulated.operator.process, address, data, 1.0, done)
 
         def send_command():
-            call(simulated.control[0].ctl, "POST", "/-/retire", json.dumps(command).encode(), on_reply)
+            call(simulated.control_machines[0].ctl, "POST", "/-/retire", json.dumps(command).encode(), on_reply)
 
         def on_reply(answer):
             replies.append((simulated.world.now, answer.status))
             query_status()
 
         def query_status():
-            call(simulated.control[-1].ctl, "GET", "/-/retiring", b"", on_status)
+            call(simulated.control_machines[-1].ctl, "GET", "/-/retiring", b"", on_status)
 
         def on_status(answer):
             rows = json.loads(answer.body)["servers"]
@@ -506,7 +506,7 @@
             else:
                 simulated.later(0.05, query_status)
 
-        simulated.world.at(started_at, simulated.world.outside, send_command)
+        simulated.world.schedule(started_at, simulated.world.environment, send_command)
         return simulated.run(), replies, ended_servers, views
 
     def test_servers_switched_off_once_that_is_safe_fail_no_request(self):
@@ -542,7 +542,7 @@
         def sleep(seconds):
             now[0] += seconds
 
-        wait = retirement_wait.Wait(query_status, lambda: now[0], sleep, messages.append)
+        wait = retirement_wait.RetirementWait(query_status, lambda: now[0], sleep, messages.append)
         try:
             return [row["id"] for row in wait.until_safe(idents, timeout_s)], messages
         except CommandError as error:
