--- a/tests/crowseam/test_simulator.py
+++ b/tests/crowseam/test_simulator.py
@@ -1,11 +1,10 @@
-"""The simulator: links, clocks and disks in memory, whole days, and a judge that sees defects.
-
-Timelines of links have a column for each end and one for the link itself.  An end's cells hold ``dial``,
-``send TEXT``, ``patience S`` (what is not acknowledged for so long is given up), ``close``; and what it has
-by now: ``?TEXT`` (all that came), ``?open``, ``?end``, ``?lost`` (it ended in an error), and of the dialling
-``?up``, ``?dialling`` or ``?refused``.  The link is ``cut``, or it ``heals``; ``kill`` ends the process on
-the right, ``off`` takes its power, ``on`` gives it back.  ``deaf`` and ``mute`` cut one way only: what the
-right end is sent is lost, or what it sends.
+"""Tests of the simulator: network, clocks and disks, whole days, and the detection of defects by its judge.
+
+Link timelines have one column for each end and one for the link.  An end can ``dial``, ``listen``, ``send TEXT``, set
+``timeout S`` (its TCP user timeout) and ``close``.  Checks of an end are ``?TEXT`` (all data received so far),
+``?open``, ``?end`` (end of stream) and ``?lost`` (an error); checks of a pending connection are ``?up``, ``?dialling``
+and ``?refused``.  The link can be ``cut`` in both directions, or only to (``cut_in``) or from (``cut_out``) the right
+end, and ``restored``.  ``kill`` ends the process on the right, ``off`` and ``on`` switch the power of its machine.
 """
 
 import asyncio
@@ -27,25 +26,25 @@
 from crowseam.quotas.retry_budget import RetryBudget
 from crowseam.simulator import machine, simulation
 from crowseam.simulator.scenario import replay
-from crowseam.simulator.scenario.day import FAULT_KINDS, DayError, build, changed, parse
+from crowseam.simulator.scenario.day import FAULT_KINDS, DayError, build, parse, with_changes
 from crowseam.simulator.scenario.faults import KINDS
 from crowseam.simulator.world.disk import DiskImage, MemoryDisk, MemoryStore
-from crowseam.simulator.world.link_faults import Trouble
+from crowseam.simulator.world.link_faults import LinkFault
 from crowseam.simulator.world.loop import World
 from crowseam.simulator.world.network import Network
 from crowseam.storage.records import Member, Note
 from crowseam.storage.store import Store
 
 
-class End(asyncio.Protocol):
+class RecordingProtocol(asyncio.Protocol):
     def __init__(self):
-        self.heard, self.ended, self.error, self.transport = b"", False, None, None
+        self.received, self.ended, self.error, self.transport = b"", False, None, None
 
     def connection_made(self, transport):
         self.transport = transport
 
     def data_received(self, data):
-        self.heard += data
+        self.received += data
 
     def eof_received(self):
         self.ended = True
@@ -54,8 +53,8 @@
         self.ended, self.error = True, error
 
 
-class Links:
-    """Plays a timeline of two ends."""
+class LinkTimeline:
+    """Runs the steps and checks of a timeline for two ends of a connection."""
 
     def __init__(self, case, text):
         self.case, self.world = case, World(1)
@@ -63,18 +62,18 @@
         self.left = self.network.process("left", "10.0.0.1", 0.0001)
         self.right = self.network.process("right", "10.0.0.2", 0.0001)
         self.ends = {"left": None, "right": None}
-        self.made, self.cut = None, Trouble(frozenset(["10.0.0.2"]), cut=True)
+        self.connected, self.link_fault = None, LinkFault(frozenset(["10.0.0.2"]), cut=True)
         for line in [line for line in text.splitlines() if line.strip()][1:]:
-            time, *simulations = (part.strip() for part in line.split("|"))
+            time, *cells = (part.strip() for part in line.split("|"))
             self.world.run(float(time))
-            for name, words in zip(("left", "right", "link"), simulations, strict=False):
+            for name, words in zip(("left", "right", "link"), cells, strict=False):
                 for step in filter(None, (part.strip() for part in words.split(";"))):
                     self.step(name, step.split(), line)
         self.world.leave()
         case.assertEqual(self.world.failures, [])
 
     def accept(self):
-        self.ends["right"] = End()
+        self.ends["right"] = RecordingProtocol()
         return self.ends["right"]
 
     def step(self, name, words, line):
@@ -82,33 +81,35 @@
         if verb == "listen":
             self.network.listen(self.right, self.accept, "10.0.0.2", 80)
         elif verb == "dial":
-            self.ends["left"] = End()
-            self.made = self.left.loop.create_future()
-            self.network.dial(self.left, lambda: self.ends["left"], "10.0.0.2", 80, self.made)
+            self.ends["left"] = RecordingProtocol()
+            self.connected = self.left.loop.create_future()
+            self.network.dial(self.left, lambda: self.ends["left"], "10.0.0.2", 80, self.connected)
         elif verb == "send":
             end.transport.write(rest[0].encode())
-        elif verb == "patience":
+        elif verb == "timeout":
             end.transport.user_timeout = float(rest[0])
         elif verb == "close":
             end.transport.close()
-        elif verb in ("cut", "deaf", "mute", "heals"):
-            self.cut.way = {"deaf": "in", "mute": "out"}.get(verb, "both")
-            (self.network.troubles.remove if verb == "heals" else self.network.troubles.append)(self.cut)
-            self.network.look()
+        elif verb in ("cut", "cut_in", "cut_out", "restored"):
+            self.link_fault.direction = {"cut_in": "in", "cut_out": "out"}.get(verb, "both")
+            (self.network.link_faults.remove if verb == "restored" else self.network.link_faults.append)(
+                self.link_fault
+            )
+            self.network.resume_links()
         elif verb == "kill":
-            self.network.ended(self.right)
+            self.network.process_ended(self.right)
         elif verb == "off":
-            self.network.ended(self.right, silently=True)
-            self.network.off.add("10.0.0.2")
+            self.network.process_ended(self.right, silently=True)
+            self.network.powered_off.add("10.0.0.2")
         elif verb == "on":
-            self.network.off.clear()
-            self.network.look()
+            self.network.powered_off.clear()
+            self.network.resume_links()
         elif verb == "?up":
-            case.assertTrue(self.made.done() and self.made.exception() is None, line)
+            case.assertTrue(self.connected.done() and self.connected.exception() is None, line)
         elif verb == "?dialling":
-            case.assertFalse(self.made.done(), line)
+            case.assertFalse(self.connected.done(), line)
         elif verb == "?refused":
-            case.assertIsInstance(self.made.exception(), ConnectionRefusedError, line)
+            case.assertIsInstance(self.connected.exception(), ConnectionRefusedError, line)
         elif verb == "?end":
             case.assertTrue(end.ended, line)
         elif verb == "?lost":
@@ -116,12 +117,12 @@
         elif verb == "?open":
             case.assertFalse(end.ended, line)
         else:
-            case.assertEqual(end.heard.decode(), verb[1:], line)
+            case.assertEqual(end.received.decode(), verb[1:], line)
 
 
-class TestLinks(unittest.TestCase):
-    def test_in_order_and_to_the_end(self):
-        Links(
+class TestNetwork(unittest.TestCase):
+    def test_data_arrives_in_order_before_the_end(self):
+        LinkTimeline(
             self,
             """
             time | left           | right            | link
@@ -133,8 +134,8 @@
         """,
         )
 
-    def test_nobody_listens(self):
-        Links(
+    def test_a_connection_without_listener_is_refused(self):
+        LinkTimeline(
             self,
             """
             time | left     | right | link
@@ -143,8 +144,8 @@
         """,
         )
 
-    def test_a_cut_is_silent_and_what_waited_comes_after_it(self):
-        Links(
+    def test_a_cut_is_silent_and_held_data_arrives_after_it(self):
+        LinkTimeline(
             self,
             """
             time | left       | right   | link
@@ -152,122 +153,122 @@
             0.10 | ?up        |         | cut
             0.20 | send a     |         |
             2.00 | send b     | ?; ?open |
-            2.10 | ?open      |         | heals
+            2.10 | ?open      |         | restored
             5.00 |            | ?ab     |
         """,
         )
 
-    def test_what_waited_does_not_pass_a_second_cut(self):
-        # It is sent again 0.2 s to 0.25 s after the first cut, when the second one holds.
-        Links(
+    def test_held_data_does_not_pass_a_second_cut(self):
+        # The retransmission falls 0.2 s to 0.25 s after the first cut, during the second one.
+        LinkTimeline(
             self,
             """
             time | left       | right   | link
             0.00 | dial       | listen  |
             0.10 | ?up        |         | cut
-            0.20 | send a     |         | heals
+            0.20 | send a     |         | restored
             0.30 | send b     |         | cut
             0.40 | send c     |         |
-            1.00 |            | ?       | heals
+            1.00 |            | ?       | restored
             1.10 | send d     | ?       |
             5.00 | ?open      | ?abcd   |
         """,
         )
 
-    def test_patience_goes_on_over_cuts_until_something_has_passed(self):
-        Links(
+    def test_the_user_timeout_continues_over_cuts_until_data_has_passed(self):
+        LinkTimeline(
             self,
             """
             time | left               | right   | link
             0.00 | dial               | listen  |
-            0.10 | patience 1.5       |         | cut
+            0.10 | timeout 1.5        |         | cut
             0.10 | send a             |         |
-            1.00 |                    |         | heals
+            1.00 |                    |         | restored
             1.10 |                    |         | cut
             1.55 | ?open              |         |
             1.75 | ?lost              | ?       |
         """,
         )
-        Links(
+        LinkTimeline(
             self,
             """
             time | left               | right   | link
             0.00 | dial               | listen  |
-            0.10 | patience 1.5       |         | cut
+            0.10 | timeout 1.5        |         | cut
             0.10 | send a             |         |
-            1.00 |                    |         | heals
+            1.00 |                    |         | restored
             1.10 |                    |         | cut
-            1.15 |                    |         | heals
+            1.15 |                    |         | restored
             3.00 | ?open              | ?a      |
         """,
         )
 
-    def test_patience_ends_a_cut_link_on_one_side_only(self):
-        Links(
+    def test_the_user_timeout_ends_only_its_own_side_of_a_cut_link(self):
+        LinkTimeline(
             self,
             """
             time | left               | right   | link
             0.00 | dial               | listen  |
-            0.10 | patience 1.5       |         | cut
+            0.10 | timeout 1.5        |         | cut
             0.20 | send a             |         |
             1.60 | ?open              |         |
             1.80 | ?lost              | ?open   |
-            2.00 |                    |         | heals
+            2.00 |                    |         | restored
             4.00 |                    | ?       |
         """,
         )
 
-    def test_a_cut_one_way_lets_the_other_through_until_nobody_acknowledges_it(self):
-        Links(
+    def test_a_cut_in_one_direction_lets_the_other_pass_until_it_times_out_unacknowledged(self):
+        LinkTimeline(
             self,
             """
             time | left               | right            | link
             0.00 | dial               | listen           |
-            0.10 | patience 1.5       | patience 1.5     | mute
+            0.10 | timeout 1.5        | timeout 1.5      | cut_out
             0.20 | send a             | send x           |
             0.30 | ?                  | ?a               |
             1.60 | ?open              | ?open            |
             1.80 | ?lost              | ?lost            |
         """,
         )
-        Links(
+        LinkTimeline(
             self,
             """
             time | left               | right            | link
             0.00 | dial               | listen           |
-            0.10 | patience 1.5       |                  | deaf
+            0.10 | timeout 1.5        |                  | cut_in
             0.20 | send a             | send x           |
             0.30 | ?x                 | ?                |
-            1.00 |                    |                  | heals
+            1.00 |                    |                  | restored
             3.00 | ?open              | ?a               |
         """,
         )
-        for way in ("deaf", "mute"):
-            Links(
+        for way in ("cut_in", "cut_out"):
+            LinkTimeline(
                 self,
                 f"""
                 time | left       | right   | link
                 0.00 |            | listen  | {way}
                 0.10 | dial       |         |
-                1.50 | ?dialling  |         | heals
+                1.50 | ?dialling  |         | restored
                 4.00 | ?up        |         |
             """,
             )
 
     def test_a_connection_opened_into_a_cut_comes_up_after_it(self):
-        Links(
+        LinkTimeline(
             self,
             """
             time | left       | right   | link
             0.00 |            | listen  | cut
             0.10 | dial       |         |
-            1.50 | ?dialling  |         | heals
+            1.50 | ?dialling  |         | restored
             4.00 | ?up        |         |
         """,
         )
 
-    def test_a_killed_process_closes_and_a_dark_machine_says_nothing_until_it_is_back(self):
-        Links(
+    def test_a_killed_process_closes_and_a_machine_without_power_is_silent_until_it_is_back(self):
+        LinkTimeline(
             self,
             """
             time | left       | right   | link
@@ -276,7 +277,7 @@
             0.20 | ?end       |         |
         """,
         )
-        Links(
+        LinkTimeline(
             self,
             """
             time | left       | right   | link
@@ -287,12 +288,12 @@
         """,
         )
 
-    def test_who_does_not_read_holds_up_the_writer(self):
+    def test_a_receiver_that_does_not_read_blocks_the_sender(self):
         network = Network(World(1), lambda a, b: 0.01, lambda ip: ip)
         world, ends, paused = network.world, [], []
         one, two = network.process("one", "10.0.0.1"), network.process("two", "10.0.0.2")
-        network.listen(two, lambda: ends.append(End()) or ends[-1], "10.0.0.2", 80)
-        mine = End()
+        network.listen(two, lambda: ends.append(RecordingProtocol()) or ends[-1], "10.0.0.2", 80)
+        mine = RecordingProtocol()
         mine.pause_writing, mine.resume_writing = lambda: paused.append(1), lambda: paused.append(0)
         network.dial(one, lambda: mine, "10.0.0.2", 80, one.loop.create_future())
         world.run(0.1)
@@ -303,7 +304,7 @@
         ends[0].transport.resume_reading()
         world.run(2.0)
         world.leave()
-        self.assertEqual((paused, len(ends[0].heard)), ([1, 0], 200_000))
+        self.assertEqual((paused, len(ends[0].received)), ([1, 0], 200_000))
 
 
 class TestProcess(unittest.TestCase):
@@ -321,49 +322,49 @@
         world.run(2.0)
         world.leave()
         self.assertEqual(seen[3:], [(3, 1.0)])
-        self.assertAlmostEqual(process.used, 0.4)
+        self.assertAlmostEqual(process.processor_time_s, 0.4)
         self.assertAlmostEqual(process.loop.time(), 52.0)
 
     def test_timeouts_and_tasks_of_asyncio_run_on_virtual_time(self):
         world = World(1)
-        process, told = Network(world, lambda a, b: 0.0, lambda ip: ip).process("p", "10.0.0.1", 0.0001), []
+        process, timed_out_at = Network(world, lambda a, b: 0.0, lambda ip: ip).process("p", "10.0.0.1", 0.0001), []
 
         async def wait():
             try:
                 async with asyncio.timeout(5.0):
                     await asyncio.sleep(60.0)
             except TimeoutError:
-                told.append(round(world.now, 1))
+                timed_out_at.append(round(world.now, 1))
 
         process.loop.create_task(wait())
         world.run(10.0)
         world.leave()
-        self.assertEqual((told, world.failures), ([5.0], []))
+        self.assertEqual((timed_out_at, world.failures), ([5.0], []))
 
 
 def random_records(rng):
-    """Some transactions as a voter writes them."""
-    slot, told = 0, [[IdentityRecord("v1")]]
+    """Return random transactions as a voter writes them."""
+    slot, transactions = 0, [[IdentityRecord("v1")]]
     for _ in range(40):
         ballot = Ballot(rng.randrange(1, 9), "a")
         entry = ConfigurationEntry(f"t{slot}", slot + 1, slot, True, b"body", "digest")
         draw = rng.randrange(6)
         if draw == 0:
-            told.append([PromiseRecord(slot + 1, ballot)])
+            transactions.append([PromiseRecord(slot + 1, ballot)])
         elif draw == 1:
-            told.append([VoteRecord(slot + 1, ballot, entry)])
+            transactions.append([VoteRecord(slot + 1, ballot, entry)])
         elif draw in (2, 3):
             slot += 1
-            told.append([ChosenRecord(slot, entry), Note("n", b"%d" % slot)])
+            transactions.append([ChosenRecord(slot, entry), Note("n", b"%d" % slot)])
         elif draw == 4 and slot:
-            told.append([SnapshotRecord(slot, b"state", [Voter("v1", "10.1.0.5:1")], max(1, slot - 2))])
+            transactions.append([SnapshotRecord(slot, b"state", [Voter("v1", "10.1.0.5:1")], max(1, slot - 2))])
         else:
-            told.append([Member(f"m{rng.randrange(4)}", rng.choice([b"", None]))])
-    return told
+            transactions.append([Member(f"m{rng.randrange(4)}", rng.choice([b"", None]))])
+    return transactions
 
 
 class TestDisk(unittest.TestCase):
-    def test_it_keeps_what_the_store_on_a_real_disk_keeps(self):
+    def test_it_stores_the_same_as_the_store_on_a_real_disk(self):
         for seed in range(3):
             disk_image = DiskImage(random.Random(seed))
             memory = MemoryStore(disk_image)
@@ -377,29 +378,29 @@
                 self.assertEqual((memory.notes(), memory.members()), (store.notes(), store.members()))
                 store.close()
 
-    def test_what_is_not_synced_is_there_whole_or_not_at_all(self):
+    def test_an_unsynced_transaction_is_kept_whole_or_not_at_all(self):
         kept = set()
         for seed in range(8):
             world = World(seed)
             process = Network(world, lambda a, b: 0.0, lambda ip: ip).process("p", "10.0.0.1", 0.0001)
-            disk_image, told = DiskImage(random.Random(seed)), []
+            disk_image, results = DiskImage(random.Random(seed)), []
             disk = MemoryDisk(process.loop, MemoryStore(disk_image))
-            disk.write([Note("a", b"1")], told.append)
+            disk.write([Note("a", b"1")], results.append)
             world.run(0.1)
-            disk.write([Note("b", b"1"), Note("c", b"1")], told.append)
+            disk.write([Note("b", b"1"), Note("c", b"1")], results.append)
             world.run(0.1005)
-            disk.cut_short()
-            process.die()
+            disk.crash()
+            process.end()
             world.run(1.0)
             world.leave()
-            self.assertEqual(told, [True])
+            self.assertEqual(results, [True])
             kept.add(tuple(sorted(disk_image.notes)))
         self.assertEqual(kept, {("a",), ("a", "b", "c")})
 
 
-def small(length=6.0, **more):
-    """A day of three machines in three zones, served within a second."""
-    told = {
+def small_day(length=6.0, **more):
+    """Return a day with three machines in three zones, which is simulated within about a second."""
+    values = {
         "name": "small",
         "length": length,
         "settle": 4.0,
@@ -418,21 +419,21 @@
             ],
         },
     }
-    told["deployment"] |= more.pop("deployment", {})
-    return build(told | more)
+    values["deployment"] |= more.pop("deployment", {})
+    return build(values | more)
 
 
 class TestDays(unittest.TestCase):
     def test_the_file_format_names_the_faults_that_there_are(self):
         self.assertEqual(set(FAULT_KINDS), set(KINDS))
 
-    def test_a_quiet_day_is_served_and_the_same_each_time(self):
-        one, two = simulation.play(small(), 3)[0], simulation.play(small(), 3)[0]
+    def test_a_day_without_faults_is_served_and_reproducible(self):
+        one, two = simulation.run_day(small_day(), 3)[0], simulation.run_day(small_day(), 3)[0]
         self.assertEqual((one.rules, one.failures, one.share, one.unacked), ({}, [], 1.0, 0))
         self.assertGreater(one.asks, 120)
         one.took = two.took = 0.0
         self.assertEqual(one, two)
-        self.assertNotEqual(simulation.play(small(), 4)[0].asks, one.asks)
+        self.assertNotEqual(simulation.run_day(small_day(), 4)[0].asks, one.asks)
 
     def test_a_day_of_faults_breaks_no_rule(self):
         faults = [
@@ -444,38 +445,38 @@
             {"kind": "load", "at": 4.0, "target": "south", "amount": 8.0, "span": 3.0},
             {"kind": "wipe", "at": 8.0, "target": "s-1", "span": 1.0},
         ]
-        told = simulation.play(small(10.0, faults=faults), 1)[0]
-        self.assertEqual((told.rules, told.failures), ({}, []))
-        self.assertEqual((len(told.acks), told.events["change_rejected"]), (3, 1))
-        self.assertGreater(told.share, 0.6)
+        metrics = simulation.run_day(small_day(10.0, faults=faults), 1)[0]
+        self.assertEqual((metrics.rules, metrics.failures), ({}, []))
+        self.assertEqual((len(metrics.acks), metrics.events["change_rejected"]), (3, 1))
+        self.assertGreater(metrics.share, 0.6)
 
-    def test_without_a_majority_nothing_is_acknowledged_and_with_it_again_all_is(self):
+    def test_changes_are_acknowledged_only_with_a_majority(self):
         faults = [
             {"kind": "cut", "at": 0.0, "target": "*", "to": "*", "span": 3.0},
             {"kind": "config_shift", "at": 0.5, "target": "look-up", "to": "loans"},
         ]
-        told = simulation.play(small(6.0, faults=faults), 2)[0]
-        self.assertEqual((told.rules, len(told.acks)), ({}, 2))
-        self.assertGreater(told.acks[1], 2.4)
+        metrics = simulation.run_day(small_day(6.0, faults=faults), 2)[0]
+        self.assertEqual((metrics.rules, len(metrics.acks)), ({}, 2))
+        self.assertGreater(metrics.acks[1], 2.4)
 
-    def test_a_lost_zone_costs_little_once_its_clients_go_elsewhere(self):
+    def test_a_lost_zone_costs_little_once_its_clients_use_other_zones(self):
         lost = [{"kind": "lose_zone", "at": 2.0, "target": "w", "span": 30.0}]
-        told = simulation.play(small(8.0, faults=lost), 1)[0]
-        self.assertEqual(told.rules, {})
-        self.assertGreater(told.spans[-1], 0.9)
+        metrics = simulation.run_day(small_day(8.0, faults=lost), 1)[0]
+        self.assertEqual(metrics.rules, {})
+        self.assertGreater(metrics.spans[-1], 0.9)
 
 
-def keyed(length, **more):
-    """The small day with orders that run once by their key."""
+def keyed_day(length, **more):
+    """Return the small day with keyed orders in place of unsafe ones."""
     orders = {"name": "borrow", "svc": "loans", "rate": 15.0, "work": 0.08, "kind": "idem"}
     look_ups = {"name": "look-up", "svc": "maps", "rate": 10.0, "work": 0.05}
-    return small(length, deployment={"routes": [look_ups, orders]}, **more)
+    return small_day(length, deployment={"routes": [look_ups, orders]}, **more)
 
 
 class TestKeyedDays(unittest.TestCase):
-    def test_a_quiet_day_is_served_and_repeats_are_answered(self):
-        told = simulation.play(keyed(6.0), 3)[0]
-        self.assertEqual((told.rules, told.failures, told.share), ({}, [], 1.0))
+    def test_a_day_without_faults_is_served_and_repeats_are_answered(self):
+        metrics = simulation.run_day(keyed_day(6.0), 3)[0]
+        self.assertEqual((metrics.rules, metrics.failures, metrics.share), ({}, [], 1.0))
 
     def test_a_day_of_faults_breaks_no_rule(self):
         faults = [
@@ -484,20 +485,20 @@
             {"kind": "kill", "at": 3.0, "target": "s-1", "role": "gateway", "span": 0.5},
             {"kind": "wipe", "at": 5.0, "target": "s-1", "span": 1.0},
         ]
-        told = simulation.play(keyed(9.0, faults=faults), 1)[0]
-        self.assertEqual((told.rules, told.failures), ({}, []))
-        self.assertGreater(told.share, 0.8)
+        metrics = simulation.run_day(keyed_day(9.0, faults=faults), 1)[0]
+        self.assertEqual((metrics.rules, metrics.failures), ({}, []))
+        self.assertGreater(metrics.share, 0.8)
 
 
 class TestJudge(unittest.TestCase):
-    """A defect put into the daemons' code is seen as the rule that it breaks."""
+    """A defect patched into the daemons must be reported as a violation of the corresponding rule."""
 
     def broken(self, day, *defects):
         for target, name, value in defects:
             patch = mock.patch.object(target, name, value)
             patch.start()
             self.addCleanup(patch.stop)
-        return simulation.play(day, 1)[0].rules
+        return simulation.run_day(day, 1)[0].rules
 
     def test_twice_and_refused(self):
         lost = [{"kind": "lost_answers", "at": 0.0, "target": "loans", "amount": 0.4, "span": 6.0}]
@@ -507,22 +508,22 @@
             t.may_have_run = False
             return again(balancer, t, status, now)
 
-        rules = self.broken(small(4.0, faults=lost), (LoadBalancer, "_retry_or_respond", forgetful))
+        rules = self.broken(small_day(4.0, faults=lost), (LoadBalancer, "_retry_or_respond", forgetful))
         self.assertTrue(rules.get("TWICE") and rules.get("REFUSED"), rules)
 
     def test_twice_and_mixed_of_keyed_operations(self):
         sends = (Gateway, "_may_send", lambda *args: True)
-        self.assertEqual(set(self.broken(keyed(4.0), sends)), {"TWICE", "MIXED"})
+        self.assertEqual(set(self.broken(keyed_day(4.0), sends)), {"TWICE", "MIXED"})
 
     def test_quota(self):
         hot = [{"kind": "load", "at": 0.0, "target": "south", "amount": 12.0, "span": 6.0}]
         passes = (Admission, "admit", lambda *a, **k: AdmissionDecision(True))
-        self.assertTrue(self.broken(small(5.0, faults=hot), passes).get("QUOTA"))
+        self.assertTrue(self.broken(small_day(5.0, faults=hot), passes).get("QUOTA"))
 
     def test_budget(self):
         tight = {"bounds": {"retry_slack": 4, "retry_ratio": 0.02}}
         lost = [{"kind": "lost_answers", "at": 0.0, "target": "maps", "amount": 0.5, "span": 6.0}]
-        rules = self.broken(small(5.0, faults=lost, deployment=tight), (RetryBudget, "may_retry", lambda *a: True))
+        rules = self.broken(small_day(5.0, faults=lost, deployment=tight), (RetryBudget, "may_retry", lambda *a: True))
         self.assertEqual(set(rules), {"BUDGET"})
 
     def test_drain_and_stale_configuration(self):
@@ -531,7 +532,7 @@
             {"kind": "config_shift", "at": 1.0, "target": "borrow", "to": "maps"},
         ]
         rules = self.broken(
-            small(6.0, faults=faults),
+            small_day(6.0, faults=faults),
             (Gateway, "update_servers", _first_servers),
             (machine.GatewayDaemon, "_on_table", _first_table),
         )
@@ -550,53 +551,53 @@
 
 
 class TestFiles(unittest.TestCase):
-    def test_what_is_wrong_with_a_day_is_named(self):
+    def test_an_invalid_field_of_a_day_is_named(self):
         for text, place in (
             (b"name = 1", "name"),
             (b"nonsense", "key/value"),
             (
-                msgspec.json.encode(msgspec.to_builtins(small()) | {"faults": [{"kind": "fire", "at": 1.0}]}),
+                msgspec.json.encode(msgspec.to_builtins(small_day()) | {"faults": [{"kind": "fire", "at": 1.0}]}),
                 "faults[0].kind",
             ),
         ):
             with self.assertRaisesRegex(DayError, place.replace("[", r"\[")):
                 parse(text)
-        day = changed(small(), {"deployment.routes.borrow.rate": 3.0, "load": 2.0})
+        day = with_changes(small_day(), {"deployment.routes.borrow.rate": 3.0, "load": 2.0})
         self.assertEqual((day.deployment.routes[1].rate, day.load), (3.0, 2.0))
         with self.assertRaisesRegex(DayError, "no such place"):
-            changed(day, {"deployment.routes.lend.rate": 3.0})
-
-    def test_what_was_asked_can_be_played_from_the_logs(self):
-        told, lines = simulation.play(small(6.0), 1, lines=True)
-        asked = replay.trace([lines], 1)
-        self.assertEqual(len(asked), told.asks)
-        again = simulation.play(
-            changed(small(6.0), {"trace": [list(one) for one in asked], "length": asked[-1][0] + 0.1}), 2
+            with_changes(day, {"deployment.routes.lend.rate": 3.0})
+
+    def test_requests_can_be_replayed_from_the_logs(self):
+        metrics, lines = simulation.run_day(small_day(6.0), 1, lines=True)
+        asked = replay.read_trace([lines], 1)
+        self.assertEqual(len(asked), metrics.asks)
+        again = simulation.run_day(
+            with_changes(small_day(6.0), {"trace": [list(one) for one in asked], "length": asked[-1][0] + 0.1}), 2
         )[0]
-        self.assertEqual((again.asks, again.share), (told.asks, 1.0))
+        self.assertEqual((again.asks, again.share), (metrics.asks, 1.0))
         self.assertEqual(
             {name: kind.asks for name, kind in again.kinds.items()},
-            {name: kind.asks for name, kind in told.kinds.items()},
+            {name: kind.asks for name, kind in metrics.kinds.items()},
         )
         with self.assertRaises(replay.ReplayError):
-            replay.trace([["level=INFO event=started t=1"]])
+            replay.read_trace([["level=INFO event=started t=1"]])
 
-    def test_plans_ask_what_they_are_told_to(self):
-        days = planner.cases(small(), [], [("loans", 2)], ["south"], [1.5])
+    def test_plans_vary_the_load_as_requested(self):
+        days = planner.build_cases(small_day(), [], [("loans", 2)], ["south"], [1.5])
         self.assertEqual(list(days), ["as it is", "2 of loans retired", "south doubled", "load x 1.5"])
-        jobs = planner.jobs({name: days[name] for name in ("as it is", "south doubled")}, [1])
-        rows = planner.summed(jobs, experiment.run(jobs, 1))
+        jobs = planner.make_jobs({name: days[name] for name in ("as it is", "south doubled")}, [1])
+        rows = planner.summarize_cases(jobs, experiment.run_jobs(jobs, 1))
         self.assertEqual([row["share"] for row in rows], [1.0, rows[1]["share"]])
         self.assertGreater(rows[1]["owed_per_s"], rows[0]["owed_per_s"])
         with self.assertRaises(BadInputError):
-            planner.cases(small(), ["nowhere"], [], [], [])
+            planner.build_cases(small_day(), ["nowhere"], [], [], [])
 
 
 STREAMS_OF_A_ZONE = (("clients", ""), ("arrivals", "/look-up"), ("arrivals", "/borrow"))
 
 
 class TestRandomStreams(unittest.TestCase):
-    """Model checks keep seeds that find something: the streams' names and what they draw may not change."""
+    """Model checks rely on recorded seeds, so the names and draws of the random streams must not change."""
 
     def test_streams_have_their_names_and_draws(self):
         names = []
@@ -606,7 +607,7 @@
             return made(world, name)
 
         with mock.patch.object(World, "random", random_stream):
-            simulation.Simulation(small(), 1)
+            simulation.Simulation(small_day(), 1)
         arrivals = [f"{kind}/{zone}{route}" for zone in "nsw" for kind, route in STREAMS_OF_A_ZONE]
         servers = [
             f"server/{service}/{n}" for service, count in (("maps", 4), ("loans", 3)) for n in range(1, count + 1)
@@ -623,8 +624,8 @@
         plots = report.plots({"a": {1: {"worth": 0.5}}}, {"a": [[0.5, 0.6]]}, ["worth"])
         self.assertEqual([plot.startswith("<svg") for plot in plots], [True, True])
 
-    def test_a_file_is_played_and_reported(self):
-        day = small(2.0)
+    def test_an_experiment_file_is_run_and_reported(self):
+        day = small_day(2.0)
         text = """name = "<tries>"
             day = "day.json"
             seeds = [1]
@@ -654,19 +655,19 @@
         self.assertLess(rows[2]["difference"], -0.2)
         self.assertIn("&lt;tries&gt;", page)
 
-    def test_constants_are_set_where_they_are_used_and_put_back(self):
+    def test_constants_are_set_where_they_are_used_and_restored(self):
         from crowseam.gateway import daemon
         from crowseam.quotas import admission
 
         before = admission.PERIOD_S
-        with experiment.settings({"crowseam.quotas.admission:PERIOD_S": "0.7"}):
+        with experiment.override_constants({"crowseam.quotas.admission:PERIOD_S": "0.7"}):
             self.assertEqual((admission.PERIOD_S, daemon.PERIOD_S), (0.7, 0.7))
         self.assertEqual((admission.PERIOD_S, daemon.PERIOD_S), (before, before))
         for wrong in ("os:sep", "crowseam.gateway.load_balancer:NONE", "crowseam.gateway.load_balancer:LoadBalancer"):
-            with self.assertRaises(BadInputError), experiment.settings({wrong: 1}):
+            with self.assertRaises(BadInputError), experiment.override_constants({wrong: 1}):
                 pass
 
-    def test_differences_go_by_pairs_and_tell_their_spread(self):
+    def test_differences_are_paired_and_have_a_spread(self):
         values = {
             "a": {s: {"worth": 0.5 + 0.04 * s} for s in range(6)},
             "b": {s: {"worth": 0.52 + 0.04 * s + 0.001 * (s % 2)} for s in range(6)},
@@ -675,19 +676,19 @@
         rows = {row["variant"]: row for row in experiment.compare(values, values["a"], ["worth"])}
         self.assertEqual([rows[name]["clear"] for name in "abc"], ["", "better", ""])
         self.assertAlmostEqual(rows["b"]["difference"], 0.0205)
-        self.assertGreater(rows["a"]["spread"], 0.05)  # which alone would hide the difference
+        self.assertGreater(rows["a"]["spread"], 0.05)  # larger than the difference, which only shows in pairs
         self.assertTrue(0.0195 < rows["b"]["low"] <= rows["b"]["high"] < 0.0215)
 
-    def test_results_are_kept_and_compared_with_those_of_the_same_days(self):
+    def test_results_are_stored_and_compared_with_those_of_the_same_days(self):
         jobs = [experiment.Job("a", seed, {"day": 1}) for seed in (1, 2, 3)]
         old = {"a": {seed: {"p99": 0.2} for seed in (1, 2, 3)}}
         new = {"a": {seed: {"p99": 0.3} for seed in (1, 2, 3)}}
         with tempfile.TemporaryDirectory() as folder:
             path = f"{folder}/kept.db"
-            self.assertEqual(experiment.keep(path, "e", jobs, old, 1.0), {})
-            kept = experiment.keep(path, "e", jobs, new, 2.0)
+            self.assertEqual(experiment.store_results(path, "e", jobs, old, 1.0), {})
+            kept = experiment.store_results(path, "e", jobs, new, 2.0)
             self.assertEqual(kept, old)
-            (row,) = experiment.since(new, kept, ["p99"])
+            (row,) = experiment.compare_with_earlier(new, kept, ["p99"])
             self.assertEqual((row["clear"], round(row["difference"], 3)), ("worse", 0.1))
             other = [experiment.Job("a", 1, {"day": 2})]
-            self.assertEqual(experiment.keep(path, "e", other, new, 3.0), {})
+            self.assertEqual(experiment.store_results(path, "e", other, new, 3.0), {})
--- a/tests/crowseam/test_transport.py
+++ b/tests/crowseam/test_transport.py
@@ -82,7 +82,7 @@
 
 class Links(unittest.TestCase):
     def setUp(self):
-        patch = mock.patch.object(links.logs, "say")
+        patch = mock.patch.object(links.logs, "emit")
         self.say = patch.start()
         self.addCleanup(patch.stop)
 
