--- a/crowseam/capacity/__init__.py
+++ b/crowseam/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Cost against size: message costs, measures of the code, scale runs on real processes, and their page."""
+"""Capacity planning: message costs, code measurements, scale runs with real processes, and tables of results."""
--- a/crowseam/capacity/code_measures.py
+++ b/crowseam/capacity/code_measures.py
@@ -1,6 +1,6 @@
-"""Processor time and memory against size, measured on the daemons' own code, filled for the size.
+"""Processor time and memory by size, measured on the daemons' own code with data of that size.
 
-All runs in one process that does nothing else; nothing is sent.
+Everything runs in this process; nothing is sent.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from msgspec import Struct
 
-from crowseam.capacity.curves import QUOTA, SERVICES, SIZES
-from crowseam.capacity.message_costs import ASKING_TENANTS, Deployment
+from crowseam.capacity.curves import QUOTA_PER_S, SERVICE_COUNT, SIZES
+from crowseam.capacity.message_costs import ACTIVE_TENANTS, Deployment
 from crowseam.capacity.sample_configuration import configuration
 from crowseam.configuration.model import Configuration
 from crowseam.configuration.routing import Route, Table
@@ -32,17 +32,17 @@
 from crowseam.transport.links import frame
 from crowseam.transport.messages import ServerUpdate
 
-SERVERS_OF_A_SERVICE = (17, 68, 250, 1000, 5000)
-SPAN = 0.02  # s of the processor that a measure takes at least
-ROUNDS = 12  # of which the least counts
-REPORT_INTERVAL = 0.5  # s between two reports of a gateway
-LENDERS = 4  # of a quarter of the tenants each
+SERVERS_PER_SERVICE = (17, 68, 250, 1000, 5000)
+MIN_MEASURE_S = 0.02  # minimum processor time of one measurement
+ROUNDS = 12  # the fastest one counts
+REPORT_INTERVAL_S = 0.5  # of a gateway
+GRANTORS = 4  # each with a quarter of the tenants
 
 Call = Callable[[], object]
 
 
 class Measure(Struct, frozen=True):
-    """A call that is measured, and the size that it grows with."""
+    """A call to measure, and the size that its cost depends on."""
 
     what: str
     by: str
@@ -51,7 +51,7 @@
 
 
 class ProcessorTime(Struct, frozen=True):
-    """Processor time of one call, in µs."""
+    """Processor time of one call in µs."""
 
     what: str
     by: str
@@ -59,15 +59,15 @@
     microseconds: float
 
     def row(self) -> dict[str, str | int | float]:
-        """As tables and kept files have it."""
+        """Return the row for tables and files."""
         return {"what": self.what, "by": self.by, "size": self.size, "us": self.microseconds}
 
 
-# Filling the code for a size
+# Data of a given size
 
 
-def records(count: int, services: int = 1) -> list[ServerRecord]:
-    """So many servers, spread over services and three zones."""
+def server_records(count: int, services: int = 1) -> list[ServerRecord]:
+    """Return `count` server records, spread over services and three zones."""
     return [
         ServerRecord(
             f"i-{n:010x}",
@@ -83,50 +83,52 @@
     ]
 
 
-def balancer(servers: list[ServerRecord]) -> LoadBalancer:
-    """A load balancer that knows these servers."""
+def load_balancer(servers: list[ServerRecord]) -> LoadBalancer:
+    """Return a load balancer with these servers."""
     rng = Random(1)
     budget = RetryBudget(0.2, 10.0, 60.0, 0.0, had_predecessor=False)
-    made = LoadBalancer("zone-0", Admission(0.0, rng), budget, rng, "edge-1")
-    made.update_servers(servers, True, 0.0)
-    return made
+    balancer = LoadBalancer("zone-0", Admission(0.0, rng), budget, rng, "edge-1")
+    balancer.update_servers(servers, True, 0.0)
+    return balancer
 
 
 def _registry(count: int) -> ServiceRegistry:
     registry = ServiceRegistry("1")
-    for record in records(count, SERVICES):
+    for record in server_records(count, SERVICE_COUNT):
         registry.merge(record, 1.0)
     return registry
 
 
-class LenderReports:
-    """A lender of a quarter of the tenants, which all gateways report to by turns."""
+class GrantorReports:
+    """A quota lease grantor for a quarter of the tenants, with all gateways reporting in turn."""
 
     def __init__(self, gateways: int, tenants: int) -> None:
-        names = [f"t-{n:05d}" for n in range(max(1, tenants // LENDERS))]
-        self.gateways, self.turn = gateways, 0
-        self.lender = QuotaLeaseGrantor(1, set(), gateways, 0.0, GRANTOR_TERMS, lambda tenant: QUOTA, lambda: names)
-        few = max(1, ASKING_TENANTS // LENDERS)
-        self.asks = [{names[(n + k) % len(names)]: 1.25 for k in range(few)} for n in range(gateways)]
-        nothing = LeaseReport(1, 0.0, 0, 0, 0.0, {})
-        self.leases = [self.lender.report(f"d-{n}", self.asks[n], nothing, 0.0) for n in range(gateways)]
+        names = [f"t-{n:05d}" for n in range(max(1, tenants // GRANTORS))]
+        self.gateways, self.report_number = gateways, 0
+        self.grantor = QuotaLeaseGrantor(
+            1, set(), gateways, 0.0, GRANTOR_TERMS, lambda tenant: QUOTA_PER_S, lambda: names
+        )
+        active_count = max(1, ACTIVE_TENANTS // GRANTORS)
+        self.demand = [{names[(n + k) % len(names)]: 1.25 for k in range(active_count)} for n in range(gateways)]
+        empty_report = LeaseReport(1, 0.0, 0, 0, 0.0, {})
+        self.leases = [self.grantor.report(f"d-{n}", self.demand[n], empty_report, 0.0) for n in range(gateways)]
 
     def report(self) -> None:
-        """The next gateway reports, and is lent anew."""
-        self.turn += 1
-        gateway, now = self.turn % self.gateways, self.turn * REPORT_INTERVAL / self.gateways
+        """Handle the next gateway's report and renew its lease."""
+        self.report_number += 1
+        gateway, now = self.report_number % self.gateways, self.report_number * REPORT_INTERVAL_S / self.gateways
         lease = self.leases[gateway]
-        held = LeaseReport(1, now, 1, lease.epoch, 7.5, lease.shares)
-        self.leases[gateway] = self.lender.report(f"d-{gateway}", self.asks[gateway], held, now)
+        lease_report = LeaseReport(1, now, 1, lease.epoch, 7.5, lease.shares)
+        self.leases[gateway] = self.grantor.report(f"d-{gateway}", self.demand[gateway], lease_report, now)
 
 
 def _session_table(gateways: int, controllers: int) -> SessionTable:
     session_table = SessionTable("r-0", "1")
-    for n in range(0, gateways, controllers):
-        session_table.open(f"d-{n}", "1", 0.0)
-    for r in range(1, controllers):
-        named = [Session(f"d-{n}", "1") for n in range(r, gateways, controllers)]
-        session_table.apply_update(SessionUpdate(f"r-{r}", "1", 0, len(named), named, []), 0.0)
+    for number in range(0, gateways, controllers):
+        session_table.open(f"d-{number}", "1", 0.0)
+    for replica in range(1, controllers):
+        sessions = [Session(f"d-{number}", "1") for number in range(replica, gateways, controllers)]
+        session_table.apply_update(SessionUpdate(f"r-{replica}", "1", 0, len(sessions), sessions, []), 0.0)
     session_table.tick(0.0)
     return session_table
 
@@ -138,58 +140,60 @@
     return gateway
 
 
-# What is measured
+# Measures
 
 
-def measures_of_a_service(count: int) -> Iterator[Measure]:
-    """Choices among so many servers of one service, and their news."""
+def service_measures(count: int) -> Iterator[Measure]:
+    """Yield measures of server choice and server updates with `count` servers in one service."""
     by, name = "servers of a service", "service-0"
     route = Route("r", b"api.example", b"/", True, 5.0, 0.4, 0, ((name, 1.0),), 2, False, (1.0,))
-    attempt = RequestState(1, route, "", 0.0, 5.0, name)
-    servers = records(count)
-    one = balancer(servers)
-    everyone = one.services[name]
-    yield Measure("choose", by, count, lambda: one._choose_server(attempt, 1.0))
-    yield Measure("choose of all", by, count, lambda: one._cheapest_server(everyone, attempt, 0.1, 0.1, False, 1.0))
-    back = servers[count // 2]
-    left = ServerRecord(*back.__reduce__()[1][:6], "gone")
-
-    def news() -> None:
-        for record in (left, back):
-            one.update_servers([record], False, 1.0)
-            one.subsets.candidates(name, one.services[name])
-
-    yield Measure("leave and come", by, count, news)
-
-
-def measures_of_servers(count: int) -> Iterator[Measure]:
-    """What a controller does about so many servers."""
-    registry, known = _registry(count), records(count, SERVICES)
-    repair = AntiEntropy(registry)
+    request = RequestState(1, route, "", 0.0, 5.0, name)
+    servers = server_records(count)
+    balancer = load_balancer(servers)
+    all_servers = balancer.services[name]
+    yield Measure("choose", by, count, lambda: balancer._choose_server(request, 1.0))
+    yield Measure(
+        "choose of all", by, count, lambda: balancer._cheapest_server(all_servers, request, 0.1, 0.1, False, 1.0)
+    )
+    returning = servers[count // 2]
+    departed = ServerRecord(*returning.__reduce__()[1][:6], "gone")
+
+    def leave_and_return() -> None:
+        for record in (departed, returning):
+            balancer.update_servers([record], False, 1.0)
+            balancer.subsets.candidates(name, balancer.services[name])
+
+    yield Measure("leave and come", by, count, leave_and_return)
+
+
+def server_measures(count: int) -> Iterator[Measure]:
+    """Yield measures of a controller with `count` servers."""
+    registry, known_servers = _registry(count), server_records(count, SERVICE_COUNT)
+    anti_entropy = AntiEntropy(registry)
 
     def snapshot() -> bytes:
         return frame(ServerUpdate("x" * 24, 9, True, registry.snapshot(2.0)))
 
     def digest() -> None:
-        repair._cache.clear()
-        repair.offer(2.0)
+        anti_entropy._cache.clear()
+        anti_entropy.offer(2.0)
 
-    def look_over() -> None:
+    def scan_servers() -> None:
         registry.heard_since(1.5)
         registry.expire(2.0)
         registry.silent(2.0, 2.6)
 
     yield Measure("snapshot", "servers", count, snapshot)
-    yield Measure("take a snapshot", "servers", count, lambda: balancer(known))
+    yield Measure("take a snapshot", "servers", count, lambda: load_balancer(known_servers))
     yield Measure("digest after a change", "servers", count, digest)
-    offer = repair.offer(2.0)
-    yield Measure("digest, no change", "servers", count, lambda: repair.handle(offer, 2.0))
-    yield Measure("look over servers", "servers", count, look_over)
+    offer = anti_entropy.offer(2.0)
+    yield Measure("digest, no change", "servers", count, lambda: anti_entropy.handle(offer, 2.0))
+    yield Measure("look over servers", "servers", count, scan_servers)
 
 
-def measures_of_gateways(size: Deployment) -> Iterator[Measure]:
-    """What controllers do about gateways, and a gateway about tenants."""
-    yield Measure("lender's report", "gateways", size.gateways, LenderReports(size.gateways, size.tenants).report)
+def gateway_measures(size: Deployment) -> Iterator[Measure]:
+    """Yield measures of controllers by gateways, and of a gateway by tenants."""
+    yield Measure("lender's report", "gateways", size.gateways, GrantorReports(size.gateways, size.tenants).report)
     sessions = _session_table(size.gateways, size.controllers)
     yield Measure("members", "gateways", size.gateways, lambda: sessions.members(0.1))
     yield Measure("count of members", "gateways", size.gateways, lambda: sessions.count(0.1))
@@ -199,58 +203,63 @@
 
 
 def measures(
-    of_one: tuple[int, ...] = SERVERS_OF_A_SERVICE, sizes: tuple[Deployment, ...] = SIZES
+    service_sizes: tuple[int, ...] = SERVERS_PER_SERVICE, sizes: tuple[Deployment, ...] = SIZES
 ) -> Iterator[Measure]:
-    """All measures: of one service's servers, then by size."""
-    for count in of_one:
-        yield from measures_of_a_service(count)
+    """Yield all measures: first by servers of one service, then by deployment size."""
+    for count in service_sizes:
+        yield from service_measures(count)
     for size in sizes:
-        yield from measures_of_servers(size.servers)
-        yield from measures_of_gateways(size)
+        yield from server_measures(size.servers)
+        yield from gateway_measures(size)
 
 
-# Measuring
+# Measurement
 
 
-def seconds_of(call: Call, span: float = SPAN) -> float:
-    """Seconds of the processor that one call takes, the mean over `span` s or more."""
+def call_time_s(call: Call, min_span_s: float = MIN_MEASURE_S) -> float:
+    """Return the mean processor time of one call in s, measured over at least `min_span_s`."""
     count = 1
     while True:
-        begun = time.process_time()
+        started_at = time.process_time()
         for _ in range(count):
             call()
-        spent = time.process_time() - begun
-        if spent >= span:
-            return spent / count
+        elapsed_s = time.process_time() - started_at
+        if elapsed_s >= min_span_s:
+            return elapsed_s / count
         count *= 4
 
 
-def processor(
-    span: float = SPAN,
-    of_one: tuple[int, ...] = SERVERS_OF_A_SERVICE,
+def measure_processor_times(
+    min_span_s: float = MIN_MEASURE_S,
+    service_sizes: tuple[int, ...] = SERVERS_PER_SERVICE,
     sizes: tuple[Deployment, ...] = SIZES,
     rounds: int = ROUNDS,
 ) -> list[ProcessorTime]:
-    """The time of each measure, the least of `rounds`, each of which takes `span` s or more."""
-    made = list(measures(of_one, sizes))
-    least = [float("inf")] * len(made)
-    for _ in range(rounds):  # by turns: what else the machine does comes and goes in seconds
-        least = [min(before, seconds_of(each.call, span)) for before, each in zip(least, made, strict=True)]
-    return [ProcessorTime(each.what, each.by, each.size, 1e6 * spent) for each, spent in zip(made, least, strict=True)]
+    """Return the fastest time of each measure in `rounds`, each measured for at least `min_span_s`."""
+    all_measures = list(measures(service_sizes, sizes))
+    fastest = [float("inf")] * len(all_measures)
+    for _ in range(rounds):  # in turn, so that a short load peak spoils only one round of a measure
+        fastest = [
+            min(before, call_time_s(each.call, min_span_s)) for before, each in zip(fastest, all_measures, strict=True)
+        ]
+    return [
+        ProcessorTime(each.what, each.by, each.size, 1e6 * elapsed_s)
+        for each, elapsed_s in zip(all_measures, fastest, strict=True)
+    ]
 
 
-def _megabytes(make: Call) -> float:
-    """The memory that what `make` returns takes."""
+def _allocated_megabytes(build: Call) -> float:
+    """Return the memory in MB allocated for the result of `build`."""
     tracemalloc.start()
-    kept = make()
+    retained = build()
     size = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
-    del kept
+    del retained
     return size
 
 
-def memory(sizes: tuple[Deployment, ...] = SIZES) -> list[dict[str, float]]:
-    """MB that the tables take, by size."""
+def measure_memory(sizes: tuple[Deployment, ...] = SIZES) -> list[dict[str, float]]:
+    """Return the memory of the tables in MB by size."""
     return [_memory(size) for size in sizes]
 
 
@@ -258,9 +267,11 @@
     body = configuration(size.tenants)
     return {
         "gateways": size.gateways,
-        "registry_MB": _megabytes(lambda: _registry(size.servers)),
-        "balancer_MB": _megabytes(lambda: balancer(records(size.servers, SERVICES))),
-        "lenders_MB": _megabytes(lambda: [LenderReports(size.gateways, size.tenants) for _ in range(LENDERS)]),
-        "session_table_MB": _megabytes(lambda: _session_table(size.gateways, size.controllers)),
-        "configuration_MB": _megabytes(lambda: Table(Configuration.from_put(body), None)),
+        "registry_MB": _allocated_megabytes(lambda: _registry(size.servers)),
+        "balancer_MB": _allocated_megabytes(lambda: load_balancer(server_records(size.servers, SERVICE_COUNT))),
+        "lenders_MB": _allocated_megabytes(
+            lambda: [GrantorReports(size.gateways, size.tenants) for _ in range(GRANTORS)]
+        ),
+        "session_table_MB": _allocated_megabytes(lambda: _session_table(size.gateways, size.controllers)),
+        "configuration_MB": _allocated_megabytes(lambda: Table(Configuration.from_put(body), None)),
     }
--- a/crowseam/capacity/curve_drawings.py
+++ b/crowseam/capacity/curve_drawings.py
@@ -1,14 +1,14 @@
-"""Drawings of the curves, as SVG."""
+"""SVG plots of the curves."""
 
 from __future__ import annotations
 
 from crowseam.capacity.code_measures import ProcessorTime
-from crowseam.capacity.curves import SPEEDS, Row
+from crowseam.capacity.curves import LINK_SPEEDS_MBIT_S, Row
 from crowseam.cli import report
 
-Line = list[tuple[float, float]]
-# Which measures a drawing of processor time shows.
-PROCESSOR = {
+Points = list[tuple[float, float]]
+# Measures shown by each plot of processor time, by file name.
+PROCESSOR_DRAWINGS = {
     "choose": ("choose", "choose of all"),
     "news": ("leave and come",),
     "snapshot": ("snapshot", "take a snapshot"),
@@ -17,15 +17,15 @@
     "members": ("members", "count of members"),
     "slices-time": ("slices of a gateway",),
 }
-# Title of the upright axis, and the lines by column and name, of the drawings by number of gateways.
-BY_GATEWAYS = {
+# Plots by number of gateways: title of the y axis, and label of each line by column.
+GATEWAY_DRAWINGS = {
     "gateway-bytes": ("kB/s of one gateway", {"gateway_kB_s": "gateway"}),
     "controller-bytes": ("kB/s of one controller", {"controller_kB_s": "controller"}),
     "between-zones": ("kB/s between zones, all together", {"between_kB_s": "between"}),
     "mass-start-bytes": ("kB that a controller sends", {"mass_start_kB": "sent"}),
     "mass-start-seconds": (
         "s until all gateways have all",
-        {f"mass_start_s_{speed:g}": f"{speed:g} Mbit/s a controller" for speed in SPEEDS},
+        {f"mass_start_s_{speed:g}": f"{speed:g} Mbit/s a controller" for speed in LINK_SPEEDS_MBIT_S},
     ),
     "connections-gateway": (
         "connections to servers of a gateway",
@@ -39,20 +39,26 @@
 }
 
 
-def drawings(rows: list[Row], spent: list[ProcessorTime]) -> dict[str, str]:
-    """SVG by the name of its file. Raises BadInputError."""
+def draw_curves(rows: list[Row], processor_times: list[ProcessorTime]) -> dict[str, str]:
+    """Return SVG plots by file name. Raises BadInputError."""
 
-    def line(column: str) -> Line:
+    def points(column: str) -> Points:
         return [(row["gateways"], row[column]) for row in rows if row[column] > 0]
 
-    found = {
-        name: report.curve("gateways", title, {label: line(column) for column, label in columns.items()})
-        for name, (title, columns) in BY_GATEWAYS.items()
+    by_gateways = {
+        name: report.curve("gateways", title, {label: points(column) for column, label in columns.items()})
+        for name, (title, columns) in GATEWAY_DRAWINGS.items()
+    }
+    return by_gateways | {
+        name: _draw_processor_times(measure_names, processor_times)
+        for name, measure_names in PROCESSOR_DRAWINGS.items()
     }
-    return found | {name: _processor(whats, spent) for name, whats in PROCESSOR.items()}
 
 
-def _processor(whats: tuple[str, ...], spent: list[ProcessorTime]) -> str:
-    lines = {what: [(each.size, each.microseconds) for each in spent if each.what == what] for what in whats}
-    across = next(each.by for each in spent if each.what == whats[0])
-    return report.curve(across, "µs" if len(whats) > 1 else f"µs, {whats[0]}", lines)
+def _draw_processor_times(measure_names: tuple[str, ...], processor_times: list[ProcessorTime]) -> str:
+    lines = {
+        name: [(each.size, each.microseconds) for each in processor_times if each.what == name]
+        for name in measure_names
+    }
+    x_title = next(each.by for each in processor_times if each.what == measure_names[0])
+    return report.curve(x_title, "µs" if len(measure_names) > 1 else f"µs, {measure_names[0]}", lines)
--- a/crowseam/capacity/curves.py
+++ b/crowseam/capacity/curves.py
@@ -1,6 +1,6 @@
-"""Cost against size: bytes, descriptors and slices of quotas, from 14 to 1,000 ingresses.
+"""Computed cost by size: bytes, descriptors and quota leases for 14 to 1,000 ingresses.
 
-Bytes are those of `crowseam.capacity.message_costs`; nothing is sent.
+Bytes come from `crowseam.capacity.message_costs`; nothing is sent.
 """
 
 from __future__ import annotations
@@ -16,73 +16,77 @@
 from crowseam.quotas.lease_messages import SHARE_UNITS, LeaseReport
 from crowseam.settings import Limits
 
-HEARTBEAT = 1.3  # s between two heartbeats of a server, unless said otherwise
+HEARTBEAT_INTERVAL_S = 1.3  # default of a server
 SIZES = (
-    Deployment(14, 70, 7, 6, HEARTBEAT),
-    Deployment(40, 200, 20, 6, HEARTBEAT),
-    Deployment(96, 480, 48, 6, HEARTBEAT),
-    Deployment(200, 1000, 100, 7, HEARTBEAT),
-    Deployment(400, 2000, 200, 8, HEARTBEAT),
-    Deployment(1000, 5000, 500, 9, HEARTBEAT),
+    Deployment(14, 70, 7, 6, HEARTBEAT_INTERVAL_S),
+    Deployment(40, 200, 20, 6, HEARTBEAT_INTERVAL_S),
+    Deployment(96, 480, 48, 6, HEARTBEAT_INTERVAL_S),
+    Deployment(200, 1000, 100, 7, HEARTBEAT_INTERVAL_S),
+    Deployment(400, 2000, 200, 8, HEARTBEAT_INTERVAL_S),
+    Deployment(1000, 5000, 500, 9, HEARTBEAT_INTERVAL_S),
 )
-SERVICES = 4  # over which the servers are spread evenly
-ASKED = 20.0  # requests a second of one gateway
-LATENCY = 0.15  # s that a server has a request
-QUOTA = 50.0  # requests a second of a tenant
-MAXCONN = 640  # connections that a server takes
-SPEEDS = (100.0, 2.0)  # Mbit/s of a controller's link
-MILLISECONDS_A_KILOBYTE = 8.0  # at 1 Mbit/s
-OTHER_FILES = 32  # descriptors of a gateway that are no connections to clients or servers
+SERVICE_COUNT = 4  # with an even share of the servers each
+GATEWAY_REQUESTS_PER_S = 20.0
+LATENCY_S = 0.15  # of a request at a server
+QUOTA_PER_S = 50.0  # of a tenant
+SERVER_MAX_CONNECTIONS = 640
+LINK_SPEEDS_MBIT_S = (100.0, 2.0)  # of a controller
+MS_PER_KB_AT_1_MBIT_S = 8.0
+OTHER_DESCRIPTORS = 32  # of a gateway, other than connections to clients and servers
 
 Row = dict[str, float]
 
 
-def row(size: Deployment) -> Row:
-    """The computed figures for one size. Bytes in kB and kB/s, times in s, rates by the second."""
-    found = costs(size)
-    start = sum(found.start.values()) / 1000
-    at_start = start * size.gateways / size.controllers
+def row(deployment: Deployment) -> Row:
+    """Return the computed figures of one size: bytes in kB or kB/s, times in s, rates per second."""
+    message_costs = costs(deployment)
+    start_kb = sum(message_costs.start.values()) / 1000
+    mass_start_kb = start_kb * deployment.gateways / deployment.controllers
     values: Row = {
-        "gateways": size.gateways,
-        "servers": size.servers,
-        "tenants": size.tenants,
-        "controllers": size.controllers,
-        "gateway_kB_s": sum(found.gateway.values()) / 1000,
-        "controller_kB_s": sum(found.controller.values()) / 1000,
-        "between_kB_s": sum(found.between.values()) / 1000,
-        "start_kB": start,
-        "mass_start_kB": at_start,
+        "gateways": deployment.gateways,
+        "servers": deployment.servers,
+        "tenants": deployment.tenants,
+        "controllers": deployment.controllers,
+        "gateway_kB_s": sum(message_costs.gateway.values()) / 1000,
+        "controller_kB_s": sum(message_costs.controller.values()) / 1000,
+        "between_kB_s": sum(message_costs.between.values()) / 1000,
+        "start_kB": start_kb,
+        "mass_start_kB": mass_start_kb,
     }
-    for speed in SPEEDS:
-        values[f"mass_start_s_{speed:g}"] = at_start * MILLISECONDS_A_KILOBYTE / 1000 / speed
-    return values | connections(size.gateways, size.servers) | {"slice": even_slice(size.gateways)}
+    for speed in LINK_SPEEDS_MBIT_S:
+        values[f"mass_start_s_{speed:g}"] = mass_start_kb * MS_PER_KB_AT_1_MBIT_S / 1000 / speed
+    return (
+        values | connections(deployment.gateways, deployment.servers) | {"slice": even_lease_rate(deployment.gateways)}
+    )
 
 
 def connections(gateways: int, servers: int) -> Row:
-    """Connections between gateways and servers; those of a gateway stand unused for MAX_IDLE_S s at most.
+    """Return the connections between gateways and servers, where idle connections are closed after MAX_IDLE_S.
 
-    `gateway_most`: the bound of a gateway by its descriptors.  `gateway_open`: what stands open at ASKED requests a
-    second.  `server_gateways`: gateways that may hold connections to one server, on average, and
-    `server_gateways_all` if each considered all servers.  `server_each`: what MAXCONN leaves to each of them.
+    `gateway_most`: limit of a gateway by its descriptors. `gateway_open`: open connections of a gateway at
+    GATEWAY_REQUESTS_PER_S. `server_gateways`: mean number of gateways that may connect to one server, and
+    `server_gateways_all` without subsetting. `server_each`: share of SERVER_MAX_CONNECTIONS of each such gateway.
     """
-    service = servers / SERVICES
-    considered = SUBSET_SIZE if service > SUBSETTING_THRESHOLD else service
-    most = int((Limits().nofile - RESERVED_DESCRIPTORS - OTHER_FILES) * UPSTREAM_SHARE)
-    touched = 1.0 - exp(-ASKED / SERVICES * MAX_IDLE_S / considered)
-    held = min(most, SERVICES * considered * touched + ASKED * LATENCY)
-    gateways_a_server = gateways * considered / service
+    servers_per_service = servers / SERVICE_COUNT
+    candidates = SUBSET_SIZE if servers_per_service > SUBSETTING_THRESHOLD else servers_per_service
+    max_connections = int((Limits().nofile - RESERVED_DESCRIPTORS - OTHER_DESCRIPTORS) * UPSTREAM_SHARE)
+    used_share = 1.0 - exp(-GATEWAY_REQUESTS_PER_S / SERVICE_COUNT * MAX_IDLE_S / candidates)
+    open_connections = min(
+        max_connections, SERVICE_COUNT * candidates * used_share + GATEWAY_REQUESTS_PER_S * LATENCY_S
+    )
+    gateways_per_server = gateways * candidates / servers_per_service
     return {
-        "gateway_most": most,
-        "gateway_open": held,
-        "server_open": held * gateways / servers,
-        "server_gateways": gateways_a_server,
+        "gateway_most": max_connections,
+        "gateway_open": open_connections,
+        "server_open": open_connections * gateways / servers,
+        "server_gateways": gateways_per_server,
         "server_gateways_all": gateways,
-        "server_each": MAXCONN / gateways_a_server,
+        "server_each": SERVER_MAX_CONNECTIONS / gateways_per_server,
     }
 
 
-def even_slice(gateways: int) -> float:
-    """Requests a second of a tenant's QUOTA that a gateway holds while all gateways ask for the same."""
-    lender = QuotaLeaseGrantor(1, set(), gateways, 0.0, GRANTOR_TERMS, lambda tenant: QUOTA, lambda: ("t",))
-    lease = lender.report("d", {}, LeaseReport(1, 0.0, 0, 0, 0.0, {}), 0.0)
-    return lease.shares.get("t", 0) / SHARE_UNITS * QUOTA
+def even_lease_rate(gateways: int) -> float:
+    """Return the requests per second of QUOTA_PER_S that a gateway is leased while all gateways have equal demand."""
+    grantor = QuotaLeaseGrantor(1, set(), gateways, 0.0, GRANTOR_TERMS, lambda tenant: QUOTA_PER_S, lambda: ("t",))
+    lease = grantor.report("d", {}, LeaseReport(1, 0.0, 0, 0, 0.0, {}), 0.0)
+    return lease.shares.get("t", 0) / SHARE_UNITS * QUOTA_PER_S
--- a/crowseam/capacity/hollow_gateways.py
+++ b/crowseam/capacity/hollow_gateways.py
@@ -1,7 +1,7 @@
-"""Hollow gateways: real sessions with controllers, and nothing behind them.
+"""Hollow gateways: gateways with real controller sessions that carry no traffic, to load controllers cheaply.
 
-A hollow gateway opens its session, reports what it was asked for, draws, takes in what it receives and follows the
-log by slot, but reads no configuration and carries no request.  Times: seconds, steady.
+A hollow gateway opens a session, reports the demand of simulated requests, draws from the reserve, applies leases and
+follows the configuration log by slot. It does not parse the configuration. Times are in seconds, monotonic clock.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from crowseam import clock
 from crowseam.capacity.hollow_link import HollowLink, Traffic
-from crowseam.capacity.hollow_protocol import GatewaysReport, Job, Order
-from crowseam.capacity.loads import Clients
+from crowseam.capacity.hollow_protocol import Command, GatewaysReport, Job
+from crowseam.capacity.loads import TenantSampler
 from crowseam.capacity.tenant_requests import TenantRequests
 from crowseam.consensus.messages import SnapshotChunk, SnapshotOffer
 from crowseam.consensus.snapshot_transfer import SnapshotDownload
@@ -40,363 +40,374 @@
     SessionOpened,
 )
 
-LOOK = 0.1  # s between looks at a session
-LATE_MOST = 0.3  # s by which a look may come late and still judge a controller
-DRAWS_KEPT = 100_000  # draws without an answer that are remembered
-WAITS_KEPT = 200_000  # waits for an answer to a draw that are kept
-WAITS_REPORTED = 200  # of these, how many a report has at the least, if there are so many
+CHECK_INTERVAL_S = 0.1  # between two checks of a session
+MAX_CHECK_DELAY_S = 0.3  # a check that runs later does not judge whether the controller is silent
+MAX_PENDING_DRAWS = 100_000  # draws without a reply that are tracked
+MAX_DRAW_WAITS = 200_000  # draw response times that are stored
+DRAW_WAIT_SAMPLES = 200  # minimum sample of them in a report, if that many exist
 
 
 class HollowGateway:
-    """One gateway's session, as `crowseam.gateway.controller_session` keeps it."""
+    """One gateway's session, which behaves like `crowseam.gateway.controller_session`."""
 
-    def __init__(self, crowd: Gateways, number: int) -> None:
-        self.crowd, self.number = crowd, number
-        self.rng = Random(crowd.load.seed * 7919 + number)
+    def __init__(self, group: HollowGatewayGroup, number: int) -> None:
+        self.group, self.number = group, number
+        self.rng = Random(group.load.seed * 7919 + number)
         self.name = f"hollow-{number:04d}"
-        self.asked = TenantRequests(crowd.clients.rates)
-        self.starts = crowd.begun + crowd.load.ramp * self.rng.random()
-        self.begin()
-        self.begun = self.starts
-
-    def begin(self) -> None:
-        """A fresh life: nothing is known."""
-        self.life = clock.time_ns() // 1000
-        self.hop = 0
-        self.slot, self.registry, self.place = -1, "", 0
+        self.tenant_requests = TenantRequests(group.tenant_sampler.rates)
+        self.starts_at = group.started_at + group.load.ramp * self.rng.random()
+        self.reset_state()
+        self.started_at = self.starts_at
+
+    def reset_state(self) -> None:
+        """Reset to the state of a newly started process."""
+        self.incarnation = clock.time_ns() // 1000
+        self.session_number = 0
+        self.slot, self.registry, self.registry_position = -1, "", 0
         self.announced_slot = -1
-        self.known = dict.fromkeys(self.crowd.seeds, 0.0)
-        self.holdings = {key: GatewayLeases(self.life) for key in ROLE_KEYS}
+        self.next_dial_at = dict.fromkeys(self.group.seeds, 0.0)
+        self.leases = {key: GatewayLeases(self.incarnation) for key in ROLE_KEYS}
         self.link: HollowLink | None = None
-        self.at = ""
-        self.alone_since: float | None = None
-        self.members = 0
-        self.leased_at = self.reported = self.asked_at = clock.monotonic()
-        self.next_report = 0.0
-        self.begun = self.leased_at
-        self.caught_up: float | None = None  # s from its begin to servers and configuration, both whole
-        self.leased: float | None = None  # and to all its leases
-        self.have_servers = False
-        self.fetch: SnapshotDownload | None = None  # a large configuration on its way, which outlives a session
-        self.dialling = False
+        self.controller_addr = ""
+        self.no_majority_since: float | None = None
+        self.member_count = 0
+        self.unleased_at = self.reported_at = self.generated_at = clock.monotonic()
+        self.next_report_at = 0.0
+        self.started_at = self.unleased_at
+        self.caught_up_after_s: float | None = None  # s from its start to a complete server list and configuration
+        self.leased_after_s: float | None = None  # s from its start to all leases
+        self.has_servers = False
+        self.download: SnapshotDownload | None = None  # of a large configuration; survives a reconnect
+        self.is_dialing = False
 
     def restart(self) -> None:
-        """Killed, and started again with nothing kept."""
+        """Simulate a crash and restart without any kept state."""
         link, self.link = self.link, None
         if link is not None:
             link.close()
-        self.begin()
-        self.look(clock.monotonic(), 0.0)
+        self.reset_state()
+        self.check(clock.monotonic(), 0.0)
 
-    def look(self, now: float, late: float) -> None:
-        """Keep the session standing, and report what is due; `late`: s by which this look comes late."""
+    def check(self, now: float, delay_s: float) -> None:
+        """Keep the session open and report when due. `delay_s`: how late this check runs."""
         link = self.link
-        # What this process was too slow to read is no silence of the controller.
-        if link is not None and late < LATE_MOST:
+        # If this process is overloaded, unread messages don't mean that the controller is silent.
+        if link is not None and delay_s < MAX_CHECK_DELAY_S:
             if now - link.received_at > controller_session.CONTROLLER_SILENCE_TIMEOUT_S:
-                self._leave(now, 1.0, "left silent")
-            elif self.alone_since is not None and now - self.alone_since > controller_session.NO_MAJORITY_TIMEOUT_S:
-                self._leave(now, controller_session.NO_MAJORITY_RETRY_S, "left alone")
-        if self.link is None and not self.dialling:
-            self.dialling = True
-            self.crowd.loop.create_task(self._dial(now))
-        fetch = self.fetch
+                self._close_session(now, 1.0, "left silent")
+            elif (
+                self.no_majority_since is not None
+                and now - self.no_majority_since > controller_session.NO_MAJORITY_TIMEOUT_S
+            ):
+                self._close_session(now, controller_session.NO_MAJORITY_RETRY_S, "left alone")
+        if self.link is None and not self.is_dialing:
+            self.is_dialing = True
+            self.group.loop.create_task(self._dial(now))
+        download = self.download
         if (
-            fetch is not None
+            download is not None
             and self.link is not None
-            and now - fetch.progress_checked_at > controller_session.CHUNK_TIMEOUT_S
+            and now - download.progress_checked_at > controller_session.CHUNK_TIMEOUT_S
         ):
-            self._fetch_on(now)
-        if now >= self.next_report:
+            self._resume_download(now)
+        if now >= self.next_report_at:
             self._report(now)
 
-    def _leave(self, now: float, again: float, why: str) -> None:
-        self.crowd.events[why] += 1
-        self.known[self.at] = now + again
+    def _close_session(self, now: float, retry_delay_s: float, event: str) -> None:
+        self.group.events[event] += 1
+        self.next_dial_at[self.controller_addr] = now + retry_delay_s
         link, self.link = self.link, None
         link.close()
 
     async def _dial(self, now: float) -> None:
-        able = [addr for addr, at in self.known.items() if at <= now]
+        candidates = [addr for addr, dial_at in self.next_dial_at.items() if dial_at <= now]
         try:
-            if not able:
+            if not candidates:
                 return
-            addr = self.rng.choice(able)
-            self.known[addr] = now + self.rng.uniform(0.3, 0.6)
-            link = HollowLink(self._heard, self._ended, self.crowd.traffic)
+            addr = self.rng.choice(candidates)
+            self.next_dial_at[addr] = now + self.rng.uniform(0.3, 0.6)
+            link = HollowLink(self._on_message, self._on_closed, self.group.traffic)
             async with asyncio.timeout(controller_session.CONNECT_TIMEOUT_S):
-                await self.crowd.loop.create_connection(lambda: link, addr.rpartition(":")[0], self.crowd.peer_port)
-            self.link, self.at, self.alone_since = link, addr, None
+                await self.group.loop.create_connection(lambda: link, addr.rpartition(":")[0], self.group.peer_port)
+            self.link, self.controller_addr, self.no_majority_since = link, addr, None
             link.peer = addr
             link.received_at = clock.monotonic()
-            self.hop += 1
-            zone = f"zone-{self.number % self.crowd.load.zones}"
-            place = self.slot, self.registry, self.place
-            link.send(OpenSession(self.name, self.life, self.hop, zone, *place, True, PROTOCOL_VERSION))
+            self.session_number += 1
+            zone = f"zone-{self.number % self.group.load.zones}"
+            start_position = self.slot, self.registry, self.registry_position
+            link.send(
+                OpenSession(
+                    self.name, self.incarnation, self.session_number, zone, *start_position, True, PROTOCOL_VERSION
+                )
+            )
             self._send_report(clock.monotonic())
         except (OSError, TimeoutError):
-            self.crowd.events["dial failed"] += 1
-            self.known[addr] = clock.monotonic() + 0.4
+            self.group.events["dial failed"] += 1
+            self.next_dial_at[addr] = clock.monotonic() + 0.4
         finally:
-            self.dialling = False
+            self.is_dialing = False
 
-    def _ended(self, link: links.Link) -> None:
+    def _on_closed(self, link: links.Link) -> None:
         if self.link is link:
             self.link = None
-            self.known[self.at] = clock.monotonic() + 0.3
-            self.crowd.events["session lost"] += 1
+            self.next_dial_at[self.controller_addr] = clock.monotonic() + 0.3
+            self.group.events["session lost"] += 1
 
-    def _heard(self, link: links.Link, message: Message) -> None:
-        """Take a message of the session; those of a former link are passed over."""
+    def _on_message(self, link: links.Link, message: Message) -> None:
+        """Handle a message of the current session; messages of a previous link are ignored."""
         if link is not self.link:
             return
         now = clock.monotonic()
         match message:
             case LeaseUpdate():
-                self._take_slice(message, now)
+                self._apply_lease(message, now)
             case ReserveDrawReply():
-                self.crowd.drawn(self, message, now)
+                self.group.handle_draw_reply(self, message, now)
             case SessionHeartbeat():
-                self._take_pulse(message, now)
+                self._apply_heartbeat(message, now)
             case ServerUpdate():
-                self.registry, self.place, self.have_servers = message.registry, message.position, True
-                self._note_whole(now)
+                self.registry, self.registry_position, self.has_servers = message.registry, message.position, True
+                self._record_catch_up(now)
             case ConfigurationStep() if message.slot > self.slot + 1:
-                self.crowd.events["gap"] += 1
-                self._leave(now, 0.0, "left for a gap")
+                self.group.events["gap"] += 1
+                self._close_session(now, 0.0, "left for a gap")
             case ConfigurationState() | ConfigurationStep():
-                self._take_slot(message.slot, now)
+                self._advance_slot(message.slot, now)
             case SnapshotOffer():
-                self._take_offer(link, message, now)
+                self._handle_offer(link, message, now)
             case SnapshotChunk():
-                self._take_part(link, message, now)
+                self._handle_chunk(link, message, now)
             case InFlightCountRequest():
-                link.send(InFlightCounts(message.number, self.registry, self.place, {}))
+                link.send(InFlightCounts(message.number, self.registry, self.registry_position, {}))
             case SessionOpened():
-                self._take_controllers(message.controllers)
+                self._add_controllers(message.controllers)
 
-    def _take_slice(self, message: LeaseUpdate, now: float) -> None:
-        if self.holdings[message.key].apply(message.lease, now):
+    def _apply_lease(self, message: LeaseUpdate, now: float) -> None:
+        if self.leases[message.key].apply(message.lease, now):
             self._send_report(now)
-        if self.leased is None and all(each.remaining_s(now) > 0.0 for each in self.holdings.values()):
-            self.leased = now - self.begun
-            self.crowd.leased.append(self.leased)
+        if self.leased_after_s is None and all(leases.remaining_s(now) > 0.0 for leases in self.leases.values()):
+            self.leased_after_s = now - self.started_at
+            self.group.leased_after_s.append(self.leased_after_s)
 
-    def _take_pulse(self, message: SessionHeartbeat, now: float) -> None:
-        self.members, self.announced_slot = message.members, message.slot
+    def _apply_heartbeat(self, message: SessionHeartbeat, now: float) -> None:
+        self.member_count, self.announced_slot = message.members, message.slot
         if message.is_in_touch:
-            self.alone_since = None
-        elif self.alone_since is None:
-            self.alone_since = now
+            self.no_majority_since = None
+        elif self.no_majority_since is None:
+            self.no_majority_since = now
 
-    def _take_slot(self, slot: int, now: float) -> None:
+    def _advance_slot(self, slot: int, now: float) -> None:
         if slot <= self.slot:
             return
         self.slot = slot
-        if self.fetch is not None and self.fetch.slot <= slot:
-            self.fetch = None
-        self.crowd.arrived(slot, now)
-        self._note_whole(now)
+        if self.download is not None and self.download.slot <= slot:
+            self.download = None
+        self.group.record_slot(slot, now)
+        self._record_catch_up(now)
 
-    def _take_offer(self, link: links.Link, message: SnapshotOffer, now: float) -> None:
+    def _handle_offer(self, link: links.Link, message: SnapshotOffer, now: float) -> None:
         if message.last_slot <= self.slot:
             link.send(FollowingLog(self.slot))
-        elif self.fetch is None:
-            self._fetch_anew(now)
+        elif self.download is None:
+            self._start_download(now)
         else:
-            self._fetch_on(now)
+            self._resume_download(now)
 
-    def _take_controllers(self, addresses: list[str]) -> None:
+    def _add_controllers(self, addresses: list[str]) -> None:
         for addr in addresses:
             try:
                 parse_address(addr)
             except SettingsError:
                 continue
-            self.known.setdefault(addr, 0.0)
-
-    def _fetch_anew(self, now: float) -> None:
-        self.fetch = SnapshotDownload(
-            self.at, max(self.slot, 0), controller_session.CHUNK_BYTES, controller_session.CHUNK_WINDOW, now
+            self.next_dial_at.setdefault(addr, 0.0)
+
+    def _start_download(self, now: float) -> None:
+        self.download = SnapshotDownload(
+            self.controller_addr,
+            max(self.slot, 0),
+            controller_session.CHUNK_BYTES,
+            controller_session.CHUNK_WINDOW,
+            now,
         )
-        self.link.send(*self.fetch.next_requests())
+        self.link.send(*self.download.next_requests())
 
-    def _fetch_on(self, now: float) -> None:
-        self.fetch.requested.clear()
-        self.fetch.progress_checked_at = now
-        self.link.send(*self.fetch.next_requests())
+    def _resume_download(self, now: float) -> None:
+        self.download.requested.clear()
+        self.download.progress_checked_at = now
+        self.link.send(*self.download.next_requests())
 
-    def _take_part(self, link: links.Link, message: SnapshotChunk, now: float) -> None:
-        """A part of a configuration; it is fetched as a real gateway does, and then not read."""
-        fetch = self.fetch
-        if fetch is None:
+    def _handle_chunk(self, link: links.Link, message: SnapshotChunk, now: float) -> None:
+        """Handle a chunk of a configuration, which is downloaded as a real gateway does but not parsed."""
+        download = self.download
+        if download is None:
             return
         if not message.size:
-            if message.digest != fetch.digest:
+            if message.digest != download.digest:
                 return
-            if fetch.digest:
-                return self._fetch_anew(now)
-            self.fetch = None
+            if download.digest:
+                return self._start_download(now)
+            self.download = None
             return link.send(FollowingLog(self.slot))
-        if not fetch.add_chunk(message, now):
+        if not download.add_chunk(message, now):
             return
-        if (body := fetch.assemble()) is None:
-            return link.send(*fetch.next_requests())
-        self.fetch = None
-        if fetch.is_intact(body) and fetch.slot > self.slot:
-            self.slot = fetch.slot
-            self.crowd.arrived(self.slot, now)
-            self._note_whole(now)
+        if (body := download.assemble()) is None:
+            return link.send(*download.next_requests())
+        self.download = None
+        if download.is_intact(body) and download.slot > self.slot:
+            self.slot = download.slot
+            self.group.record_slot(self.slot, now)
+            self._record_catch_up(now)
         link.send(FollowingLog(self.slot))
 
-    def _note_whole(self, now: float) -> None:
-        """Note when configuration and servers are first known, both whole."""
-        if self.caught_up is None and self.have_servers and self.slot > 0:
-            self.caught_up = now - self.begun
-            self.crowd.caught_up.append(self.caught_up)
+    def _record_catch_up(self, now: float) -> None:
+        """Record when the configuration and the server list are first complete."""
+        if self.caught_up_after_s is None and self.has_servers and self.slot > 0:
+            self.caught_up_after_s = now - self.started_at
+            self.group.caught_up_after_s.append(self.caught_up_after_s)
 
     def _report(self, now: float) -> None:
-        self._ask(now)
+        self._generate_requests(now)
         self._send_report(now)
-        if not all(each.remaining_s(now) > 0.0 for each in self.holdings.values()):
-            self.leased_at = now
-        self.next_report = now + self._report_pause(now) * self.rng.uniform(0.9, 1.1)
+        if not all(leases.remaining_s(now) > 0.0 for leases in self.leases.values()):
+            self.unleased_at = now
+        self.next_report_at = now + self._report_interval_s(now) * self.rng.uniform(0.9, 1.1)
 
-    def _report_pause(self, now: float) -> float:
-        """Seconds to the next report: fewer until the leases have been held for a while."""
-        if now - self.leased_at >= controller_session.LEASE_SETTLING_S:
+    def _report_interval_s(self, now: float) -> float:
+        """Return the time to the next report, which is shorter until all leases have been held for a while."""
+        if now - self.unleased_at >= controller_session.LEASE_SETTLING_S:
             return controller_session.REPORT_INTERVAL_S
-        if not self.members:
+        if not self.member_count:
             return controller_session.MAX_SETTLING_REPORT_INTERVAL_S
-        by_members = (
+        scaled_interval_s = (
             controller_session.MIN_SETTLING_REPORT_INTERVAL_S
-            + controller_session.REPORT_INTERVAL_PER_GATEWAY_S * self.members
+            + controller_session.REPORT_INTERVAL_PER_GATEWAY_S * self.member_count
         )
-        return min(controller_session.MAX_SETTLING_REPORT_INTERVAL_S, by_members)
+        return min(controller_session.MAX_SETTLING_REPORT_INTERVAL_S, scaled_interval_s)
 
     def _send_report(self, now: float) -> None:
         if self.link is None:
             return
-        asks = self.asked.report(now)
-        self.crowd.named += len(asks)
-        self.crowd.reports += 1
-        self.link.send(GatewayReport(asks, {key: each.report(now) for key, each in self.holdings.items()}))
-
-    def _ask(self, now: float) -> None:
-        """The requests since the last look."""
-        crowd, rng = self.crowd, self.rng
-        span, self.asked_at = min(1.0, now - self.asked_at), now
-        expected = crowd.load.requests_a_gateway() * span
-        count = int(expected) + (rng.random() < expected % 1.0)
-        allowed = crowd.load.draws_most * span
-        draws_left = int(allowed) + (rng.random() < allowed % 1.0)
-        for tenant in crowd.clients.draw(rng, count):
-            share = self.holdings[crowd.role_leases[tenant]].share(tenant, now) or 0.0
-            if self.asked.ask(tenant, share, now):
-                crowd.passed += 1
-            elif not self.asked.is_dry(tenant, now):
-                crowd.wanted += 1
+        demand = self.tenant_requests.demand_rates(now)
+        self.group.named_tenants += len(demand)
+        self.group.reports += 1
+        self.link.send(GatewayReport(demand, {key: leases.report(now) for key, leases in self.leases.items()}))
+
+    def _generate_requests(self, now: float) -> None:
+        """Generate the requests since the last call: admit them by lease or draw from the reserve."""
+        group, rng = self.group, self.rng
+        elapsed_s, self.generated_at = min(1.0, now - self.generated_at), now
+        expected = group.load.requests_per_gateway() * elapsed_s
+        request_count = int(expected) + (rng.random() < expected % 1.0)
+        draw_allowance = group.load.draws_most * elapsed_s
+        draws_left = int(draw_allowance) + (rng.random() < draw_allowance % 1.0)
+        for tenant in group.tenant_sampler.sample(rng, request_count):
+            share = self.leases[group.tenant_shards[tenant]].share(tenant, now) or 0.0
+            if self.tenant_requests.admit(tenant, share, now):
+                group.admitted += 1
+            elif not self.tenant_requests.is_reserve_exhausted(tenant, now):
+                group.draws_wanted += 1
                 if draws_left > 0 and self.link is not None:
                     draws_left -= 1
-                    crowd.draw(self, tenant, now)
+                    group.send_draw(self, tenant, now)
             else:
-                crowd.refused += 1
+                group.refused += 1
 
 
-class Gateways:
-    """All hollow gateways of one process."""
+class HollowGatewayGroup:
+    """The hollow gateways of one process."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, job: Job) -> None:
         self.loop, self.load, self.seeds, self.peer_port = loop, job.load, job.seeds, job.peer_port
-        self.clients = Clients(job.load)
-        self.role_leases = {tenant: shard_of(tenant) for tenant in self.clients.rates}
+        self.tenant_sampler = TenantSampler(job.load)
+        self.tenant_shards = {tenant: shard_of(tenant) for tenant in self.tenant_sampler.rates}
         self.traffic = Traffic()
         self.events: Counter[str] = Counter()
-        self.slots: dict[int, list[float]] = {}  # when each gateway received a slot
-        self.caught_up: list[float] = []
-        self.leased: list[float] = []
-        self.named = self.reports = self.passed = self.wanted = self.refused = self.given = 0
-        self.waits: list[float] = []
-        self.draws: dict[int, tuple[str, float]] = {}
-        self.last_draw = 0
-        self.late_most = self.late_sum = 0.0  # s by which looks came late: this process has no more to give
-        self.looks = 0
-        self.begun = clock.monotonic()
-        self.gateways = [HollowGateway(self, job.first + place) for place in range(job.count)]
-        self.at = clock.monotonic()
-        self._look()
-
-    def _look(self) -> None:
+        self.slots: dict[int, list[float]] = {}  # receive time at each gateway, by slot
+        self.caught_up_after_s: list[float] = []
+        self.leased_after_s: list[float] = []
+        self.named_tenants = self.reports = self.admitted = self.draws_wanted = self.refused = self.draws_granted = 0
+        self.draw_waits: list[float] = []
+        self.pending_draws: dict[int, tuple[str, float]] = {}
+        self.last_draw_number = 0
+        self.max_delay_s = self.total_delay_s = 0.0  # of checks: shows that this process is overloaded
+        self.check_count = 0
+        self.started_at = clock.monotonic()
+        self.gateways = [HollowGateway(self, job.first + index) for index in range(job.count)]
+        self.next_check_at = clock.monotonic()
+        self._check()
+
+    def _check(self) -> None:
         now = clock.monotonic()
-        late = max(0.0, now - self.at)
-        self.late_most, self.late_sum = max(self.late_most, late), self.late_sum + late
-        self.looks += 1
+        delay_s = max(0.0, now - self.next_check_at)
+        self.max_delay_s, self.total_delay_s = max(self.max_delay_s, delay_s), self.total_delay_s + delay_s
+        self.check_count += 1
         for gateway in self.gateways:
-            if now >= gateway.starts:
-                gateway.look(now, late)
-        self.at = now + LOOK
-        self.loop.call_later(LOOK, self._look)
+            if now >= gateway.starts_at:
+                gateway.check(now, delay_s)
+        self.next_check_at = now + CHECK_INTERVAL_S
+        self.loop.call_later(CHECK_INTERVAL_S, self._check)
 
-    def arrived(self, slot: int, now: float) -> None:
-        """A gateway has received the log up to a slot."""
+    def record_slot(self, slot: int, now: float) -> None:
+        """Record that a gateway has received the log up to `slot`."""
         self.slots.setdefault(slot, []).append(now)
 
-    def draw(self, gateway: HollowGateway, tenant: str, now: float) -> None:
-        """Send one draw, and remember what for."""
-        self.last_draw += 1
-        self.draws[self.last_draw] = (tenant, now)
-        gateway.link.send(ReserveDraw(gateway.name, tenant, 1, self.last_draw))
-        if len(self.draws) > DRAWS_KEPT:
-            self.draws.clear()  # a bound: answers that were lost are never asked for again
-
-    def drawn(self, gateway: HollowGateway, message: ReserveDrawReply, now: float) -> None:
-        """The answer to a draw."""
-        tenant, at = self.draws.pop(message.number, ("", now))
-        if len(self.waits) < WAITS_KEPT:
-            self.waits.append(now - at)
-        self.given += message.granted
+    def send_draw(self, gateway: HollowGateway, tenant: str, now: float) -> None:
+        """Send one draw and track it until the reply."""
+        self.last_draw_number += 1
+        self.pending_draws[self.last_draw_number] = (tenant, now)
+        gateway.link.send(ReserveDraw(gateway.name, tenant, 1, self.last_draw_number))
+        if len(self.pending_draws) > MAX_PENDING_DRAWS:
+            self.pending_draws.clear()  # bounds the memory: lost replies are never cleared otherwise
+
+    def handle_draw_reply(self, gateway: HollowGateway, message: ReserveDrawReply, now: float) -> None:
+        """Handle the reply to a draw."""
+        tenant, sent_at = self.pending_draws.pop(message.number, ("", now))
+        if len(self.draw_waits) < MAX_DRAW_WAITS:
+            self.draw_waits.append(now - sent_at)
+        self.draws_granted += message.granted
         if tenant and not message.granted:
-            gateway.asked.dry(tenant, now + message.wait_s)
+            gateway.tenant_requests.mark_reserve_exhausted(tenant, now + message.wait_s)
 
-    def order(self, order: Order) -> GatewaysReport:
-        """Do what is ordered, and report what has been counted."""
-        if order.do == "restart":
-            for gateway in self.gateways[: order.count]:
+    def execute(self, command: Command) -> GatewaysReport:
+        """Execute a command and return a report of the counts."""
+        if command.do == "restart":
+            for gateway in self.gateways[: command.count]:
                 gateway.restart()
-        if order.do == "reset":
-            self._reset()
-        if order.do in ("reset", "restart"):
-            self.caught_up, self.leased, self.slots = [], [], {}
-        return self._counted()
-
-    def _reset(self) -> None:
-        """Count anew."""
-        self.traffic, self.waits = Traffic(), []
+        if command.do == "reset":
+            self._reset_counts()
+        if command.do in ("reset", "restart"):
+            self.caught_up_after_s, self.leased_after_s, self.slots = [], [], {}
+        return self._build_report()
+
+    def _reset_counts(self) -> None:
+        """Restart all counts at 0."""
+        self.traffic, self.draw_waits = Traffic(), []
         for gateway in self.gateways:
             if gateway.link is not None:
                 gateway.link.traffic = self.traffic
-        self.named = self.reports = self.passed = self.wanted = self.refused = self.given = 0
-        self.late_most = self.late_sum = 0.0
-        self.looks = 0
+        self.named_tenants = self.reports = self.admitted = self.draws_wanted = self.refused = self.draws_granted = 0
+        self.max_delay_s = self.total_delay_s = 0.0
+        self.check_count = 0
         self.events.clear()
 
-    def _counted(self) -> GatewaysReport:
+    def _build_report(self) -> GatewaysReport:
         return GatewaysReport(
             gateways=len(self.gateways),
             open=sum(gateway.link is not None for gateway in self.gateways),
-            whole=sum(gateway.caught_up is not None for gateway in self.gateways),
+            whole=sum(gateway.caught_up_after_s is not None for gateway in self.gateways),
             slot=min((gateway.slot for gateway in self.gateways), default=-1),
             traffic=self.traffic.counts(),
             events=dict(self.events),
             slots=self.slots,
-            caught_up=self.caught_up,
-            leased=self.leased,
-            named=self.named,
+            caught_up=self.caught_up_after_s,
+            leased=self.leased_after_s,
+            named=self.named_tenants,
             reports=self.reports,
-            passed=self.passed,
-            wanted=self.wanted,
+            passed=self.admitted,
+            wanted=self.draws_wanted,
             refused=self.refused,
-            given=self.given,
-            draw_waits=sorted(self.waits)[:: max(1, len(self.waits) // WAITS_REPORTED)],
-            late_most=self.late_most,
-            late_mean=self.late_sum / max(1, self.looks),
+            given=self.draws_granted,
+            draw_waits=sorted(self.draw_waits)[:: max(1, len(self.draw_waits) // DRAW_WAIT_SAMPLES)],
+            late_most=self.max_delay_s,
+            late_mean=self.total_delay_s / max(1, self.check_count),
         )
--- a/crowseam/capacity/hollow_link.py
+++ b/crowseam/capacity/hollow_link.py
@@ -1,4 +1,4 @@
-"""A link between processes that counts what goes over it."""
+"""A link that counts its messages and bytes."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 from crowseam.transport.codec import decode
 from crowseam.transport.messages import Message
 
-LENGTH_SIZE = 4  # bytes of the length before each message
+LENGTH_BYTES = 4  # of the length prefix of each message
 
 
 class Traffic:
-    """Messages and bytes by type and direction."""
+    """Counts of messages and bytes by direction and type."""
 
     def __init__(self) -> None:
         self._counts: defaultdict[str, MessageCount] = defaultdict(MessageCount)
 
-    def add(self, what: str, size: int) -> None:
-        """Count a message of `size` bytes, its frame included."""
-        count = self._counts[what]
+    def add(self, key: str, size: int) -> None:
+        """Count a message of `size` bytes including its frame."""
+        count = self._counts[key]
         count.messages += 1
         count.bytes += size
 
     def counts(self) -> dict[str, MessageCount]:
-        """What was counted, by direction and type."""
+        """Return the counts by direction and type."""
         return dict(sorted(self._counts.items()))
 
 
-def type_name(body: bytes) -> str:
-    """The type of a message that this code can't read, as the wire has it."""
+def message_type_name(body: bytes) -> str:
+    """Return the type tag of a message that could not be decoded."""
     try:
         return str(msgspec.msgpack.decode(body)[0])
     except (msgspec.MsgspecError, IndexError, TypeError, KeyError):
@@ -42,44 +42,44 @@
 
 
 class HollowLink(links.Link):
-    """A link that counts, and passes over messages that it doesn't know: the wire grows with the code."""
+    """A link that counts traffic and skips messages of unknown type, so that newer controllers can be measured."""
 
     def __init__(
         self,
-        heard: Callable[[links.Link, Message], None],
-        ended: Callable[[links.Link], None],
+        on_message: Callable[[links.Link, Message], None],
+        on_closed: Callable[[links.Link], None],
         traffic: Traffic,
     ) -> None:
-        super().__init__(heard, ended)
+        super().__init__(on_message, on_closed)
         self.traffic = traffic
         self.received_at = clock.monotonic()
 
     def data_received(self, data: bytes) -> None:
-        """Hand on each whole message that is known, and count all."""
+        """Count each complete message, and pass those of a known type to `on_message`."""
         self.received_at = clock.monotonic()
         buffer = self.buffer
         buffer += data
-        at = 0
-        while len(buffer) - at >= LENGTH_SIZE:
-            size = int.from_bytes(buffer[at : at + LENGTH_SIZE], "big")
-            if len(buffer) - at < LENGTH_SIZE + size:
+        offset = 0
+        while len(buffer) - offset >= LENGTH_BYTES:
+            size = int.from_bytes(buffer[offset : offset + LENGTH_BYTES], "big")
+            if len(buffer) - offset < LENGTH_BYTES + size:
                 break
-            body = bytes(memoryview(buffer)[at + LENGTH_SIZE : at + LENGTH_SIZE + size])
-            at += LENGTH_SIZE + size
+            body = bytes(memoryview(buffer)[offset + LENGTH_BYTES : offset + LENGTH_BYTES + size])
+            offset += LENGTH_BYTES + size
             try:
                 message = decode(body)
             except (msgspec.MsgspecError, ValueError):
-                self.traffic.add(f"in {type_name(body)}", LENGTH_SIZE + size)
+                self.traffic.add(f"in {message_type_name(body)}", LENGTH_BYTES + size)
                 continue
-            self.traffic.add(f"in {type(message).__name__}", LENGTH_SIZE + size)
+            self.traffic.add(f"in {type(message).__name__}", LENGTH_BYTES + size)
             self.on_message(self, message)
             if not self.open:
                 return
-        if at:
-            del buffer[:at]
+        if offset:
+            del buffer[:offset]
 
     def send(self, *messages: Message) -> None:
-        """Send messages, and count them."""
+        """Send and count messages."""
         for message in messages:
             frame = links.frame(message)
             self.traffic.add(f"out {type(message).__name__}", len(frame))
--- a/crowseam/capacity/hollow_process.py
+++ b/crowseam/capacity/hollow_process.py
@@ -1,7 +1,7 @@
-"""One process of hollow gateways or servers, hundreds to a process: the real sessions and calls, with nothing behind.
+"""A process that runs hundreds of hollow gateways or servers: real sessions and calls, but no traffic.
 
-`python -m crowseam.capacity.hollow_process` takes a job on the first line of its input, then orders, one JSON object
-a line, each answered with one line (`crowseam.capacity.hollow_protocol`).  It ends with its input.
+`python -m crowseam.capacity.hollow_process` reads a job from the first line of standard input, then commands, one JSON
+object a line, and answers each with one line (`crowseam.capacity.hollow_protocol`). It exits at end of input.
 """
 
 from __future__ import annotations
@@ -12,27 +12,27 @@
 import msgspec
 import uvloop
 
-from crowseam.capacity.hollow_gateways import Gateways
-from crowseam.capacity.hollow_protocol import Job, Order
-from crowseam.capacity.hollow_servers import Servers
+from crowseam.capacity.hollow_gateways import HollowGatewayGroup
+from crowseam.capacity.hollow_protocol import Command, Job
+from crowseam.capacity.hollow_servers import HollowServerGroup
 
 
 async def serve() -> None:
-    """Take the job and the orders from the input until it ends."""
+    """Read the job and the commands from standard input until it ends."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader(limit=1 << 20)
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     job = msgspec.json.decode(await reader.readline(), type=Job)
-    crowd = Gateways(loop, job) if job.count else Servers(loop, job)
-    loop.call_later(job.load.seconds_most, loop.stop)  # ends by itself, whoever has started it
+    group = HollowGatewayGroup(loop, job) if job.count else HollowServerGroup(loop, job)
+    loop.call_later(job.load.seconds_most, loop.stop)  # exits even if the parent never closes the input
     while line := await reader.readline():
-        report = crowd.order(msgspec.json.decode(line, type=Order))
+        report = group.execute(msgspec.json.decode(line, type=Command))
         sys.stdout.buffer.write(msgspec.json.encode(report) + b"\n")
         sys.stdout.buffer.flush()
 
 
 def main() -> int:
-    """Run one process of hollow ends; the exit code."""
+    """Run the process and return its exit code."""
     try:
         uvloop.run(serve())
     except (msgspec.MsgspecError, RuntimeError) as error:
--- a/crowseam/capacity/hollow_servers.py
+++ b/crowseam/capacity/hollow_servers.py
@@ -1,4 +1,4 @@
-"""Hollow servers: they send heartbeats to controllers and leave in order, but serve nothing."""
+"""Hollow servers: backends that send heartbeats to controllers and leave gracefully, but serve no requests."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 from crowseam import clock
 from crowseam.capacity.hollow_link import Traffic
-from crowseam.capacity.hollow_protocol import Job, Order, ServersReport
+from crowseam.capacity.hollow_protocol import Command, Job, ServersReport
 from crowseam.capacity.loads import Load
 from crowseam.settings import parse_address
 
-CONNECTIONS = 16  # of the servers to each controller
-WAITING_MOST = 40  # calls that wait on one of them
-ANSWER_TIMEOUT = 3.0  # s after which a server gives up on an answer
+CONNECTIONS_PER_CONTROLLER = 16
+MAX_PENDING_CALLS = 40  # per connection
+ANSWER_TIMEOUT_S = 3.0  # after which a connection is aborted
 SERVER_PORT = 8080
 
 
 class PendingCall(NamedTuple):
-    """A call that waits for its answer; `sent_at` by the steady clock."""
+    """A call without a response yet; `sent_at` is on the monotonic clock."""
 
     server: HollowServer
     method: str
@@ -30,36 +30,36 @@
 
 
 class ControllerConnection(asyncio.Protocol):
-    """A connection of the servers to a controller; answers come in the order of the calls."""
+    """A connection shared by servers to a controller; responses arrive in the order of the calls."""
 
-    def __init__(self, crowd: Servers, addr: str) -> None:
-        self.crowd, self.addr = crowd, addr
+    def __init__(self, group: HollowServerGroup, addr: str) -> None:
+        self.group, self.addr = group, addr
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
-        self.waiting: deque[PendingCall] = deque()
+        self.pending_calls: deque[PendingCall] = deque()
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """The connection is up."""
+        """Store the transport (asyncio)."""
         self.transport = transport
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone: all calls on it are lost."""
+        """Report all pending calls as lost (asyncio)."""
         self.transport = None
-        for pending in self.waiting:
-            self.crowd.lost(pending.server)
-        self.waiting.clear()
+        for pending in self.pending_calls:
+            self.group.handle_lost_call(pending.server)
+        self.pending_calls.clear()
 
     def call(self, server: HollowServer, method: str, body: bytes, now: float) -> None:
-        """Send the call of a server."""
+        """Send a server's call."""
         head = (
             f"{method} /-/backends/{server.id} HTTP/1.1\r\nHost: {self.addr}\r\nContent-Length: {len(body)}\r\n\r\n"
         ).encode()
         self.transport.write(head + body)
-        self.waiting.append(PendingCall(server, method, now))
-        self.crowd.traffic.add(f"out {method}", len(head) + len(body))
+        self.pending_calls.append(PendingCall(server, method, now))
+        self.group.traffic.add(f"out {method}", len(head) + len(body))
 
     def data_received(self, data: bytes) -> None:
-        """Hand on each whole answer."""
+        """Pass each complete response to the group (asyncio)."""
         self.buffer += data
         while (end := self.buffer.find(b"\r\n\r\n")) >= 0:
             head = self.buffer[:end].lower()
@@ -68,35 +68,35 @@
             if len(self.buffer) < end + 4 + length:
                 return
             body, self.buffer = self.buffer[end + 4 : end + 4 + length], self.buffer[end + 4 + length :]
-            pending = self.waiting.popleft()
-            self.crowd.traffic.add(f"in answer to {pending.method}", end + 4 + length)
-            self.crowd.answered(pending.server, pending.method, int(head[9:12]), body)
+            pending = self.pending_calls.popleft()
+            self.group.traffic.add(f"in answer to {pending.method}", end + 4 + length)
+            self.group.handle_answer(pending.server, pending.method, int(head[9:12]), body)
 
 
 class HollowServer:
-    """One server: its reports, and its end."""
+    """One server with its heartbeat state."""
 
-    def __init__(self, number: int, born: int, load: Load) -> None:
-        self.id = f"i-{number:05d}-{born:04d}"
-        self.number, self.born, self.seq, self.phase = number, born, 0, "up"
-        self.home = ""  # the controller that an answer named for its next calls
-        self.asked_at = 0.0  # when it first said that it leaves
+    def __init__(self, number: int, incarnation: int, load: Load) -> None:
+        self.id = f"i-{number:05d}-{incarnation:04d}"
+        self.number, self.incarnation, self.seq, self.phase = number, incarnation, 0, "up"
+        self.preferred_controller = ""  # named by a response, for the next calls
+        self.leave_started_at = 0.0
         service, zone = number % load.services, number % load.zones
-        # Each life has an address of its own: a used one is taken over only after a while.
-        self._body = (
-            f'{{"addr":"10.{zone + 1}.{born % 200}.{number % 250 + 1}:{SERVER_PORT + number // 250}",'
+        # Each incarnation has its own address, since a used address can be reused only after some time.
+        self._body_template = (
+            f'{{"addr":"10.{zone + 1}.{incarnation % 200}.{number % 250 + 1}:{SERVER_PORT + number // 250}",'
             f'"summary":{{"svc":"service-{service:03d}","ver":"v1","az":"zone-{zone}","slots":8}},'
             f'"stat":{{"phase":"%s","seq":%d,"warmup_time":"0ms"}}}}'
         )
 
     def body(self) -> bytes:
-        """The next report."""
+        """Return the body of the next heartbeat."""
         self.seq += 1
-        return (self._body % (self.phase, self.seq)).encode()
+        return (self._body_template % (self.phase, self.seq)).encode()
 
 
-class Servers:
-    """All hollow servers."""
+class HollowServerGroup:
+    """All hollow servers of a run."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, job: Job) -> None:
         self.loop, self.load, self.seeds = loop, job.load, job.seeds
@@ -106,26 +106,26 @@
         self.connections: dict[str, list[ControllerConnection]] = {addr: [] for addr in job.seeds}
         self.lost_calls = 0
         self.leave_acks: list[float] = []
-        self.born = 0
+        self.incarnation = 0
         now = clock.monotonic()
-        self.due: deque[tuple[float, HollowServer]] = deque()
+        self.schedule: deque[tuple[float, HollowServer]] = deque()
         for number in range(job.load.servers):
             server = HollowServer(number, 0, job.load)
-            self.due.append((now + job.load.heartbeat * number / job.load.servers, server))
-        self.late_most = 0.0
-        self._connect()
-        self._heartbeat()
+            self.schedule.append((now + job.load.heartbeat * number / job.load.servers, server))
+        self.max_delay_s = 0.0
+        self._maintain_connections()
+        self._send_heartbeats()
 
-    def _connect(self) -> None:
+    def _maintain_connections(self) -> None:
         now = clock.monotonic()
         for addr, connections in self.connections.items():
             connections[:] = [connection for connection in connections if connection.transport is not None]
             for connection in connections:
-                if connection.waiting and now - connection.waiting[0].sent_at > ANSWER_TIMEOUT:
+                if connection.pending_calls and now - connection.pending_calls[0].sent_at > ANSWER_TIMEOUT_S:
                     connection.transport.abort()
-            if len(connections) < CONNECTIONS:
-                self.loop.create_task(self._dial(addr, CONNECTIONS - len(connections)))
-        self.loop.call_later(1.0, self._connect)
+            if len(connections) < CONNECTIONS_PER_CONTROLLER:
+                self.loop.create_task(self._dial(addr, CONNECTIONS_PER_CONTROLLER - len(connections)))
+        self.loop.call_later(1.0, self._maintain_connections)
 
     async def _dial(self, addr: str, count: int) -> None:
         host, port = parse_address(addr)
@@ -141,54 +141,54 @@
                 self.connections[addr].append(connection)
 
     def _free_connection(self, server: HollowServer) -> ControllerConnection | None:
-        places = [server.home] if server.home in self.connections else []
-        for addr in (*places, *self.rng.sample(self.seeds, len(self.seeds))):
-            free = [
+        preferred = [server.preferred_controller] if server.preferred_controller in self.connections else []
+        for addr in (*preferred, *self.rng.sample(self.seeds, len(self.seeds))):
+            available = [
                 connection
                 for connection in self.connections[addr]
-                if connection.transport is not None and len(connection.waiting) < WAITING_MOST
+                if connection.transport is not None and len(connection.pending_calls) < MAX_PENDING_CALLS
             ]
-            if free:
-                return self.rng.choice(free)
+            if available:
+                return self.rng.choice(available)
         return None
 
-    def _heartbeat(self) -> None:
+    def _send_heartbeats(self) -> None:
         now = clock.monotonic()
-        due = self.due
-        while due and due[0][0] <= now:
-            at, server = due.popleft()
-            self.late_most = max(self.late_most, now - at)
+        schedule = self.schedule
+        while schedule and schedule[0][0] <= now:
+            due_at, server = schedule.popleft()
+            self.max_delay_s = max(self.max_delay_s, now - due_at)
             if server.phase == "gone":
                 continue
             if server.phase == "up":
                 self.call(server, "PUT", now)
-            due.append((max(at, now - self.load.heartbeat) + self.load.heartbeat, server))
-        self.loop.call_later(0.01, self._heartbeat)
+            schedule.append((max(due_at, now - self.load.heartbeat) + self.load.heartbeat, server))
+        self.loop.call_later(0.01, self._send_heartbeats)
 
     def call(self, server: HollowServer, method: str, now: float) -> None:
-        """Send a heartbeat, or the removal of the server, over a free connection."""
+        """Send a heartbeat or the removal of the server over an available connection."""
         if (connection := self._free_connection(server)) is not None:
             connection.call(server, method, server.body() if method == "PUT" else b"", now)
         else:
-            self.lost(server)
+            self.handle_lost_call(server)
 
-    def lost(self, server: HollowServer) -> None:
-        """No answer came: one that leaves says so again."""
+    def handle_lost_call(self, server: HollowServer) -> None:
+        """Count a call without a response; a server that is leaving retries."""
         self.lost_calls += 1
         if server.phase == "draining":
             self.loop.call_later(0.1, lambda: self.call(server, "PUT", clock.monotonic()))
 
-    def answered(self, server: HollowServer, method: str, status: int, body: bytes) -> None:
-        """A controller has answered a call."""
+    def handle_answer(self, server: HollowServer, method: str, status: int, body: bytes) -> None:
+        """Handle a controller's response to a call."""
         self.statuses[f"{method} {status}"] += 1
         now = clock.monotonic()
         if server.phase == "draining" and method == "PUT":
             if status != 200:
-                return self.lost(server)
-            self.leave_acks.append(now - server.asked_at)
+                return self.handle_lost_call(server)
+            self.leave_acks.append(now - server.leave_started_at)
             server.phase = "gone"
             self.call(server, "DELETE", now)
-            self.due.append((now, HollowServer(server.number, server.born + 1, self.load)))
+            self.schedule.append((now, HollowServer(server.number, server.incarnation + 1, self.load)))
         elif b"beat_url" in body:
             try:
                 url = msgspec.json.decode(body).get("beat_url", "")
@@ -196,24 +196,24 @@
                 return
             addr = url.partition("//")[2].partition("/")[0]
             if addr in self.connections:
-                server.home = addr
-
-    def order(self, order: Order) -> ServersReport:
-        """Do what is ordered, and report what has been counted."""
-        if order.do == "leave":
-            up = [server for _, server in self.due if server.phase == "up"]
-            for server in self.rng.sample(up, order.count):
-                server.phase, server.asked_at = "draining", clock.monotonic()
+                server.preferred_controller = addr
+
+    def execute(self, command: Command) -> ServersReport:
+        """Execute a command and return a report of the counts."""
+        if command.do == "leave":
+            running = [server for _, server in self.schedule if server.phase == "up"]
+            for server in self.rng.sample(running, command.count):
+                server.phase, server.leave_started_at = "draining", clock.monotonic()
                 self.call(server, "PUT", clock.monotonic())
-        if order.do == "reset":
-            self.traffic, self.leave_acks, self.late_most, self.lost_calls = Traffic(), [], 0.0, 0
+        if command.do == "reset":
+            self.traffic, self.leave_acks, self.max_delay_s, self.lost_calls = Traffic(), [], 0.0, 0
             self.statuses.clear()
         return ServersReport(
-            servers=len(self.due),
+            servers=len(self.schedule),
             traffic=self.traffic.counts(),
             statuses=dict(self.statuses),
             leave_acks=self.leave_acks,
             lost_calls=self.lost_calls,
-            late_most=self.late_most,
+            late_most=self.max_delay_s,
             connections={addr: len(connections) for addr, connections in self.connections.items()},
         )
--- a/crowseam/capacity/message_costs.py
+++ b/crowseam/capacity/message_costs.py
@@ -1,7 +1,6 @@
-"""Bytes a second of control traffic against the size of a deployment: the real messages, filled for the size.
+"""Bytes per second of control traffic by deployment size, computed by encoding real messages of that size.
 
-Nothing is sent.  The figures hold for calm times: changes of configuration, servers and sessions come
-on top, and heartbeats and pulses come as often as the daemons send them.
+Nothing is sent. The figures are for the steady state: changes of the configuration, servers and sessions add to them.
 """
 
 from __future__ import annotations
@@ -38,18 +37,18 @@
     SilentServers,
 )
 
-REPORTS = 1.0 / 0.5  # a second, of each gateway
-HEARTBEAT_CALL = 420  # bytes of a heartbeat and its answer with their heads, as servers send them
-ASKING_TENANTS = 8  # tenants that a gateway is asked by at a time: those of its clients
-SHARE = 123_456  # a share as large as most
-ZONES = 3  # over which controllers are spread; gateways have their session within their own
-GATEWAY = "edge-somewhere-a-12"  # a name as long as most
+REPORTS_PER_S = 1.0 / 0.5  # of one gateway
+HEARTBEAT_CALL_BYTES = 420  # of a server's heartbeat request and its response with headers
+ACTIVE_TENANTS = 8  # tenants with requests at one gateway at a time
+SAMPLE_SHARE = 123_456  # encodes to a typical size
+ZONES = 3  # with controllers in each; gateways connect within their own zone
+GATEWAY_NAME = "edge-somewhere-a-12"  # of typical length
 
-Bytes = dict[str, float]  # by message
+BytesByMessage = dict[str, float]  # by type of message
 
 
 class Deployment(Struct, frozen=True):
-    """The size of a deployment; `heartbeat`: s between two heartbeats of a server."""
+    """The size of a deployment. `heartbeat`: interval in s between heartbeats of a server."""
 
     gateways: int
     servers: int
@@ -59,104 +58,110 @@
 
 
 class Costs(Struct, frozen=True):
-    """Bytes a second by process and message, in and out together, but for `start`.
+    """Bytes per second by process and type of message, sent and received together; `start` is in bytes.
 
-    Draws from the reserve come on top, by the request.
+    Draws from the reserve are not included, since they depend on the requests.
     """
 
-    gateway: Bytes  # of one gateway
-    controller: Bytes  # of one controller
-    fleet: Bytes  # of all, each message counted once
-    between: Bytes  # what goes from zone to zone, but for the servers' calls, whose way is theirs to choose
-    start: Bytes  # of one gateway's opening of a session, not by the second
+    gateway: BytesByMessage  # of one gateway
+    controller: BytesByMessage  # of one controller
+    fleet: BytesByMessage  # of all processes, each message counted once
+    between: BytesByMessage  # cross-zone traffic, without the servers' calls
+    start: BytesByMessage  # bytes to open one gateway session
 
 
-def _size(*messages: Message) -> int:
-    """Bytes of messages with their frames."""
+def _framed_bytes(*messages: Message) -> int:
+    """Return the bytes of messages including frames."""
     return sum(len(frame(message)) for message in messages)
 
 
-class Leases:
-    """The leases that a gateway holds, of the tenants with requests there."""
+class SampleLeases:
+    """The leases and lease reports of one gateway for the tenants with requests there."""
 
     def __init__(self, names: list[str]) -> None:
-        self.asks = {name: 1.25 for name in names}
-        shares = {key: {name: SHARE for name in names if shard_of(name) == key} for key in ROLE_KEYS}
-        self.held = {key: LeaseReport(1, 1.0, 1 << 20, 99_999, 7.5, shares[key]) for key in ROLE_KEYS}
-        self.lent = {key: QuotaLease(1, 1.0, 1 << 20, 99_999, 8.0, shares[key]) for key in ROLE_KEYS}
-
-    def slices(self) -> int:
-        """Bytes of the slices that a controller sends to one gateway."""
-        return _size(*(LeaseUpdate(key, lease) for key, lease in self.lent.items()))
-
-    def relayed(self) -> int:
-        """Bytes of what one controller asks another for one gateway, and is lent."""
-        asks = [
-            ForwardedLeaseReport(GATEWAY, key, dict.fromkeys(held.shares, 1.25), held)
-            for key, held in self.held.items()
+        self.demand = {name: 1.25 for name in names}
+        shares = {key: {name: SAMPLE_SHARE for name in names if shard_of(name) == key} for key in ROLE_KEYS}
+        self.lease_reports = {key: LeaseReport(1, 1.0, 1 << 20, 99_999, 7.5, shares[key]) for key in ROLE_KEYS}
+        self.leases = {key: QuotaLease(1, 1.0, 1 << 20, 99_999, 8.0, shares[key]) for key in ROLE_KEYS}
+
+    def lease_update_bytes(self) -> int:
+        """Return the bytes of the lease updates that a controller sends to one gateway."""
+        return _framed_bytes(*(LeaseUpdate(key, lease) for key, lease in self.leases.items()))
+
+    def forwarded_bytes(self) -> int:
+        """Return the bytes of the lease reports and leases of one gateway that one controller forwards to another."""
+        requests = [
+            ForwardedLeaseReport(GATEWAY_NAME, key, dict.fromkeys(report.shares, 1.25), report)
+            for key, report in self.lease_reports.items()
         ]
-        return _size(*asks, *(ForwardedLease(GATEWAY, key, lease) for key, lease in self.lent.items()))
+        return _framed_bytes(
+            *requests, *(ForwardedLease(GATEWAY_NAME, key, lease) for key, lease in self.leases.items())
+        )
 
 
-def costs(size: Deployment, asked: int = ASKING_TENANTS) -> Costs:
-    """What control costs at this size, where each gateway is asked by `asked` tenants."""
-    addresses = [f"10.{n % 4 + 1}.0.{n + 10}:8407" for n in range(size.controllers)]
-    leases = Leases([f"t-{n:05d}" for n in range(min(size.tenants, asked))])
+def costs(deployment: Deployment, active_tenants: int = ACTIVE_TENANTS) -> Costs:
+    """Return the control traffic of a deployment whose gateways each have requests of `active_tenants` tenants."""
+    addresses = [f"10.{n % 4 + 1}.0.{n + 10}:8407" for n in range(deployment.controllers)]
+    leases = SampleLeases([f"t-{n:05d}" for n in range(min(deployment.tenants, active_tenants))])
     gateway = {
-        "reports": REPORTS * _size(GatewayReport(leases.asks, leases.held)),
-        "slices": REPORTS * leases.slices(),
-        "pulses": _size(SessionHeartbeat(size.gateways, 10, True)) / HEARTBEAT_INTERVAL_S,
+        "reports": REPORTS_PER_S * _framed_bytes(GatewayReport(leases.demand, leases.lease_reports)),
+        "slices": REPORTS_PER_S * leases.lease_update_bytes(),
+        "pulses": _framed_bytes(SessionHeartbeat(deployment.gateways, 10, True)) / HEARTBEAT_INTERVAL_S,
     }
-    pair = _between_controllers(size, addresses, leases)
-    heartbeats = size.servers / size.heartbeat * HEARTBEAT_CALL
-    controller = {name: size.gateways / size.controllers * each for name, each in gateway.items()} | pair
-    controller["heartbeats"] = heartbeats / size.controllers
-    fleet = {name: size.gateways * each for name, each in gateway.items()}
-    fleet |= {name: size.controllers * each / 2 for name, each in pair.items()} | {"heartbeats": heartbeats}
-    apart = _apart(size.controllers)
-    between = {name: apart * fleet[name] for name in pair}
-    return Costs(gateway, controller, fleet, between, _start(size, addresses))
-
-
-def _between_controllers(size: Deployment, addresses: list[str], leases: Leases) -> Bytes:
-    """What one controller sends to the others and receives from them."""
-    others = size.controllers - 1
-    away = others / size.controllers  # part of the duties that another controller holds
-    heard_per_update = size.servers / size.heartbeat * UPDATE_INTERVAL_S / size.controllers
-    heard = [("i-0123456789", 1000)] * max(1, round(heard_per_update))
-    renewal = _size(
+    controller_pair = _between_controllers(deployment, addresses, leases)
+    heartbeats = deployment.servers / deployment.heartbeat * HEARTBEAT_CALL_BYTES
+    controller = {
+        name: deployment.gateways / deployment.controllers * each for name, each in gateway.items()
+    } | controller_pair
+    controller["heartbeats"] = heartbeats / deployment.controllers
+    fleet = {name: deployment.gateways * each for name, each in gateway.items()}
+    fleet |= {name: deployment.controllers * each / 2 for name, each in controller_pair.items()} | {
+        "heartbeats": heartbeats
+    }
+    cross_zone_share = _cross_zone_share(deployment.controllers)
+    between = {name: cross_zone_share * fleet[name] for name in controller_pair}
+    return Costs(gateway, controller, fleet, between, _session_start_bytes(deployment, addresses))
+
+
+def _between_controllers(deployment: Deployment, addresses: list[str], leases: SampleLeases) -> BytesByMessage:
+    """Return the bytes per second that one controller exchanges with its peers."""
+    peers = deployment.controllers - 1
+    remote_share = peers / deployment.controllers  # share of the roles held by another controller
+    heard_per_update = deployment.servers / deployment.heartbeat * UPDATE_INTERVAL_S / deployment.controllers
+    heard_reports = [("i-0123456789", 1000)] * max(1, round(heard_per_update))
+    renewal_bytes = _framed_bytes(
         RoleLeaseRequest(ROLE_KEYS[0], 1 << 40, 1 << 20, 1.4), RoleLeaseGrant(ROLE_KEYS[0], 1 << 40, 1 << 20)
     )
-    duties = len(ROLE_KEYS) / RoleLeaseTiming().renew_interval_s * others * renewal
-    gateways = size.gateways / size.controllers
+    role_renewal_bytes = len(ROLE_KEYS) / RoleLeaseTiming().renew_interval_s * peers * renewal_bytes
+    gateways = deployment.gateways / deployment.controllers
     return {
-        "pings": 2 * others * _size(PeerHeartbeat(1.0, 1.0, 10, addresses)) / HEARTBEAT_INTERVAL_S,
-        "sessions": 2 * others * _size(SessionUpdate(addresses[0], "x" * 24, 9, 9, [], [])) / UPDATE_INTERVAL_S,
-        "heard": 2 * others * _size(HeardReports(heard)) / UPDATE_INTERVAL_S,
-        "digests": 2 * _size(DigestOffer([b"12345678"])) / REPAIR_INTERVAL_S,
-        "duties": 2 * duties / size.controllers,
-        "relayed leases": 2 * gateways * REPORTS * away * leases.relayed(),
+        "pings": 2 * peers * _framed_bytes(PeerHeartbeat(1.0, 1.0, 10, addresses)) / HEARTBEAT_INTERVAL_S,
+        "sessions": 2 * peers * _framed_bytes(SessionUpdate(addresses[0], "x" * 24, 9, 9, [], [])) / UPDATE_INTERVAL_S,
+        "heard": 2 * peers * _framed_bytes(HeardReports(heard_reports)) / UPDATE_INTERVAL_S,
+        "digests": 2 * _framed_bytes(DigestOffer([b"12345678"])) / REPAIR_INTERVAL_S,
+        "duties": 2 * role_renewal_bytes / deployment.controllers,
+        "relayed leases": 2 * gateways * REPORTS_PER_S * remote_share * leases.forwarded_bytes(),
     }
 
 
-def _apart(controllers: int) -> float:
-    """The part of all pairs of controllers that are in different zones."""
+def _cross_zone_share(controllers: int) -> float:
+    """Return the share of controller pairs that are in different zones."""
     in_zone = [len(range(zone, controllers, ZONES)) for zone in range(ZONES)]
     return (controllers**2 - sum(n * n for n in in_zone)) / max(1, controllers * (controllers - 1))
 
 
-def _start(size: Deployment, addresses: list[str]) -> Bytes:
-    """Bytes of one gateway's opening of a session."""
+def _session_start_bytes(deployment: Deployment, addresses: list[str]) -> BytesByMessage:
+    """Return the bytes to open one gateway session."""
     record = ServerRecord("i-0123456789", "service-a", "10.1.64.200:8080", "zone-a", "v1", 4, "up", 99_999)
-    greetings = (
-        OpenSession(GATEWAY, 1 << 50, 9, "zone-a", -1, "", 0, True, PROTOCOL_VERSION),
+    opening_messages = (
+        OpenSession(GATEWAY_NAME, 1 << 50, 9, "zone-a", -1, "", 0, True, PROTOCOL_VERSION),
         SessionOpened(addresses[0], addresses, PROTOCOL_VERSION),
         SilentServers([]),
         EjectedServers([]),
-        SessionHeartbeat(size.gateways, 10, True),
+        SessionHeartbeat(deployment.gateways, 10, True),
     )
     return {
-        "servers": float(_size(ServerUpdate("x" * 24, 9, True, [record] * size.servers))),
-        "configuration": float(_size(ConfigurationState(9, pack(configuration(size.tenants))))),
-        "greetings": float(_size(*greetings)),
+        "servers": float(_framed_bytes(ServerUpdate("x" * 24, 9, True, [record] * deployment.servers))),
+        "configuration": float(_framed_bytes(ConfigurationState(9, pack(configuration(deployment.tenants))))),
+        "greetings": float(_framed_bytes(*opening_messages)),
     }
--- a/crowseam/capacity/page.py
+++ b/crowseam/capacity/page.py
@@ -1,8 +1,8 @@
-"""Slopes of cost against size, from kept records, extrapolated to the size to come: the tables of CAPACITY.md.
+"""Cost by size, fitted to stored records and extrapolated to the target size: the tables of CAPACITY.md.
 
-Records are those of `crowseam scale-run` (scale-run-*.json), the figures of `crowseam scale --curve --json`
-(curves.json), and sweeps of the bench (sweep-*.toml, as `Sweep` has it), all in one directory; goals.toml
-there has the size to come, and the allowance and the mechanism of each row.
+One directory holds the records of `crowseam scale-run` (scale-run-*.json), the output of
+`crowseam scale --curve --json` (curves.json), benchmark sweeps (sweep-*.toml, see `Sweep`), and goals.toml with the
+target size and the limit and mechanism of each row. The tables call the target size "the size to come".
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from crowseam.cli.console import Args, print_json, print_text, write_file
 from crowseam.cli.errors import DONE, BadInputError
 
-LATE_MOST = 0.05  # s by which hollow looks may be late on average: beyond, the run measured itself
-SATURATED = 0.9  # cores of a controller, which has one thread, from which on its times say little
-BETTER = 4.0  # times that a curve's residue is smaller than a line's where it is no line
-LOOSE = 0.1  # of the mean, the residue from which on a line is said not to fit
-FEWEST = 3  # sizes from which on a line is carried to the size to come
-FAR = 10.0  # times the largest size measured, beyond which that is said to be far
+MAX_MEAN_DELAY_S = 0.05  # of hollow gateways' checks; above it, the load generator was overloaded
+SATURATED_CORES = 0.9  # of a single-threaded controller; above it, response times are unreliable
+MIN_RESIDUE_RATIO = 4.0  # of line to parabola, from which the parabola is used
+MAX_RELATIVE_RESIDUE = 0.1  # residue of a good line fit, relative to the mean
+MIN_SIZES = 3  # needed for an extrapolation
+MAX_EXTRAPOLATION_RATIO = 10.0  # of the target to the largest measured size; marked as far beyond it
 
 
 class Goal(Struct, frozen=True, forbid_unknown_fields=True):
-    """What may be used of something at the size to come, and by what it is carried."""
+    """Limit of a quantity at the target size, and the mechanism that bounds it."""
 
     row: str
     most: float | None = None
@@ -34,7 +34,7 @@
 
 
 class Goals(Struct, frozen=True, forbid_unknown_fields=True):
-    """The size to come by what things grow with, and the rows."""
+    """The target size by dimension, and the goals of the rows."""
 
     size: dict[str, float]
     rows: list[Goal]
@@ -50,7 +50,7 @@
 
 
 class Sweep(Struct, frozen=True, forbid_unknown_fields=True):
-    """A sweep of sizes that something else has played. `by`: what the sizes count, a key of Goals.size."""
+    """A sweep over sizes measured by another tool. `by`: the dimension of the sizes, a key of Goals.size."""
 
     name: str
     source: str
@@ -59,10 +59,9 @@
 
 
 class Fit(Struct, frozen=True):
-    """`at` = a + b x + c x**2 at the size to come; c is 0 for a line.
+    """A least squares fit: `at` = a + b x + c x**2 at the target size x; c is 0 for a line.
 
-    `residue`: the root of the mean square of what a line leaves, in the unit of the values.
-    `line`: whether one describes them.
+    `residue`: root mean square error of the line, in the unit of the values. `line`: whether the line fits.
     """
 
     a: float
@@ -74,7 +73,7 @@
 
 
 class Series(Struct, frozen=True):
-    """A quantity at several sizes."""
+    """The values of a quantity at several sizes."""
 
     role: str
     quantity: str
@@ -85,81 +84,81 @@
 
     @property
     def name(self) -> str:
-        """What goals.toml knows it by."""
+        """Return the name of the series in goals.toml."""
         return f"{self.role}: {self.quantity}"
 
 
 def _solve(rows: list[list[float]]) -> list[float] | None:
-    """The solution of a small system of equations, its right side last in each row; None if it has none."""
+    """Solve linear equations, with the right side last in each row; None if the system is singular."""
     count = len(rows)
     rows = [list(each) for each in rows]
-    for place in range(count):
-        best = max(range(place, count), key=lambda at: abs(rows[at][place]))
-        if abs(rows[best][place]) < 1e-12:
+    for column in range(count):
+        pivot = max(range(column, count), key=lambda index: abs(rows[index][column]))
+        if abs(rows[pivot][column]) < 1e-12:
             return None
-        rows[place], rows[best] = rows[best], rows[place]
+        rows[column], rows[pivot] = rows[pivot], rows[column]
         for other in range(count):
-            if other != place:
-                factor = rows[other][place] / rows[place][place]
-                rows[other] = [x - factor * y for x, y in zip(rows[other], rows[place], strict=True)]
-    return [rows[place][count] / rows[place][place] for place in range(count)]
+            if other != column:
+                factor = rows[other][column] / rows[column][column]
+                rows[other] = [x - factor * y for x, y in zip(rows[other], rows[column], strict=True)]
+    return [rows[column][count] / rows[column][column] for column in range(count)]
 
 
 def _least_squares(points: list[tuple[float, float]], degree: int) -> tuple[list[float], float] | None:
-    """Coefficients from the constant on, and the root of the mean square of the residue."""
-    scale = max(abs(x) for x, _ in points) or 1.0  # keeps the sums of powers alike in size
+    """Return the coefficients in ascending order, and the root mean square error."""
+    scale = max(abs(x) for x, _ in points) or 1.0  # keeps the sums of powers similar in magnitude
     scaled = [(x / scale, y) for x, y in points]
     rows = [
         [sum(x ** (i + j) for x, _ in scaled) for j in range(degree + 1)] + [sum(y * x**i for x, y in scaled)]
         for i in range(degree + 1)
     ]
-    found = _solve(rows)
-    if found is None:
+    coefficients = _solve(rows)
+    if coefficients is None:
         return None
-    left = sum((y - sum(c * x**i for i, c in enumerate(found))) ** 2 for x, y in scaled)
-    return [c / scale**i for i, c in enumerate(found)], (left / len(scaled)) ** 0.5
+    squares = sum((y - sum(c * x**i for i, c in enumerate(coefficients))) ** 2 for x, y in scaled)
+    return [c / scale**i for i, c in enumerate(coefficients)], (squares / len(scaled)) ** 0.5
 
 
-def fit(points: list[tuple[float, float]], size: float) -> Fit | None:
-    """A line through the points by least squares, carried to `size`; None of less than two sizes.
+def fit_points(points: list[tuple[float, float]], size: float) -> Fit | None:
+    """Fit a line to the points and extrapolate it to `size`; None with fewer than two sizes.
 
-    With four sizes or more a parabola is tried: where it leaves a BETTER-th of the residue, and the line
-    leaves more than LOOSE of the mean, it is no line, and the parabola is carried on.
+    With four sizes or more, a parabola is used instead if the line's residue exceeds MAX_RELATIVE_RESIDUE of the mean
+    and the parabola's is smaller by a factor of MIN_RESIDUE_RATIO.
     """
     if len({x for x, _ in points}) < 2:
         return None
-    (a, b), residue = _least_squares(points, 1)
+    (intercept, slope), residue = _least_squares(points, 1)
     mean = sum(abs(y) for _, y in points) / len(points)
-    if len({x for x, _ in points}) >= 4 and residue > LOOSE * mean:
+    if len({x for x, _ in points}) >= 4 and residue > MAX_RELATIVE_RESIDUE * mean:
         curve = _least_squares(points, 2)
-        if curve is not None and curve[1] * BETTER <= residue:
-            (ca, cb, cc), _ = curve
-            return Fit(ca, cb, cc, residue, False, ca + cb * size + cc * size * size)
-    return Fit(a, b, 0.0, residue, True, a + b * size)
+        if curve is not None and curve[1] * MIN_RESIDUE_RATIO <= residue:
+            (constant, linear, quadratic), _ = curve
+            return Fit(constant, linear, quadratic, residue, False, constant + linear * size + quadratic * size * size)
+    return Fit(intercept, slope, 0.0, residue, True, intercept + slope * size)
 
 
-def unfit(record: RunRecord) -> str:
-    """Why a run gives no slopes; empty if it does."""
+def exclusion_reason(record: RunRecord) -> str:
+    """Return why a run is excluded from the fits; empty if it isn't."""
     if record.calm is None:
         return "ended before its calm time"
-    if silent := record.calm.events.get("left silent", 0):
-        return f"sessions left as silent in calm ({silent})"
-    if record.calm.hollow_late_s.mean > LATE_MOST:
+    if silent_sessions := record.calm.events.get("left silent", 0):
+        return f"sessions left as silent in calm ({silent_sessions})"
+    if record.calm.hollow_late_s.mean > MAX_MEAN_DELAY_S:
         return f"the hollow gateways were late themselves ({record.calm.hollow_late_s.mean} s on average)"
     if record.mass_start is None or not record.mass_start.done:
         return "not all gateways came up"
     return ""
 
 
-def _at(record: RunRecord, path: str) -> float | None:
-    """The value at a dotted path of attributes; None where a part was not reached."""
+def _value_at(record: RunRecord, path: str) -> float | None:
+    """Return the value at a dotted path of attributes; None if the run did not reach that phase."""
     value: Any = record
     for name in path.split("."):
         value = getattr(value, name, None)
     return value
 
 
-TIMES = (
+TIME_SERIES = (
     ("change acknowledged, p50", "ms", "changes.ack_ms.p50"),
     ("change acknowledged, worst", "ms", "changes.ack_ms.worst"),
     ("change at a gateway after that, p50", "ms", "changes.to_gateways_ms.p50"),
@@ -172,7 +171,7 @@
     ("controller killed: gateways elsewhere", "s", "controller_restart.gateways_elsewhere_s"),
     ("controller killed: up to date again", "s", "controller_restart.catch_up_s"),
 )
-USES = (
+USAGE_SERIES = (
     ("cores", "cores"),
     ("memory", "MB"),
     ("files", "descriptors"),
@@ -183,7 +182,7 @@
 
 
 class SeriesKey(NamedTuple):
-    """What sets one series apart from the others."""
+    """Identifies a series."""
 
     role: str
     quantity: str
@@ -192,30 +191,30 @@
     how: str = "measured"
 
 
-class Points:
-    """Values by size, collected by series."""
+class SeriesBuilder:
+    """Collects values by series and size."""
 
     def __init__(self) -> None:
         self._points: dict[SeriesKey, list[tuple[float, float]]] = {}
 
     def add(self, key: SeriesKey, size: float, value: float | None) -> None:
-        """Add a value; None is none."""
+        """Add a value; None is ignored."""
         if value is not None:
             self._points.setdefault(key, []).append((float(size), float(value)))
 
-    def series(self) -> list[Series]:
-        """All series, in the order in which they came."""
+    def build_series(self) -> list[Series]:
+        """Return all series in order of first use."""
         return [
             Series(key.role, key.quantity, key.unit, key.by, sorted(points), key.how)
             for key, points in self._points.items()
         ]
 
 
-def series(records: list[RunRecord], curves: dict[str, Any] | None, sweeps: list[Sweep]) -> list[Series]:
-    """All quantities of the records, by role."""
-    points = Points()
+def build_series(records: list[RunRecord], curves: dict[str, Any] | None, sweeps: list[Sweep]) -> list[Series]:
+    """Return the series of all records, curves and sweeps."""
+    points = SeriesBuilder()
     for record in records:
-        if not unfit(record):
+        if not exclusion_reason(record):
             _add_run(points, record)
     for each in (curves or {}).get("processor", ()):
         by = "servers_of_a_service" if each["by"] == "servers of a service" else each["by"]
@@ -224,82 +223,83 @@
         for row in sweep.rows:
             for size, value in row.values.items():
                 points.add(SeriesKey(row.role, row.quantity, row.unit, sweep.by, sweep.name), float(size), value)
-    return points.series()
+    return points.build_series()
 
 
-def _add_run(points: Points, record: RunRecord) -> None:
-    """Add what one run has measured."""
+def _add_run(points: SeriesBuilder, record: RunRecord) -> None:
+    """Add the values of one run."""
     size, calm = record.gateways, record.calm
     for role in ("gateway", "controller"):
-        used = [each for name, each in calm.processes.items() if name.startswith(f"{role}-")]
-        for key, unit in USES if used else ():
-            mean = sum(getattr(each, key) for each in used) / len(used)
+        usages = [each for name, each in calm.processes.items() if name.startswith(f"{role}-")]
+        for key, unit in USAGE_SERIES if usages else ():
+            mean = sum(getattr(each, key) for each in usages) / len(usages)
             points.add(SeriesKey(role, f"calm, {unit}", unit), size, mean)
     points.add(SeriesKey("controller", "disk held", "MB"), size, max(record.disk.values(), default=None))
-    hollow, role = max(1, calm.open), "hollow gateway"
+    hollow_count, role = max(1, calm.open), "hollow gateway"
     points.add(SeriesKey(role, "calm, all messages", "kB/s"), size, calm.gateway_kilobytes)
     points.add(SeriesKey(role, "tenants named in a report", "tenants"), size, calm.tenants_named)
-    points.add(SeriesKey(role, "draws wanted", "a second"), size, calm.draws_wanted_s / hollow)
-    for what, rate in calm.traffic.items():
-        points.add(SeriesKey(role, what, "kB/s"), size, rate.kilobytes / hollow)
-    for quantity, unit, path in TIMES:
-        points.add(SeriesKey("times", quantity, unit), size, _at(record, path))
+    points.add(SeriesKey(role, "draws wanted", "a second"), size, calm.draws_wanted_s / hollow_count)
+    for message_type, rate in calm.traffic.items():
+        points.add(SeriesKey(role, message_type, "kB/s"), size, rate.kilobytes / hollow_count)
+    for quantity, unit, path in TIME_SERIES:
+        points.add(SeriesKey("times", quantity, unit), size, _value_at(record, path))
     if not record.load.get("ramp"):
-        points.add(SeriesKey("times", "mass start, worst", "s"), size, _at(record, "mass_start.catch_up_s.worst"))
+        points.add(SeriesKey("times", "mass start, worst", "s"), size, _value_at(record, "mass_start.catch_up_s.worst"))
 
 
-def number(value: float) -> str:
-    """A figure with as many digits as it bears."""
+def format_number(value: float) -> str:
+    """Format with three significant digits, or as an integer from 100."""
     return f"{value:,.0f}" if abs(value) >= 100 else f"{value:.3g}"
 
 
-def rows(found: list[Series], goals: Goals) -> list[dict[str, str]]:
-    """A row of the table for each series: the measured values, the slope, and the value at the size to come."""
+def rows(all_series: list[Series], goals: Goals) -> list[dict[str, str]]:
+    """Return a table row for each series: measured values, slope, and value at the target size."""
     known = {goal.row: goal for goal in goals.rows}
-    return [_row(each, known.get(each.name, Goal(each.name)), goals.size.get(each.by)) for each in found]
+    return [_row(each, known.get(each.name, Goal(each.name)), goals.size.get(each.by)) for each in all_series]
 
 
 def _row(each: Series, goal: Goal, size: float | None) -> dict[str, str]:
-    slope, at = _carried(each, goal, size)
+    slope, at = _extrapolate(each, goal, size)
     return {
         "role": each.role,
         "quantity": f"{each.quantity} ({each.unit})",
-        "measured": ", ".join(f"{x:,.0f}: {number(y)}" for x, y in each.points),
+        "measured": ", ".join(f"{x:,.0f}: {format_number(y)}" for x, y in each.points),
         "slope": slope,
         "at the size to come": at,
-        "allowance": "-" if goal.most is None else number(goal.most),
+        "allowance": "-" if goal.most is None else format_number(goal.most),
         "how": each.how,
         "mechanism": goal.mechanism or "-",
     }
 
 
-def _carried(each: Series, goal: Goal, size: float | None) -> tuple[str, str]:
-    """The slope of a series, and its value at the size to come, as text."""
-    found = None if size is None else fit(each.points, size)
-    if found is None:
+def _extrapolate(each: Series, goal: Goal, size: float | None) -> tuple[str, str]:
+    """Return the slope of a series and its value at the target size as text."""
+    fit = None if size is None else fit_points(each.points, size)
+    if fit is None:
         return "one size only", "-"
     values = [y for _, y in each.points]
     mean = sum(values) / len(values)
-    slope = f"{number(found.b)} each, residue {number(found.residue)}"
-    if not found.line:
-        slope = f"no line: {number(found.b)} and {number(found.c)} by the square"
+    slope = f"{format_number(fit.b)} each, residue {format_number(fit.residue)}"
+    if not fit.line:
+        slope = f"no line: {format_number(fit.b)} and {format_number(fit.c)} by the square"
     if each.role == "times":
-        return slope, "as measured, while no controller is full"  # beyond that no line leads anywhere
-    if len(each.points) < FEWEST:
+        # The response times of a saturated controller can't be extrapolated.
+        return slope, "as measured, while no controller is full"
+    if len(each.points) < MIN_SIZES:
         return slope, f"not carried on from {len(each.points)} sizes"
-    value = found.at
-    if max(values) - min(values) <= LOOSE * mean or found.line and found.b <= 0.0:
+    value = fit.at
+    if max(values) - min(values) <= MAX_RELATIVE_RESIDUE * mean or fit.line and fit.b <= 0.0:
         slope, value = f"{slope}: does not grow", mean
-    at = number(value)
+    at = format_number(value)
     if goal.most is not None:
         at += " (within)" if value <= goal.most else " (beyond)"
-    if size > FAR * each.points[-1][0]:
+    if size > MAX_EXTRAPOLATION_RATIO * each.points[-1][0]:
         at += f", far: measured to {each.points[-1][0]:,.0f}"
     return slope, at
 
 
 def markdown(table: list[dict[str, Any]]) -> str:
-    """A table of a page."""
+    """Return a table in Markdown."""
     if not table:
         return "None yet.\n"
     names = list(dict.fromkeys(name for each in table for name in each))
@@ -311,19 +311,19 @@
     return "\n".join(lines) + "\n"
 
 
-def fill(page: str, tables: dict[str, str]) -> str:
-    """The page with each table between its markers. Raises BadInputError where markers are missing."""
+def fill_tables(page: str, tables: dict[str, str]) -> str:
+    """Return the page with each table put between its markers. Raises BadInputError if a marker is missing."""
     for name, text in tables.items():
         begin, end = f"<!-- capacity {name} begin -->\n", f"<!-- capacity {name} end -->"
-        before, found, rest = page.partition(begin)
-        _, closed, after = rest.partition(end)
-        if not found or not closed:
-            raise BadInputError("--page", f"the markers of the table {name!r} are missing")
+        before, begin_found, rest = page.partition(begin)
+        _, end_found, after = rest.partition(end)
+        if not begin_found or not end_found:
+            raise BadInputError("--page", f"no markers for the table {name!r}")
         page = f"{before}{begin}{text}{end}{after}"
     return page
 
 
-def _toml(file: Path, kind: type) -> Any:
+def _read_toml(file: Path, kind: type) -> Any:
     try:
         return msgspec.toml.decode(file.read_bytes(), type=kind)
     except OSError as error:
@@ -332,70 +332,70 @@
         raise BadInputError(file.name, str(error)) from None
 
 
-def _json(file: Path, kind: type) -> Any:
+def _read_json(file: Path, kind: type) -> Any:
     try:
         return msgspec.json.decode(file.read_bytes(), type=kind)
     except (msgspec.MsgspecError, OSError, ValueError) as error:
         raise BadInputError(file.name, str(error)) from None
 
 
-def read(folder: Path) -> tuple[list[RunRecord], dict[str, Any] | None, list[Sweep], Goals]:
-    """The records, curves, sweeps and goals of a directory. Raises BadInputError naming the file."""
-    goals = _toml(folder / "goals.toml", Goals)
+def read_records(folder: Path) -> tuple[list[RunRecord], dict[str, Any] | None, list[Sweep], Goals]:
+    """Read the records, curves, sweeps and goals of a directory. Raises BadInputError naming the file."""
+    goals = _read_toml(folder / "goals.toml", Goals)
     files = folder.glob("scale-run-*.json")
-    records = sorted((_json(file, RunRecord) for file in files), key=lambda record: record.gateways)
+    records = sorted((_read_json(file, RunRecord) for file in files), key=lambda record: record.gateways)
     curves = folder / "curves.json"
-    sweeps = [_toml(file, Sweep) for file in sorted(folder.glob("sweep-*.toml"))]
-    return records, _json(curves, dict[str, Any]) if curves.exists() else None, sweeps, goals
+    sweeps = [_read_toml(file, Sweep) for file in sorted(folder.glob("sweep-*.toml"))]
+    return records, _read_json(curves, dict[str, Any]) if curves.exists() else None, sweeps, goals
 
 
-def runs(records: list[RunRecord]) -> list[dict[str, Any]]:
-    """A row for each run: what it found, how busy the machine was, and whether it counts."""
-    found = []
+def run_rows(records: list[RunRecord]) -> list[dict[str, Any]]:
+    """Return a row for each run with its results, the machine's load average, and why it is excluded."""
+    table = []
     for record in records:
         before, after = record.machine.load_average_before[0], record.machine.load_average_after[0]
         row = {name: value for name, value in summary(record).items() if name != "failed"}
         row |= {
             "load average": f"{before:g} to {after:g}",
             "failed": "; ".join(record.failed) or "nothing",
-            "no slopes, as": unfit(record) or "-",
+            "no slopes, as": exclusion_reason(record) or "-",
         }
-        found.append(row)
-    return found
+        table.append(row)
+    return table
 
 
-def tables(
+def build_tables(
     records: list[RunRecord], curves: dict[str, Any] | None, sweeps: list[Sweep], goals: Goals
 ) -> dict[str, list[dict[str, Any]]]:
-    """All tables of the page by name."""
-    found = rows(series(records, curves, sweeps), goals)
-    parts: dict[str, list[dict[str, Any]]] = {"runs": runs(records)}
+    """Return all tables of the page by name."""
+    all_rows = rows(build_series(records, curves, sweeps), goals)
+    parts: dict[str, list[dict[str, Any]]] = {"runs": run_rows(records)}
     for name, roles in (
         ("gateway", ("gateway", "hollow gateway")),
         ("controller", ("controller",)),
         ("times", ("times",)),
         ("code", ("code",)),
     ):
-        parts[name] = [each for each in found if each["role"] in roles]
+        parts[name] = [each for each in all_rows if each["role"] in roles]
     known = {each["role"] for part in parts.values() for each in part if "role" in each}
-    parts["sweeps"] = [each for each in found if each["role"] not in known]
+    parts["sweeps"] = [each for each in all_rows if each["role"] not in known]
     return parts
 
 
 def capacity(args: Args) -> int:
     """`crowseam capacity`: print the tables, or write them into a page. Raises BadInputError."""
-    found = tables(*read(Path(args["--records"])))
+    tables = build_tables(*read_records(Path(args["--records"])))
     if args["--json"]:
-        print_json(found)
+        print_json(tables)
         return DONE
     if args["--page"]:
         try:
             page = Path(args["--page"]).read_text(encoding="utf-8")
         except OSError as error:
             raise BadInputError("--page", f"{args['--page']}: {error.strerror}") from None
-        texts = {name: markdown(table) for name, table in found.items()}
-        write_file(args["--page"], fill(page, texts).encode(), "--page")
+        texts = {name: markdown(table) for name, table in tables.items()}
+        write_file(args["--page"], fill_tables(page, texts).encode(), "--page")
         return DONE
-    for name, table in found.items():
+    for name, table in tables.items():
         print_text(f"{name}\n{markdown(table)}\n")
     return DONE
--- a/crowseam/capacity/procfs.py
+++ b/crowseam/capacity/procfs.py
@@ -1,4 +1,4 @@
-"""Resource usage of a process: processor time, memory, descriptors, bytes. Source: proc(5)."""
+"""Resource usage of a process, read from proc(5)."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 import msgspec
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """What one process has used since its start: `cpu` in seconds, the rest in bytes but for `files`.
+    """Usage of one process since its start: `cpu` in seconds, `files` in descriptors, the rest in bytes.
 
-    `read` and `written` are of all calls, sockets and files together; `disk` is what went to a disk.
+    `read` and `written` count sockets and files together; `disk` counts bytes written to disk.
     """
 
     cpu: float
@@ -26,21 +26,21 @@
 
 
 def usage(pid: int, root: Path = Path("/proc")) -> Usage | None:
-    """What the process has used; None if it is gone, or gone but not yet waited for."""
-    place = root / str(pid)
+    """Return the usage of a process; None if it doesn't exist or is a zombie."""
+    process_dir = root / str(pid)
     try:
-        # The name of the program, in brackets, may hold blanks.
-        fields = (place / "stat").read_text().rpartition(")")[2].split()
+        # The program name in parentheses may contain spaces.
+        fields = (process_dir / "stat").read_text().rpartition(")")[2].split()
         if fields[0] == "Z":
             return None
-        pages = int((place / "statm").read_text().split()[1])
-        io = dict(line.split(": ") for line in (place / "io").read_text().splitlines())
-        files = len(os.listdir(place / "fd"))
+        pages = int((process_dir / "statm").read_text().split()[1])
+        io = dict(line.split(": ") for line in (process_dir / "io").read_text().splitlines())
+        files = len(os.listdir(process_dir / "fd"))
     except (OSError, IndexError, ValueError):
         return None
     return Usage(
-        (int(fields[11]) + int(fields[12])) / TICKS,
-        pages * PAGE,
+        (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S,
+        pages * PAGE_BYTES,
         files,
         int(io["rchar"]),
         int(io["wchar"]),
@@ -49,7 +49,7 @@
 
 
 def memory_total(root: Path = Path("/proc")) -> int:
-    """Bytes of memory of this machine."""
+    """Return the machine's memory in bytes."""
     for line in (root / "meminfo").read_text().splitlines():
         if line.startswith("MemTotal:"):
             return int(line.split()[1]) * 1024
--- a/crowseam/capacity/sample_configuration.py
+++ b/crowseam/capacity/sample_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration of any number of tenants, for what is measured against size."""
+"""Sample configurations with any number of tenants, for measurements by size."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 import msgspec
 
-ROUTES = 24  # over as many services as there are for 2 routes each
-QUOTA = 50  # requests a second of each tenant
+ROUTE_COUNT = 24  # two per service
+QUOTA_PER_S = 50  # of each tenant
 Item = dict[str, Any]
 
 
@@ -39,18 +39,18 @@
 
 
 def _tenant(number: int) -> Item:
-    # Keys are random: no packing makes them smaller.
+    # Random, since real keys don't compress either.
     key = hashlib.blake2b(b"%d" % number, digest_size=16).hexdigest()
     return {
         "type": "tenants",
         "meta": {"name": f"t-{number:05d}"},
-        "spec": {"apikeys": [key], "prio": 1, "rate_per_s": QUOTA, "burst": QUOTA},
+        "spec": {"apikeys": [key], "prio": 1, "rate_per_s": QUOTA_PER_S, "burst": QUOTA_PER_S},
     }
 
 
 def configuration(tenants: int) -> bytes:
-    """The body of a configuration of so many tenants."""
-    objs = [_service(number) for number in range(ROUTES // 2)]
-    objs += [_route(number) for number in range(ROUTES)]
+    """Return the body of a configuration with `tenants` tenants."""
+    objs = [_service(number) for number in range(ROUTE_COUNT // 2)]
+    objs += [_route(number) for number in range(ROUTE_COUNT)]
     objs += [_tenant(number) for number in range(tenants)]
     return msgspec.json.encode({"ver": "00000001", "parent": "00000000", "objs": objs})
--- a/crowseam/capacity/scale_processes.py
+++ b/crowseam/capacity/scale_processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run: real controllers and gateways, and hollow ones.  Each real one has its own address."""
+"""Processes of a scale run: hollow ones, and real controllers and gateways with an IP address each."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 import crowseam
 from crowseam.capacity import procfs
-from crowseam.capacity.hollow_protocol import GatewaysReport, Job, Order, ServersReport
+from crowseam.capacity.hollow_protocol import Command, GatewaysReport, Job, ServersReport
 from crowseam.capacity.loads import Load
 from crowseam.cli import demo_files
 from crowseam.cli.errors import CommandError
@@ -25,64 +25,66 @@
 PEER_PORT = 7660
 PEER_PORTS = 16
 REGIONS = 3
-LIMITS = {"nofile": 20_000, "mem_mb": 2000, "disk_mb": 2000}  # of a real process
+PROCESS_LIMITS = {"nofile": 20_000, "mem_mb": 2000, "disk_mb": 2000}  # of each real process
 HOLLOW_GATEWAYS, HOLLOW_SERVERS = "hollow gateways", "hollow servers"  # roles
-REPORT_SIZE_MOST = 64 * 1024 * 1024  # bytes of the line that a hollow process answers with
-ANSWER_TIMEOUT = 20.0  # s that a hollow process has to answer an order
-END_TIMEOUT = 8.0  # s that a process has to end before it is killed
-PR_SET_PDEATHSIG = 1  # of prctl(2)
+MAX_REPORT_BYTES = 64 * 1024 * 1024  # of a hollow process's answer
+ANSWER_TIMEOUT_S = 20.0  # of a hollow process to a command
+STOP_TIMEOUT_S = 8.0  # before a process is killed
+PR_SET_PDEATHSIG = 1  # option of prctl(2)
 
 Report = TypeVar("Report", GatewaysReport, ServersReport)
 
 
 class RunError(CommandError):
-    """The run was ended: a limit, or a process that has ended by itself."""
+    """The run was aborted: a limit was exceeded, or a process failed or exited."""
 
 
-def controller_ip(place: int) -> str:
-    """The address of a controller."""
-    return f"127.{CONTROLLER_NET + place}.0.10"
+def controller_ip(index: int) -> str:
+    """Return the IP address of a controller."""
+    return f"127.{CONTROLLER_NET + index}.0.10"
 
 
-def gateway_ip(place: int) -> str:
-    """The address of a real gateway."""
-    return f"127.{GATEWAY_NET + place}.0.10"
+def gateway_ip(index: int) -> str:
+    """Return the IP address of a real gateway."""
+    return f"127.{GATEWAY_NET + index}.0.10"
 
 
 def control_addresses(load: Load) -> list[str]:
-    """The addresses (ip:port) at which the controllers are called."""
-    return [f"{controller_ip(place)}:{demo_files.PORTS['ctl']}" for place in range(load.controllers)]
+    """Return the control addresses (ip:port) of the controllers."""
+    return [f"{controller_ip(index)}:{demo_files.PORTS['ctl']}" for index in range(load.controllers)]
 
 
-def settings(load: Load, role: str, place: int, folder: Path) -> dict[str, Any]:
-    """The settings of one real process, as `crowseam demo` writes them, with an address of its own."""
+def settings(load: Load, role: str, index: int, folder: Path) -> dict[str, Any]:
+    """Return the settings of one real process: those of `crowseam demo` with an IP address of its own."""
     values = demo_files.settings(0, role, folder)
     zones = {f"zone-{n}": f"region-{n % REGIONS}" for n in range(load.zones)}
-    ip = controller_ip(place) if role == "controller" else gateway_ip(place)
+    ip = controller_ip(index) if role == "controller" else gateway_ip(index)
     names = ("http", "readyz") if role == "gateway" else ("ctl",)
     values |= {
-        "hostname": f"{role}-{place}",
+        "hostname": f"{role}-{index}",
         "ip": ip,
         "zones": zones,
-        "az": f"zone-{place % load.zones}",
-        "region": zones[f"zone-{place % load.zones}"],
+        "az": f"zone-{index % load.zones}",
+        "region": zones[f"zone-{index % load.zones}"],
         "bind": {name: f"{ip}:{demo_files.PORTS[name]}" for name in names},
         "seeds": control_addresses(load),
-        "datadir": str(folder / f"data-{role}-{place}"),
+        "datadir": str(folder / f"data-{role}-{index}"),
         "hb": f"{load.heartbeat:g}s",
         "port_range": [PEER_PORT, PEER_PORT + PEER_PORTS - 1],
     }
-    values["limits"] |= LIMITS
+    values["limits"] |= PROCESS_LIMITS
     return values
 
 
-def call(ip: str, port: int, method: str, path: str, body: bytes = b"", timeout: float = 15.0) -> tuple[int, bytes]:
-    """One call: status and body; status 0 where no answer came within `timeout` s."""
-    connection = HTTPConnection(ip, port, timeout=timeout)
+def http_call(
+    ip: str, port: int, method: str, path: str, body: bytes = b"", timeout_s: float = 15.0
+) -> tuple[int, bytes]:
+    """Make an HTTP call and return status and body; status 0 without a response within `timeout_s`."""
+    connection = HTTPConnection(ip, port, timeout=timeout_s)
     try:
         connection.request(method, path, body or None)
-        answer = connection.getresponse()
-        return answer.status, answer.read()
+        response = connection.getresponse()
+        return response.status, response.read()
     except (OSError, HTTPException):
         return 0, b""
     finally:
@@ -90,56 +92,56 @@
 
 
 def _die_with_parent() -> None:
-    # A run that is killed leaves nothing behind.
+    # The kernel ends the child when the run is killed.
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGTERM)
 
 
-class Child:
-    """A process that this run has started."""
+class ChildProcess:
+    """A process started by the run."""
 
     def __init__(self, name: str, role: str, process: asyncio.subprocess.Process) -> None:
         self.name, self.role, self.process = name, role, process
-        self.expected = False  # it is meant to end
+        self.is_exit_expected = False  # the run is stopping it
 
     @property
     def running(self) -> bool:
-        """Whether it has not ended."""
+        """Return whether the process is running."""
         return self.process.returncode is None
 
-    async def order(self, order: Order, report: type[Report]) -> Report:
-        """Have a hollow process do something; what it reports. Raises RunError."""
-        self.process.stdin.write(msgspec.json.encode(order) + b"\n")
+    async def send_command(self, command: Command, report_type: type[Report]) -> Report:
+        """Send a command to a hollow process and return its report. Raises RunError."""
+        self.process.stdin.write(msgspec.json.encode(command) + b"\n")
         try:
-            line = await asyncio.wait_for(self.process.stdout.readline(), ANSWER_TIMEOUT)
-            return msgspec.json.decode(line, type=report)
+            line = await asyncio.wait_for(self.process.stdout.readline(), ANSWER_TIMEOUT_S)
+            return msgspec.json.decode(line, type=report_type)
         except (TimeoutError, msgspec.MsgspecError):
-            raise RunError(f"{self.name} has not answered within {ANSWER_TIMEOUT:g} s") from None
+            raise RunError(f"{self.name} did not answer within {ANSWER_TIMEOUT_S:g} s") from None
 
-    async def end(self, kill: bool = False) -> None:
-        """End it, and wait until it is gone."""
-        self.expected = True
+    async def terminate(self, kill: bool = False) -> None:
+        """Stop the process and wait for its exit."""
+        self.is_exit_expected = True
         if not self.running:
             return
         self.process.send_signal(signal.SIGKILL if kill else signal.SIGTERM)
         try:
-            await asyncio.wait_for(self.process.wait(), END_TIMEOUT)
+            await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             self.process.kill()
             await self.process.wait()
 
 
-class Processes:
-    """All processes of a run; settings, stores and logs are in `folder`."""
+class RunProcesses:
+    """All processes of a run, with their settings, data and logs in `folder`."""
 
     def __init__(self, load: Load, folder: Path) -> None:
         self.load, self.folder = load, folder
-        self.children: list[Child] = []
+        self.children: list[ChildProcess] = []
 
-    async def start(self, role: str, place: int) -> Child:
+    async def start(self, role: str, index: int) -> ChildProcess:
         """Start a real process."""
-        values = settings(self.load, role, place, self.folder)
+        values = settings(self.load, role, index, self.folder)
         Path(values["datadir"]).mkdir(exist_ok=True)
-        file = self.folder / f"{role}-{place}.json"
+        file = self.folder / f"{role}-{index}.json"
         file.write_bytes(msgspec.json.encode(values))
         with file.with_suffix(".log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
@@ -153,10 +155,10 @@
                 cwd=Path(crowseam.__file__).parents[1],
                 preexec_fn=_die_with_parent,
             )
-        return self._started(f"{role}-{place}", role, process)
+        return self._add_child(f"{role}-{index}", role, process)
 
-    async def start_hollow(self, name: str, first: int = 0, count: int = 0) -> Child:
-        """Start a process of `count` hollow gateways from number `first`, or (0) of all hollow servers."""
+    async def start_hollow(self, name: str, first: int = 0, count: int = 0) -> ChildProcess:
+        """Start a process of `count` hollow gateways from number `first`, or of all hollow servers if `count` is 0."""
         job = Job(self.load, control_addresses(self.load), PEER_PORT, first, count)
         with (self.folder / f"{name}.log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
@@ -168,54 +170,54 @@
                 stderr=log,
                 cwd=Path(crowseam.__file__).parents[1],
                 preexec_fn=_die_with_parent,
-                limit=REPORT_SIZE_MOST,
+                limit=MAX_REPORT_BYTES,
             )
         process.stdin.write(msgspec.json.encode(job) + b"\n")
-        return self._started(name, HOLLOW_GATEWAYS if count else HOLLOW_SERVERS, process)
+        return self._add_child(name, HOLLOW_GATEWAYS if count else HOLLOW_SERVERS, process)
 
-    def _started(self, name: str, role: str, process: asyncio.subprocess.Process) -> Child:
-        child = Child(name, role, process)
+    def _add_child(self, name: str, role: str, process: asyncio.subprocess.Process) -> ChildProcess:
+        child = ChildProcess(name, role, process)
         self.children.append(child)
         return child
 
-    def named(self, name: str) -> Child:
-        """The process of this name."""
+    def child_named(self, name: str) -> ChildProcess:
+        """Return the process of this name."""
         return next(child for child in self.children if child.name == name)
 
-    def of_role(self, role: str) -> list[Child]:
-        """The processes of a role that have not ended."""
+    def running_with_role(self, role: str) -> list[ChildProcess]:
+        """Return the running processes of a role."""
         return [child for child in self.children if child.role == role and child.running]
 
     async def kill(self, name: str) -> None:
-        """Kill a process, and know it no more."""
-        child = self.named(name)
-        await child.end(kill=True)
+        """Kill a process and remove it from the list."""
+        child = self.child_named(name)
+        await child.terminate(kill=True)
         self.children.remove(child)
 
     def usage(self) -> dict[str, procfs.Usage]:
-        """What each process has used so far."""
-        found = {}
+        """Return the usage of each running process by name."""
+        usage_by_name = {}
         for child in self.children:
             if child.running and (used := procfs.usage(child.process.pid)) is not None:
-                found[child.name] = used
-        return found
+                usage_by_name[child.name] = used
+        return usage_by_name
 
-    def ended(self) -> str | None:
-        """The name of a process that has ended by itself."""
-        return next((child.name for child in self.children if not child.running and not child.expected), None)
+    def unexpected_exit(self) -> str | None:
+        """Return the name of a process that exited without being stopped, if any."""
+        return next((child.name for child in self.children if not child.running and not child.is_exit_expected), None)
 
-    async def gateways(self, order: Order) -> list[GatewaysReport]:
-        """What all processes of hollow gateways answer to an order. Raises RunError."""
+    async def command_gateways(self, command: Command) -> list[GatewaysReport]:
+        """Send a command to all processes of hollow gateways and return their reports. Raises RunError."""
         children = [child for child in self.children if child.role == HOLLOW_GATEWAYS]
-        return list(await asyncio.gather(*(child.order(order, GatewaysReport) for child in children)))
+        return list(await asyncio.gather(*(child.send_command(command, GatewaysReport) for child in children)))
 
-    async def servers(self, order: Order) -> ServersReport:
-        """What the process of hollow servers answers to an order. Raises RunError."""
+    async def command_servers(self, command: Command) -> ServersReport:
+        """Send a command to the process of hollow servers and return its report. Raises RunError."""
         child = next(child for child in self.children if child.role == HOLLOW_SERVERS)
-        return await child.order(order, ServersReport)
+        return await child.send_command(command, ServersReport)
 
     async def stop(self) -> None:
-        """End all processes, and nothing else."""
+        """Stop all processes of the run."""
         hollow = (HOLLOW_GATEWAYS, HOLLOW_SERVERS)
-        ends = (child.end(kill=child.role in hollow) for child in self.children)
-        await asyncio.gather(*ends, return_exceptions=True)
+        terminations = (child.terminate(kill=child.role in hollow) for child in self.children)
+        await asyncio.gather(*terminations, return_exceptions=True)
--- a/crowseam/capacity/scale_record.py
+++ b/crowseam/capacity/scale_record.py
@@ -1,4 +1,4 @@
-"""The record of a scale run, as it is kept in JSON.  Times in s or ms, sizes in MB or kB, as the names say."""
+"""The JSON record of a scale run. Field names tell the units: s or ms, MB or kB."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from crowseam.capacity import procfs
 from crowseam.capacity.hollow_protocol import MessageCount
 
-MILLISECONDS = 1000.0  # in a second
+MS_PER_S = 1000.0
 
 
 class Spread(Struct):
-    """How many values there were, and their quantiles; None of none."""
+    """The number of values and their quantiles; None without values."""
 
     count: int = 0
     p50: float | None = None
@@ -26,7 +26,7 @@
 
 
 class ProcessUsage(Struct):
-    """What a process used over a time: cores, memory at its end, descriptors at its end, bytes a second."""
+    """Usage of a process over a period: mean cores and bytes per second, and memory and descriptors at the end."""
 
     cores: float
     memory: float = field(name="rss_MB")
@@ -37,14 +37,14 @@
 
 
 class MessageRate(Struct):
-    """Messages of one type a second, and their bytes."""
+    """Rate of one type of message, in messages and kB per second."""
 
     a_second: float
     kilobytes: float = field(name="kB_s")
 
 
 class Lateness(Struct):
-    """By how many s hollow processes were late: worst and mean of the gateways, and worst of the servers."""
+    """Delay in s of hollow processes: worst and mean of the gateways' checks, and worst of the servers' heartbeats."""
 
     worst: float = 0.0
     mean: float = 0.0
@@ -52,14 +52,14 @@
 
 
 class ConfigurationRecord(Struct):
-    """The first configuration."""
+    """Size and acknowledgement time of the first configuration."""
 
     bytes: int
     ack_ms: float
 
 
 class MassStart(Struct):
-    """All gateways start at once; `catch_up_s` and `leased_s` are of the hollow ones."""
+    """All gateways start together. `catch_up_s` and `leased_s` are those of hollow gateways."""
 
     done: bool = False
     span_s: float = 0.0
@@ -71,7 +71,7 @@
 
 
 class Calm(Struct):
-    """What all processes use while nothing but the load happens."""
+    """Usage in the steady state, with requests but no changes or failures."""
 
     span_s: float = 0.0
     processes: dict[str, ProcessUsage] = {}
@@ -92,7 +92,7 @@
 
 
 class Changes(Struct):
-    """Changes of the configuration, one after another."""
+    """Successive changes of the configuration."""
 
     count: int
     ack_ms: Spread
@@ -105,14 +105,14 @@
 
 
 class Leaves(Struct):
-    """Servers that leave in order."""
+    """Servers that leave gracefully."""
 
     ack_ms: Spread
     lost_calls: int
 
 
 class GatewayRestarts(Struct):
-    """Gateways that are killed and start anew at once."""
+    """Gateways that are killed and restarted together."""
 
     count: int
     catch_up_s: Spread
@@ -120,7 +120,7 @@
 
 
 class ControllerRestart(Struct):
-    """A controller that is killed and comes back."""
+    """A controller that is killed and restarted."""
 
     acks_while_away_ms: Spread
     gateways_elsewhere_s: float
@@ -129,7 +129,7 @@
 
 
 class MachineRecord(Struct):
-    """The machine that the run was played on."""
+    """The machine of the run."""
 
     cores: int | None = None
     memory: int = field(name="memory_MB", default=0)
@@ -138,11 +138,11 @@
 
 
 class RunRecord(Struct):
-    """One run at one size; parts that were not reached are None."""
+    """One run at one size; phases that were not reached are None."""
 
     gateways: int = 0
-    at: int = 0  # s since the epoch
-    load: dict[str, object] = {}  # as the file of the load says it, with what it leaves out
+    at: int = 0  # Unix time in s
+    load: dict[str, object] = {}  # the load file's fields, including defaults
     machine: MachineRecord = field(default_factory=MachineRecord)
     seconds: float = 0.0
     failed: list[str] = field(default_factory=list)
@@ -157,73 +157,73 @@
     peak: float | None = field(name="peak_MB", default=None)
 
 
-def quantile(values: list[float], part: float) -> float | None:
-    """The value that `part` of them do not exceed; None of none."""
+def quantile(values: list[float], fraction: float) -> float | None:
+    """Return the `fraction` quantile of the values; None without values."""
     if not values:
         return None
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, max(0, -(-int(part * 1000) * len(ordered) // 1000) - 1))]
+    return ordered[min(len(ordered) - 1, max(0, -(-int(fraction * 1000) * len(ordered) // 1000) - 1))]
 
 
-def spread(values: list[float], scale: float = MILLISECONDS, digits: int = 2) -> Spread:
-    """How many values (in s), and p50, p99 and the worst, in ms unless `scale` says otherwise."""
-    found = [quantile(values, part) for part in (0.5, 0.99, 1.0)]
-    return Spread(len(values), *(None if each is None else round(each * scale, digits) for each in found))
+def spread(values: list[float], scale: float = MS_PER_S, digits: int = 2) -> Spread:
+    """Return the count and quantiles of values in s, converted to ms by default."""
+    quantiles = [quantile(values, fraction) for fraction in (0.5, 0.99, 1.0)]
+    return Spread(len(values), *(None if each is None else round(each * scale, digits) for each in quantiles))
 
 
-def usage_rate(before: procfs.Usage, after: procfs.Usage, span: float) -> ProcessUsage:
-    """What a process used over `span` s."""
+def usage_rate(before: procfs.Usage, after: procfs.Usage, span_s: float) -> ProcessUsage:
+    """Return the usage of a process over `span_s`."""
     return ProcessUsage(
-        cores=round((after.cpu - before.cpu) / span, 4),
+        cores=round((after.cpu - before.cpu) / span_s, 4),
         memory=round(after.rss / 1e6, 1),
         files=after.files,
-        read=round((after.read - before.read) / span / 1000, 2),
-        written=round((after.written - before.written) / span / 1000, 2),
-        disk=round((after.disk - before.disk) / span / 1000, 2),
+        read=round((after.read - before.read) / span_s / 1000, 2),
+        written=round((after.written - before.written) / span_s / 1000, 2),
+        disk=round((after.disk - before.disk) / span_s / 1000, 2),
     )
 
 
 def summed_counts(counts: Iterable[dict[str, MessageCount]]) -> dict[str, MessageCount]:
-    """Messages and bytes by type over several processes."""
-    found: dict[str, MessageCount] = {}
+    """Sum messages and bytes by type over processes."""
+    totals: dict[str, MessageCount] = {}
     for each in counts:
-        for what, count in each.items():
-            kept = found.setdefault(what, MessageCount())
-            kept.messages += count.messages
-            kept.bytes += count.bytes
-    return dict(sorted(found.items()))
+        for key, count in each.items():
+            total = totals.setdefault(key, MessageCount())
+            total.messages += count.messages
+            total.bytes += count.bytes
+    return dict(sorted(totals.items()))
 
 
-def message_rates(counts: dict[str, MessageCount], span: float) -> dict[str, MessageRate]:
-    """The same by the second."""
+def message_rates(counts: dict[str, MessageCount], span_s: float) -> dict[str, MessageRate]:
+    """Return the counts as rates."""
     return {
-        what: MessageRate(round(count.messages / span, 2), round(count.bytes / span / 1000, 3))
-        for what, count in counts.items()
+        key: MessageRate(round(count.messages / span_s, 2), round(count.bytes / span_s / 1000, 3))
+        for key, count in counts.items()
     }
 
 
 def summed_events(events: Iterable[dict[str, int]]) -> dict[str, int]:
-    """Events over several processes."""
-    found: dict[str, int] = {}
+    """Sum events over processes."""
+    totals: dict[str, int] = {}
     for each in events:
-        for what, count in each.items():
-            found[what] = found.get(what, 0) + count
-    return found
+        for key, count in each.items():
+            totals[key] = totals.get(key, 0) + count
+    return totals
 
 
 def summary(record: RunRecord) -> dict[str, Any]:
-    """One row of a table with the main results of a run; None where a part was not reached."""
+    """Return a table row with a run's main results; None for phases that were not reached."""
     processes = record.calm.processes if record.calm is not None else {}
 
-    def most(role: str, what: str) -> float | None:
-        return max((getattr(each, what) for name, each in processes.items() if name.startswith(role)), default=None)
+    def max_usage(role: str, key: str) -> float | None:
+        return max((getattr(each, key) for name, each in processes.items() if name.startswith(role)), default=None)
 
     return {
         "gateways": record.gateways,
-        "controller cores": most("controller", "cores"),
-        "controller MB": most("controller", "memory"),
-        "gateway cores": most("gateway", "cores"),
-        "gateway MB": most("gateway", "memory"),
+        "controller cores": max_usage("controller", "cores"),
+        "controller MB": max_usage("controller", "memory"),
+        "gateway cores": max_usage("gateway", "cores"),
+        "gateway MB": max_usage("gateway", "memory"),
         "kB/s a gateway": record.calm and record.calm.gateway_kilobytes,
         "mass start s": record.mass_start and record.mass_start.catch_up_s.worst,
         "ack ms p50": record.changes and record.changes.ack_ms.p50,
--- a/crowseam/capacity/scale_run_command.py
+++ b/crowseam/capacity/scale_run_command.py
@@ -12,28 +12,30 @@
 from crowseam.capacity import loads
 from crowseam.capacity.loads import Load
 from crowseam.capacity.scale_record import RunRecord, summary
-from crowseam.capacity.scale_run import play
+from crowseam.capacity.scale_run import run_size
 from crowseam.cli.console import Args, print_json, print_text, read_file
 from crowseam.cli.errors import DONE, FAILED, BadInputError
 from crowseam.cli.tables import table
 
-GATEWAYS_MOST = 100_000
+MAX_GATEWAYS = 100_000
 
 
-def sizes_of(args: Args, load: Load) -> list[int]:
-    """The sizes to play, in gateways. Raises BadInputError."""
+def parse_sizes(args: Args, load: Load) -> list[int]:
+    """Return the sizes to run, in gateways. Raises BadInputError."""
     if args["--gateways"] is None:
         return list(load.gateways)
     try:
         sizes = [int(each) for each in args["--gateways"].split(",")]
     except ValueError:
         sizes = []
-    if not sizes or not all(0 < size <= GATEWAYS_MOST for size in sizes):
-        raise BadInputError("--gateways", f"{args['--gateways']!r} is no list of numbers as 50,100")
+    if not sizes or not all(0 < size <= MAX_GATEWAYS for size in sizes):
+        raise BadInputError(
+            "--gateways", f"{args['--gateways']!r} is not a comma-separated list of numbers such as 50,100"
+        )
     return sizes
 
 
-def _keep(record: RunRecord, folder: Path) -> None:
+def _write_record(record: RunRecord, folder: Path) -> None:
     try:
         folder.mkdir(parents=True, exist_ok=True)
         file = folder / f"scale-run-{record.gateways}.json"
@@ -43,16 +45,16 @@
 
 
 def scale_run(args: Args) -> int:
-    """Play each size, and keep a record of each. Raises BadInputError."""
+    """Run each size and write its record. Raises BadInputError."""
     load = loads.parse(read_file(args["FILE"][0], "FILE"))
     records = []
-    for gateways in sizes_of(args, load):
+    for gateways in parse_sizes(args, load):
         sys.stderr.write(f"{gateways} gateways\n")
         with tempfile.TemporaryDirectory(prefix="scale-run-") as folder:
-            record = asyncio.run(play(load, gateways, Path(folder), lambda line: print(line, file=sys.stderr)))
+            record = asyncio.run(run_size(load, gateways, Path(folder), lambda line: print(line, file=sys.stderr)))
         records.append(record)
         if args["--out"]:
-            _keep(record, Path(args["--out"]))
+            _write_record(record, Path(args["--out"]))
     if args["--json"]:
         print_json(records)
     else:
--- a/crowseam/model_checks/__init__.py
+++ b/crowseam/model_checks/__init__.py
@@ -1,1 +1,1 @@
-"""Model checks: seeded schedules of faults over the real code, and mutants that each check has to find."""
+"""Model checks: seeded random schedules of faults over the real code, and mutants that each check must detect."""
--- a/crowseam/model_checks/agreement/__init__.py
+++ b/crowseam/model_checks/agreement/__init__.py
@@ -1,1 +1,1 @@
-"""Model check of the agreement on the configuration."""
+"""Model check of the consensus on the configuration."""
--- a/crowseam/model_checks/agreement/check.py
+++ b/crowseam/model_checks/agreement/check.py
@@ -1,9 +1,8 @@
-"""Model check of the agreement: seeded random schedules of operators and faults over the real Node.
+"""Model check of consensus: seeded random schedules of operators and faults over the real Node.
 
-What must hold is watched by `agreement.world`.  A schedule belongs to one of a few climates, which say which
-faults are frequent: one that has all of them seldom brings about what takes three of a kind in a row.
-`Report.outcomes` counts each kind of fault, so that a figure tells what was played.  All orders of events of
-a small case are in `agreement.exhaustive`, and what both have to find in `agreement.mutants`.
+The invariants are checked by `agreement.world`. Each schedule has a climate, a profile of frequent faults, because
+a uniform mix rarely produces several faults of one kind in a row. `Report.outcomes` counts the faults by kind.
+`agreement.exhaustive` explores all event orders of a small case; `agreement.mutants` has the mutants.
 """
 
 from __future__ import annotations
@@ -16,29 +15,28 @@
 from crowseam.consensus.outcomes import Committed, ReadReady
 from crowseam.consensus.timing import Timing
 from crowseam.model_checks.agreement.mutants import MUTATIONS
-from crowseam.model_checks.agreement.world import SAME, STALE, Disk, Host, Ledger, Order, World
+from crowseam.model_checks.agreement.world import SAME, STALE, ChangeRequest, Disk, Host, ModelStateMachine, World
 from crowseam.model_checks.schedules import Mutant, Report, Violation, play
 
-__all__ = ["MUTANTS", "SAME", "STALE", "STEPS", "Disk", "Host", "Ledger", "Order", "World", "run"]
+__all__ = ["MUTANTS", "SAME", "STALE", "STEPS", "Disk", "Host", "ModelStateMachine", "ChangeRequest", "World", "run"]
 
-STEPS = 30  # acts of a schedule
-# Seconds for which a machine counts as lost after it is back.
-_BETWEEN_LOSSES = 4.0
-SETTLE = 6.0  # s of calm after which every machine answers again, whatever struck before
-PROMPT = 1.0  # s within which a read, or a change without a rival, is answered in calm times
-RETRY = 0.85  # s after which an operator without an answer tries elsewhere
-SIEGE = 20.0  # s for which machines are cut off at least, in a siege
-# Founders, machines that may be lost at once, and how often: eight take five times as long to play.
-_FLEETS = ((3, 1, 16), (6, 1, 1), (6, 2, 2), (8, 1, 1), (8, 2, 1))
+STEPS = 30  # actions of a schedule
+LOSS_INTERVAL_S = 4.0  # a machine counts as lost for this long after it is back
+SETTLE_TIME_S = 6.0  # without faults, after which every machine must answer again
+ANSWER_TIMEOUT_S = 1.0  # for a read, or a change without a concurrent one, while there are no faults
+RETRY_AFTER_S = 0.85  # after which an operator without an answer tries another machine
+ISOLATION_TIME_S = 20.0  # shortest time for which the climate "siege" isolates machines
+# Founders, machines that may be lost at once, and weight.
+_CLUSTER_SIZES = ((3, 1, 16), (6, 1, 1), (6, 2, 2), (8, 1, 1), (8, 2, 1))
 
 
 class _Schedule:
-    """One random schedule: `steps` acts of operators and of fate, then calm and a last look."""
+    """One random schedule: `steps` actions of operators and faults, then a time without faults and a final check."""
 
     def __init__(self, seed: int, steps: int, node_class: type[Node]) -> None:
         rng = Random(seed)
         timing = Timing(kept_slots=rng.choice((4, 64)))
-        founders, self.survive, _ = rng.choices(_FLEETS, [weight for *_, weight in _FLEETS])[0]
+        founders, self.survive, _ = rng.choices(_CLUSTER_SIZES, [weight for *_, weight in _CLUSTER_SIZES])[0]
         self.climate = rng.choice(("mixed", "power", "links", "disks", "crowd", "age", "siege", "duel"))
         if self.climate == "duel":
             founders, self.survive = 3, 1
@@ -51,162 +49,166 @@
             drift=rng.random() < 0.7,
         )
         self.steps = steps
-        self.calm = False
+        self.is_calm = False
         self._ver = 0
         self._founders = self._machines = founders
-        self._lost_at = -_BETWEEN_LOSSES
-        self._orders: list[Order] = []
+        self._lost_at = -LOSS_INTERVAL_S
+        self._changes: list[ChangeRequest] = []
 
     def play(self) -> None:
         world, rng = self.world, self.world.rng
         world.outcomes[f"climate {self.climate}"] += 1
         world.outcomes[f"founders {self._founders}/{self.survive}"] += 1
         if self.climate == "siege":
-            self._siege()
+            self._isolate_minority()
         else:
-            world.loss, world.doubled, world.late = (rng.choice((0.0, 0.02, 0.1)) for _ in range(3))
-            world.sync = rng.choice((0.002, 0.002, 0.02))
+            world.loss_rate, world.duplicate_rate, world.delay_rate = (rng.choice((0.0, 0.02, 0.1)) for _ in range(3))
+            world.sync_s = rng.choice((0.002, 0.002, 0.02))
             if self.climate == "age":
-                self._stream()
-            acts, pauses = self._CLIMATES[self.climate], (0.002, 0.01, 0.05, 0.3, 1.0)
+                self._submit_continuously()
+            actions, pauses = self._CLIMATES[self.climate], (0.002, 0.01, 0.05, 0.3, 1.0)
             if self.climate == "duel":
-                world.loss, world.late = rng.choice((0.0, 0.1, 0.3)), rng.choice((0.3, 0.6, 0.9))
-                world.sync = rng.choice((0.002, 0.05, 0.3))
+                world.loss_rate, world.delay_rate = rng.choice((0.0, 0.1, 0.3)), rng.choice((0.3, 0.6, 0.9))
+                world.sync_s = rng.choice((0.002, 0.05, 0.3))
                 pauses = (0.003, 0.03, 0.1, 0.3)
             for _ in range(self.steps):
-                rng.choice(acts)(self)
+                rng.choice(actions)(self)
                 world.run_until(world.now + rng.choice(pauses))
-        self._mend()
-        world.run_until(world.now + SETTLE)
-        self._look("end", PROMPT)
+        self._end_faults()
+        world.run_until(world.now + SETTLE_TIME_S)
+        self._check_all_answer("end", ANSWER_TIMEOUT_S)
 
-    def _mend(self) -> None:
-        """Every fault ends."""
+    def _end_faults(self) -> None:
+        """End all faults."""
         world = self.world
-        self.calm = True
-        world.steady()
-        world.sync, world.all_crash_at_ack = 0.002, False
+        self.is_calm = True
+        world.clear_link_faults()
+        world.sync_s, world.all_crash_at_ack = 0.002, False
         world.cut.clear()
         world.one_way.clear()
         for host in world.hosts.values():
-            host.disk.refuses = False
-            world.disk_on(host.addr)
+            host.disk.fails_writes = False
+            world.resume_disk(host.addr)
             world.thaw(host.addr)
             world.start(host.addr)
 
-    def _look(self, name: str, within: float) -> None:
-        """Every machine reads, a change is taken, and what was acknowledged is so again everywhere."""
+    def _check_all_answer(self, prefix: str, timeout_s: float) -> None:
+        """Check that every machine reads, a change is applied, and all acknowledge earlier changes again."""
         world = self.world
-        here = [host.addr for host in world.hosts.values() if host.node is not None]
-        for addr in here:
-            world.read(addr, f"{name}/{addr}")
-        world.run_until(world.now + within)
-        for addr in here:
-            if not isinstance(world.answers.get(f"{name}/{addr}"), ReadReady):
-                raise Violation(f"{addr} cannot read in calm times")
+        running = [host.addr for host in world.hosts.values() if host.node is not None]
+        for addr in running:
+            world.read(addr, f"{prefix}/{addr}")
+        world.run_until(world.now + timeout_s)
+        for addr in running:
+            if not isinstance(world.answers.get(f"{prefix}/{addr}"), ReadReady):
+                raise Violation(f"{addr} cannot read while there are no faults")
         self._ver += 1
-        world.submit(here[0], name, Order(self._ver, world.vers[max(world.vers)]))
-        world.run_until(world.now + within)
-        if not isinstance(world.answers.get(name), Committed):
-            raise Violation("a change is not taken in calm times")
-        done = [order for order in self._orders if world.confirmed.get(order.ver) == order.digest]
-        sent = [(order, addr) for order in world.rng.sample(done, min(3, len(done))) for addr in here]
-        for order, addr in sent:
-            world.submit(addr, f"{name}/{addr}/{order.digest}", order)
-        world.run_until(world.now + within)
-        for order, addr in sent:
-            if world.answers.get(f"{name}/{addr}/{order.digest}") != SAME:
-                raise Violation(f"{addr} does not acknowledge {order.digest} again in calm times")
+        world.submit(running[0], prefix, ChangeRequest(self._ver, world.versions[max(world.versions)]))
+        world.run_until(world.now + timeout_s)
+        if not isinstance(world.answers.get(prefix), Committed):
+            raise Violation("a change is not applied while there are no faults")
+        acknowledged = [
+            change for change in self._changes if world.acknowledged_digests.get(change.ver) == change.digest
+        ]
+        sent = [
+            (change, addr) for change in world.rng.sample(acknowledged, min(3, len(acknowledged))) for addr in running
+        ]
+        for change, addr in sent:
+            world.submit(addr, f"{prefix}/{addr}/{change.digest}", change)
+        world.run_until(world.now + timeout_s)
+        for change, addr in sent:
+            if world.answers.get(f"{prefix}/{addr}/{change.digest}") != SAME:
+                raise Violation(f"{addr} does not acknowledge {change.digest} again while there are no faults")
 
     # Operators
 
-    def _any(self) -> Host:
+    def _random_host(self) -> Host:
         return self.world.rng.choice([host for host in self.world.hosts.values() if not host.gone])
 
     def _count(self, fault: str) -> None:
         self.world.outcomes[f"fault {fault}"] += 1
 
-    def _send(self, order: Order, addr: str) -> str:
-        """Send an order once; the ticket under which the answer will be."""
-        ticket = f"{order.digest}.{self.world.events}.{self.world.rng.getrandbits(32):08x}"
-        self.world.submit(addr, ticket, order, self.world.rng.choice((0.85, 2.0, 4.0)))
-        return ticket
+    def _send(self, change: ChangeRequest, addr: str) -> str:
+        """Send a change once, and return the request id."""
+        request_id = f"{change.digest}.{self.world.events}.{self.world.rng.getrandbits(32):08x}"
+        self.world.submit(addr, request_id, change, self.world.rng.choice((0.85, 2.0, 4.0)))
+        return request_id
 
-    def _operate(self, order: Order, tries: int = 4) -> None:
-        """Send an order to one machine after the other until there is a clear answer that is not lost."""
+    def _submit_until_answered(self, change: ChangeRequest, tries: int = 4) -> None:
+        """Send a change to one machine after another until a definite answer arrives."""
         world = self.world
-        ticket = self._send(order, self._any().addr)
+        request_id = self._send(change, self._random_host().addr)
 
-        def look() -> None:
-            if world.answers.get(ticket) in (SAME, STALE) or isinstance(world.answers.get(ticket), Committed):
+        def check_answer() -> None:
+            if world.answers.get(request_id) in (SAME, STALE) or isinstance(world.answers.get(request_id), Committed):
                 if world.rng.random() >= 0.3:
                     return
                 self._count("answer lost")
-            if tries > 1 and not self.calm:
-                self._operate(order, tries - 1)
+            if tries > 1 and not self.is_calm:
+                self._submit_until_answered(change, tries - 1)
 
-        world.after(RETRY, look)
+        world.after(RETRY_AFTER_S, check_answer)
 
     def _parent(self) -> int:
         world = self.world
-        known = max(world.acknowledged, default=0)
-        return world.rng.choice((known, world.vers[max(world.vers)]))
+        known = max(world.acknowledged_slots, default=0)
+        return world.rng.choice((known, world.versions[max(world.versions)]))
 
-    def _race(self) -> None:
-        """One or two operators build on what was current of late, trying each at two machines."""
+    def _submit_concurrent(self) -> None:
+        """One or two operators send changes with the same recent parent, each to two machines."""
         world = self.world
         parent = self._parent()
         for _ in range(world.rng.choice((1, 1, 2))):
             self._ver += 1
-            order = Order(self._ver, parent)
-            self._orders.append(order)
-            for again in range(2):
-                pause = again * world.rng.choice((0.0, 0.02, 1.0)) + world.rng.uniform(0.0, 0.01)
-                world.after(pause, self._send, order, self._any().addr)
-
-    def _rivals(self) -> None:
-        """Eight orders at once on one parent, all under one number or in two, at different controllers."""
+            change = ChangeRequest(self._ver, parent)
+            self._changes.append(change)
+            for attempt in range(2):
+                pause = attempt * world.rng.choice((0.0, 0.02, 1.0)) + world.rng.uniform(0.0, 0.01)
+                world.after(pause, self._send, change, self._random_host().addr)
+
+    def _submit_eight_rivals(self) -> None:
+        """Eight concurrent changes with one parent and one or two version numbers, at random machines."""
         world = self.world
         self._count("eight at once")
         parent, spread = self._parent(), world.rng.choice((0.0, 0.01, 0.1))
         self._ver += 2
         for number in range(8):
             ver = self._ver - (world.rng.random() < 0.2)
-            order = Order(ver, parent, f"-{number}")
-            self._orders.append(order)
-            world.after(world.rng.uniform(0.0, spread), self._operate, order, 3)
+            change = ChangeRequest(ver, parent, f"-{number}")
+            self._changes.append(change)
+            world.after(world.rng.uniform(0.0, spread), self._submit_until_answered, change, 3)
 
     def _read(self) -> None:
-        self.world.read(self._any().addr, f"read/{self.world.events}/{self.world.rng.random()}")
+        self.world.read(self._random_host().addr, f"read/{self.world.events}/{self.world.rng.random()}")
 
-    def _stream(self, ticket: str = "", until: float = 0.0) -> None:
-        """One operator makes change upon change, at any machine, until calm comes."""
+    def _submit_continuously(self, request_id: str = "", until: float = 0.0) -> None:
+        """One operator sends changes in succession, to random machines, until the faults end."""
         world = self.world
-        if self.calm:
+        if self.is_calm:
             return
-        if ticket in world.answers or world.now >= until:
+        if request_id in world.answers or world.now >= until:
             self._ver += 1
-            order = Order(self._ver, world.vers[max(world.vers)])
-            self._orders.append(order)
-            ticket, until = self._send(order, self._any().addr), world.now + 0.3
-        world.after(0.01, self._stream, ticket, until)
+            change = ChangeRequest(self._ver, world.versions[max(world.versions)])
+            self._changes.append(change)
+            request_id, until = self._send(change, self._random_host().addr), world.now + 0.3
+        world.after(0.01, self._submit_continuously, request_id, until)
 
-    def _again(self) -> None:
-        """An order is sent again, however old: at once, seconds later, or after who answered it is struck."""
+    def _resubmit(self) -> None:
+        """Send an earlier change again: at once, later, or after the machine that answered it crashed."""
         world, rng = self.world, self.world.rng
-        if not self._orders:
+        if not self._changes:
             return
-        order = rng.choice(self._orders[-4:] if rng.random() < 0.5 else self._orders)
-        answerer = world.answered_by.get(order.digest)
+        change = rng.choice(self._changes[-4:] if rng.random() < 0.5 else self._changes)
+        answerer = world.answered_by.get(change.digest)
         kind = rng.choice(("at once", "later", "restart", "wipe", "snapshot"))
-        target = self._any().addr
+        target = self._random_host().addr
         if kind == "snapshot":
-            # A machine that learned of the order, if at all, by a state it took over whole.
-            since = world.taken_at.get(order.digest, 0)
-            jumped = [host.addr for host in world.hosts.values() if host.node and 0 < since <= host.jumped]
-            if not jumped:
+            # A machine that learned of the change, if at all, from a snapshot.
+            since = world.slot_by_digest.get(change.digest, 0)
+            restored = [host.addr for host in world.hosts.values() if host.node and 0 < since <= host.restored_slot]
+            if not restored:
                 return
-            target = rng.choice(jumped)
+            target = rng.choice(restored)
         elif kind in ("restart", "wipe"):
             if answerer is None or world.hosts[answerer].node is None:
                 return
@@ -215,33 +217,33 @@
             world.crash(answerer, lose_disk=kind == "wipe")
             world.after(0.1, world.start, answerer)
             target = rng.choice((target, answerer))
-        if order.digest in world.taken_at and max(world.chosen) - world.taken_at[order.digest] > 100:
+        if change.digest in world.slot_by_digest and max(world.chosen) - world.slot_by_digest[change.digest] > 100:
             self._count("sent again after a hundred others")
         self._count(f"sent again {kind}")
         pause = {"at once": 0.0, "later": rng.uniform(2.0, 6.0)}.get(kind, 0.3)
-        world.after(pause, self._send, order, target)
+        world.after(pause, self._send, change, target)
 
-    def _duel(self) -> None:
-        """Two operators on one parent at two machines, at most a few messages apart."""
+    def _submit_duel(self) -> None:
+        """Two nearly simultaneous changes with one parent, at random machines."""
         world, parent = self.world, self._parent()
         self._count("duel")
         for _ in range(2):
             self._ver += 1
-            self._orders.append(Order(self._ver, parent))
-            world.after(world.rng.uniform(0.0, 0.01), self._send, self._orders[-1], self._any().addr)
+            self._changes.append(ChangeRequest(self._ver, parent))
+            world.after(world.rng.uniform(0.0, 0.01), self._send, self._changes[-1], self._random_host().addr)
 
     # Machines
 
-    def _blink(self) -> None:
-        """A machine crashes amid a ballot and is back at once."""
-        host = self._any()
+    def _restart_briefly(self) -> None:
+        """Crash a machine during a ballot and restart it at once."""
+        host = self._random_host()
         if host.node is not None:
             self._count("crash amid a ballot")
             self.world.crash(host.addr)
             self.world.after(self.world.rng.choice((0.001, 0.01, 0.05)), self.world.start, host.addr)
 
     def _crash(self) -> None:
-        host = self._any()
+        host = self._random_host()
         if host.node is not None:
             self._count("crash")
             self.world.crash(host.addr)
@@ -256,41 +258,41 @@
 
     def _may_lose(self, *addrs: str) -> bool:
         world = self.world
-        if world.now - self._lost_at < _BETWEEN_LOSSES or not world.may_lose(*addrs):
+        if world.now - self._lost_at < LOSS_INTERVAL_S or not world.may_lose(*addrs):
             return False
         self._lost_at = world.now
         return True
 
-    def _some(self) -> list[Host]:
-        """As many machines as may be lost at once, or fewer."""
+    def _random_hosts(self) -> list[Host]:
+        """Between one and as many machines as may be lost at once."""
         hosts = [host for host in self.world.hosts.values() if not host.gone]
         return self.world.rng.sample(hosts, self.world.rng.randint(1, self.survive))
 
-    def _wipe(self) -> None:
-        some = self._some()
-        if self._may_lose(*(host.addr for host in some)):
-            self._count(f"disk lost, {len(some)} at once")
-            for host in some:
+    def _lose_disks(self) -> None:
+        hosts = self._random_hosts()
+        if self._may_lose(*(host.addr for host in hosts)):
+            self._count(f"disk lost, {len(hosts)} at once")
+            for host in hosts:
                 self.world.crash(host.addr, lose_disk=True)
                 self.world.after(self.world.rng.choice((0.01, 0.5)), self.world.start, host.addr)
 
-    def _replace(self) -> None:
-        some = self._some()
-        if self._machines < self._founders + 4 and self._may_lose(*(host.addr for host in some)):
-            self._count(f"machine lost, {len(some)} at once")
-            for host in some:
+    def _replace_machines(self) -> None:
+        hosts = self._random_hosts()
+        if self._machines < self._founders + 4 and self._may_lose(*(host.addr for host in hosts)):
+            self._count(f"machine lost, {len(hosts)} at once")
+            for host in hosts:
                 self.world.crash(host.addr, lose_disk=True)
                 host.gone = True
-                self._add()
+                self._add_machine()
 
-    def _add(self) -> None:
+    def _add_machine(self) -> None:
         if self._machines < self._founders + 4:
             self.world.after(self.world.rng.uniform(0.0, 1.0), self.world.start, f"m{self._machines}")
             self._machines += 1
 
     def _freeze(self) -> None:
-        """A process stands still; messages wait for it or are lost, its steady clock goes on."""
-        host, drop = self._any(), self.world.rng.random() < 0.5
+        """Suspend a process for a while; messages are deferred or lost, and its monotonic clock continues."""
+        host, drop = self._random_host(), self.world.rng.random() < 0.5
         if host.node is not None and not host.frozen:
             self._count("frozen, messages lost" if drop else "frozen, messages wait")
             self.world.freeze(host.addr)
@@ -298,59 +300,59 @@
 
     # Links
 
-    def _cut(self) -> None:
+    def _cut_links(self) -> None:
         world = self.world
-        one = self._any().addr
-        # A list, as sets differ in order from process to process, and a seed is to play the same in each.
-        some = [frozenset((one, other)) for other in world.hosts if other != one]
+        isolated = self._random_host().addr
+        # A list: the order of a set varies between processes, and a seed must give the same schedule in each.
+        links = [frozenset((isolated, other)) for other in world.hosts if other != isolated]
         if world.rng.random() < 0.3:
-            some = [pair for pair in some if world.rng.random() < 0.5]
+            links = [pair for pair in links if world.rng.random() < 0.5]
         self._count("cut")
-        world.cut.update(some)
-        world.after(world.rng.choice((0.1, 1.0, 3.0)), world.cut.difference_update, some)
+        world.cut.update(links)
+        world.after(world.rng.choice((0.1, 1.0, 3.0)), world.cut.difference_update, links)
 
-    def _one_way_pairs(self, one: str, inward: bool) -> list[tuple[str, str]]:
-        others = [other for other in self.world.hosts if other != one]
-        return [(other, one) if inward else (one, other) for other in others]
+    def _one_way_pairs(self, isolated: str, inward: bool) -> list[tuple[str, str]]:
+        others = [other for other in self.world.hosts if other != isolated]
+        return [(other, isolated) if inward else (isolated, other) for other in others]
 
-    def _one_way_cut(self) -> None:
-        """A machine hears nobody and is heard, or the other way round; or that with some others only."""
+    def _cut_one_way(self) -> None:
+        """A machine can only send, or only receive, to and from all others or some of them."""
         world = self.world
         inward = world.rng.random() < 0.5
-        some = self._one_way_pairs(self._any().addr, inward)
+        links = self._one_way_pairs(self._random_host().addr, inward)
         if world.rng.random() < 0.3:
-            some = [pair for pair in some if world.rng.random() < 0.5]
+            links = [pair for pair in links if world.rng.random() < 0.5]
         self._count("one_way_cut inward" if inward else "one_way_cut outward")
-        world.one_way.update(some)
-        world.after(world.rng.choice((0.1, 1.0, 3.0)), world.one_way.difference_update, some)
+        world.one_way.update(links)
+        world.after(world.rng.choice((0.1, 1.0, 3.0)), world.one_way.difference_update, links)
 
-    def _flap(self) -> None:
-        """A machine's links go and come."""
+    def _flap_links(self) -> None:
+        """Cut and restore a machine's links several times."""
         world = self.world
-        one = self._any().addr
-        some = [frozenset((one, other)) for other in world.hosts if other != one]
+        isolated = self._random_host().addr
+        links = [frozenset((isolated, other)) for other in world.hosts if other != isolated]
         self._count("flapping links")
         for _ in range(world.rng.randint(3, 12)):
             at = world.rng.uniform(0.0, 2.0)
-            world.after(at, lambda: self.calm or world.cut.update(some))
-            world.after(at + world.rng.choice((0.005, 0.05, 0.2)), world.cut.difference_update, some)
+            world.after(at, lambda: self.is_calm or world.cut.update(links))
+            world.after(at + world.rng.choice((0.005, 0.05, 0.2)), world.cut.difference_update, links)
 
     # Disks
 
-    def _disk_trouble(self) -> None:
+    def _fail_disk_writes(self) -> None:
         self._count("disk refuses")
-        disk = self._any().disk
-        disk.refuses = True
-        self.world.after(self.world.rng.choice((0.05, 1.0)), setattr, disk, "refuses", False)
+        disk = self._random_host().disk
+        disk.fails_writes = True
+        self.world.after(self.world.rng.choice((0.05, 1.0)), setattr, disk, "fails_writes", False)
 
-    def _hang(self) -> None:
+    def _hang_disk(self) -> None:
         self._count("disk hangs")
-        disk = self._any().disk
+        disk = self._random_host().disk
         disk.hangs_until = self.world.now + self.world.rng.choice((0.3, 2.0, 5.0))
 
-    def _damage(self) -> None:
-        """A machine restarts and finds rows damaged, which counts as the loss of its copy."""
-        world, host = self.world, self._any()
+    def _damage_disk_rows(self) -> None:
+        """A machine restarts with missing rows, which counts as the loss of its copy."""
+        world, host = self.world, self._random_host()
         if host.node is None or not self._may_lose(host.addr):
             return
         self._count("rows damaged")
@@ -358,129 +360,185 @@
         host.disk.damage(world.rng.choice((1, 1, 3)), state=world.rng.random() < 0.2)
         world.start(host.addr)
 
-    def _behind(self) -> None:
-        """One machine misses a change; of the two parts that know it, one is damaged and one cut off."""
+    def _damage_one_of_two_copies(self) -> None:
+        """One of three machines misses a change; of the two that have it, one loses rows and one is cut off."""
         world, rng = self.world, self.world.rng
-        up = [host.addr for host in world.hosts.values() if host.node is not None]
-        if len(up) != 3:
+        running = [host.addr for host in world.hosts.values() if host.node is not None]
+        if len(running) != 3:
             return
         self._count("change that two know, one of them damaged")
-        first, second, missing = rng.sample(up, 3)
-        apart = [frozenset((missing, other)) for other in up if other != missing]
-        world.cut.update(apart)
-        self._race()
+        first, second, missing = rng.sample(running, 3)
+        first_cut = [frozenset((missing, other)) for other in running if other != missing]
+        world.cut.update(first_cut)
+        self._submit_concurrent()
         world.run_until(world.now + 1.3)
-        self._race()
+        self._submit_concurrent()
         world.run_until(world.now + 0.3)
-        alone = [frozenset((second, other)) for other in up if other != second]
-        world.cut.update(alone)
+        second_cut = [frozenset((second, other)) for other in running if other != second]
+        world.cut.update(second_cut)
         if self._may_lose(first):
             world.crash(first)
             world.hosts[first].disk.damage(rng.choice((1, 2, 8)), state=rng.random() < 0.3)
             world.start(first)
-        world.cut.difference_update(apart)
+        world.cut.difference_update(first_cut)
         world.cut.difference_update([frozenset((second, missing))])
-        world.cut.update(alone)
+        world.cut.update(second_cut)
         for _ in range(2):
-            self._race()
+            self._submit_concurrent()
             world.run_until(world.now + 0.7)
-        world.cut.difference_update(alone)
+        world.cut.difference_update(second_cut)
+
+    # Isolation
 
-    # A siege
+    def _isolate_minority(self) -> None:
+        """Isolate at most as many machines as may be lost, for `ISOLATION_TIME_S` or more, with no other fault.
 
-    def _siege(self) -> None:
-        """As many machines as may be lost are cut off for twenty seconds and more, in one of three ways, and
-        nothing else happens: the others go on, and those cut off say nothing that they cannot know."""
+        The connected machines must keep answering. `World` checks the answers of the isolated ones.
+        """
         world, rng = self.world, self.world.rng
         world.run_until(2.0)
-        off = [host.addr for host in self._some()]
-        rest = [addr for addr in world.hosts if addr not in off]
-        way = rng.choice(("both ways", "inward", "outward", "flapping"))
-        self._count(f"cut of {SIEGE:g} s {way}")
-        pairs = [(one, other) for one in off for other in rest]
-        if way in ("both ways", "flapping"):
+        isolated = [host.addr for host in self._random_hosts()]
+        connected = [addr for addr in world.hosts if addr not in isolated]
+        mode = rng.choice(("both ways", "inward", "outward", "flapping"))
+        self._count(f"cut of {ISOLATION_TIME_S:g} s {mode}")
+        pairs = [(one, other) for one in isolated for other in connected]
+        if mode in ("both ways", "flapping"):
             pairs += [(other, one) for one, other in pairs]
-        elif way == "inward":
+        elif mode == "inward":
             pairs = [(other, one) for one, other in pairs]
         world.one_way.update(pairs)
-        end = world.now + SIEGE + rng.uniform(0.0, 5.0)
+        end = world.now + ISOLATION_TIME_S + rng.uniform(0.0, 5.0)
         world.run_until(world.now + 3.0)
         number = 0
         while world.now < end:
             number += 1
-            self._besieged(f"siege{number}", off, rest)
-            if way == "flapping":
+            self._check_isolation(f"siege{number}", isolated, connected)
+            if mode == "flapping":
                 world.one_way.difference_update(pairs)
                 world.run_until(world.now + rng.uniform(0.0, 0.1))
                 world.one_way.update(pairs)
             world.run_until(world.now + rng.uniform(0.5, 4.0))
         world.one_way.clear()
 
-    def _besieged(self, name: str, off: list[str], rest: list[str]) -> None:
-        """One change and one read on the greater side, and the same at those cut off."""
+    def _check_isolation(self, name: str, isolated: list[str], connected: list[str]) -> None:
+        """Send a change and a read to the connected machines, which must answer, and to the isolated ones."""
         world, rng = self.world, self.world.rng
-        for addr in off:
+        for addr in isolated:
             world.read(addr, f"{name}/{addr}")
             self._ver += 1
-            self._orders.append(Order(self._ver, world.vers[max(world.vers)]))
+            self._changes.append(ChangeRequest(self._ver, world.versions[max(world.versions)]))
             if rng.random() < 0.5:
-                self._send(self._orders[-1], addr)
+                self._send(self._changes[-1], addr)
             if rng.random() < 0.5:
-                self._send(rng.choice(self._orders), addr)
+                self._send(rng.choice(self._changes), addr)
         self._ver += 1
-        order = Order(self._ver, world.vers[max(world.vers)])
-        self._orders.append(order)
-        chosen, reader = rng.choice(rest), rng.choice(rest)
-        world.submit(chosen, name, order)
+        change = ChangeRequest(self._ver, world.versions[max(world.versions)])
+        self._changes.append(change)
+        target, reader = rng.choice(connected), rng.choice(connected)
+        world.submit(target, name, change)
         world.read(reader, f"{name}/read")
-        world.run_until(world.now + PROMPT)
-        # What was sent to a machine that is cut off may have come through, and then it took the parent.
+        world.run_until(world.now + ANSWER_TIMEOUT_S)
+        # A change sent to an isolated machine may have got through and have been applied on the same parent.
         outcome = world.answers.get(name)
-        rival = world.taken_on.get(order.parent, order.digest) != order.digest
-        if not isinstance(outcome, Committed) and not (outcome == STALE and rival):
-            raise Violation(f"{chosen} takes no change while {', '.join(off)} is cut off")
+        has_rival = world.digest_by_parent.get(change.parent, change.digest) != change.digest
+        if not isinstance(outcome, Committed) and not (outcome == STALE and has_rival):
+            raise Violation(f"{target} applies no change while {', '.join(isolated)} is isolated")
         if not isinstance(world.answers.get(f"{name}/read"), ReadReady):
-            raise Violation(f"{reader} cannot read while {', '.join(off)} is cut off")
-
-    _OPERATORS = (_race, _race, _race, _rivals, _read, _read, _again)
+            raise Violation(f"{reader} cannot read while {', '.join(isolated)} is isolated")
+
+    _OPERATORS = (
+        _submit_concurrent,
+        _submit_concurrent,
+        _submit_concurrent,
+        _submit_eight_rivals,
+        _read,
+        _read,
+        _resubmit,
+    )
     _CLIMATES = {
         "mixed": (
-            _race,
-            _race,
-            _race,
-            _race,
-            _race,
-            _rivals,
-            _again,
-            _again,
+            _submit_concurrent,
+            _submit_concurrent,
+            _submit_concurrent,
+            _submit_concurrent,
+            _submit_concurrent,
+            _submit_eight_rivals,
+            _resubmit,
+            _resubmit,
             _read,
             _read,
             _crash,
             _crash_all,
-            _wipe,
-            _replace,
-            _add,
-            _cut,
-            _cut,
-            _one_way_cut,
-            _flap,
+            _lose_disks,
+            _replace_machines,
+            _add_machine,
+            _cut_links,
+            _cut_links,
+            _cut_one_way,
+            _flap_links,
+            _freeze,
+            _fail_disk_writes,
+            _hang_disk,
+            _damage_disk_rows,
+        ),
+        # All lose power repeatedly, half of the times right after an acknowledgement.
+        "power": (
+            _submit_concurrent,
+            _submit_concurrent,
+            _submit_concurrent,
+            _submit_concurrent,
+            _resubmit,
+            _read,
+            _crash_all,
+            _crash_all,
+            _crash,
+            _cut_links,
+        ),
+        "links": (*_OPERATORS, _cut_links, _cut_one_way, _cut_one_way, _flap_links, _freeze, _crash),
+        "disks": (
+            *_OPERATORS,
+            _fail_disk_writes,
+            _hang_disk,
+            _damage_disk_rows,
+            _damage_one_of_two_copies,
+            _crash,
+            _crash,
+            _crash_all,
+            _lose_disks,
+            _cut_links,
+        ),
+        "crowd": (
+            _submit_eight_rivals,
+            _submit_eight_rivals,
+            _resubmit,
+            _resubmit,
+            _resubmit,
+            _read,
+            _freeze,
+            _crash,
+            _lose_disks,
+            _cut_links,
+            _cut_one_way,
+        ),
+        "duel": (_submit_duel, _submit_duel, _submit_duel, _read, _restart_briefly, _restart_briefly, _restart_briefly),
+        "age": (
+            _resubmit,
+            _resubmit,
+            _resubmit,
+            _read,
+            _crash,
+            _lose_disks,
+            _cut_links,
+            _cut_links,
             _freeze,
-            _disk_trouble,
-            _hang,
-            _damage,
+            _replace_machines,
+            _fail_disk_writes,
         ),
-        # All lose power, again and again, half of the times as something is acknowledged.
-        "power": (_race, _race, _race, _race, _again, _read, _crash_all, _crash_all, _crash, _cut),
-        "links": (*_OPERATORS, _cut, _one_way_cut, _one_way_cut, _flap, _freeze, _crash),
-        "disks": (*_OPERATORS, _disk_trouble, _hang, _damage, _behind, _crash, _crash, _crash_all, _wipe, _cut),
-        "crowd": (_rivals, _rivals, _again, _again, _again, _read, _freeze, _crash, _wipe, _cut, _one_way_cut),
-        "duel": (_duel, _duel, _duel, _read, _blink, _blink, _blink),
-        "age": (_again, _again, _again, _read, _crash, _wipe, _cut, _cut, _freeze, _replace, _disk_trouble),
     }
 
 
 def run(seeds: Iterable[int], steps: int = STEPS, node_class: type[Node] = Node) -> Report:
-    """Play one random schedule of `steps` acts for each seed."""
+    """Run one random schedule of `steps` actions for each seed."""
     report = Report()
     play(seeds, lambda seed: _Schedule(seed, steps, node_class), report)
     return report
