--- a/crowseam/model_checks/agreement/exhaustive.py
+++ b/crowseam/model_checks/agreement/exhaustive.py
@@ -1,4 +1,4 @@
-"""All orders of events of a small case: two changes that race on one version among three voters."""
+"""Exhaustive exploration of a small case: all event orders of two concurrent changes among three voters."""
 
 from __future__ import annotations
 
@@ -28,11 +28,11 @@
 from crowseam.consensus.quorum_round import QuorumRound
 from crowseam.consensus.records import IdentityRecord, SlotVote, SnapshotRecord
 from crowseam.consensus.timing import Timing
-from crowseam.model_checks.agreement.world import Disk, Ledger, Order
+from crowseam.model_checks.agreement.world import ChangeRequest, Disk, ModelStateMachine
 
 
-class Walk(msgspec.Struct):
-    """How far `explore` came: the states seen, and whether they are all there are within its bounds."""
+class Exploration(msgspec.Struct):
+    """Result of `explore`: the number of states visited, and whether all within the bounds were visited."""
 
     depth: int = 0
     states: int = 0
@@ -41,22 +41,21 @@
     violations: list[str] = msgspec.field(default_factory=list)
 
 
-class _Moment:
-    """A state of the small case: the nodes, their disks, the messages under way, and what is left of
-    the bounds."""
+class _State:
+    """Nodes, their disks and clocks, the messages in flight, the remaining faults and the committed requests."""
 
-    __slots__ = ("nodes", "disks", "clocks", "flying", "left", "taken")
+    __slots__ = ("nodes", "disks", "clocks", "in_flight", "remaining", "committed")
 
-    def __init__(self, nodes, disks, clocks, flying, left, taken) -> None:
+    def __init__(self, nodes, disks, clocks, in_flight, remaining, committed) -> None:
         self.nodes: tuple[Node, ...] = nodes
         self.disks: tuple[Disk, ...] = disks
         self.clocks: tuple[float, ...] = clocks
-        self.flying: tuple[tuple[int, int, bytes], ...] = flying
-        self.left: tuple[int, int, int] = left
-        self.taken: frozenset = taken
+        self.in_flight: tuple[tuple[int, int, bytes], ...] = in_flight
+        self.remaining: tuple[int, int, int] = remaining
+        self.committed: frozenset = committed
 
     def key(self) -> bytes:
-        """What tells this state from others; times are left out, for they only follow the events."""
+        """Identifies the state; clocks are left out because they follow from the events."""
         parts = [
             (
                 node.last_slot,
@@ -70,7 +69,7 @@
             )
             for node in self.nodes
         ]
-        return msgspec.msgpack.encode((parts, self.flying, self.left, sorted(self.taken)))
+        return msgspec.msgpack.encode((parts, self.in_flight, self.remaining, sorted(self.committed)))
 
 
 def _round_key(current: QuorumRound) -> tuple:
@@ -82,14 +81,14 @@
     )
 
 
-class _Even:
-    """Stands in for a random source: a walk tries all orders anyway."""
+class _FixedRandom:
+    """Deterministic replacement of the random generator."""
 
-    def __init__(self, life: int) -> None:
-        self.life = life
+    def __init__(self, incarnation: int) -> None:
+        self.incarnation = incarnation
 
     def getrandbits(self, bits: int) -> int:
-        return self.life
+        return self.incarnation
 
     def uniform(self, low: float, high: float) -> float:
         return (low + high) / 2
@@ -98,7 +97,7 @@
         return items[0]
 
 
-class _Walker:
+class _Explorer:
     _ADDRS = ("a", "b", "c")
     _TIMING = Timing(
         poll_interval_s=1e9, join_interval_s=1e9, request_timeout_s=1e9, evict_after_s=1e9, replace_after_s=1e9
@@ -107,109 +106,118 @@
     def __init__(self, node_class: type[Node], limit: int) -> None:
         self.node_class = node_class
         self.limit = limit
-        self.walk = Walk()
+        self.result = Exploration()
         self.voters = [Voter(f"genesis/{addr}", addr) for addr in self._ADDRS]
 
-    def _settings(self, at: int, disk: Disk, life: int) -> Node:
-        node = self.node_class(self.voters[at], disk.load(), Ledger(), _Even(life), self._TIMING)
+    def _start_node(self, index: int, disk: Disk, incarnation: int) -> Node:
+        node = self.node_class(
+            self.voters[index], disk.load(), ModelStateMachine(), _FixedRandom(incarnation), self._TIMING
+        )
         node._catch_up.next_poll_at = 1e9
         return node
 
-    def start(self, left: tuple[int, int, int]) -> _Moment:
+    def start(self, remaining: tuple[int, int, int]) -> _State:
         disks = tuple(Disk() for _ in self._ADDRS)
         for voter, disk in zip(self.voters, disks, strict=True):
             disk.write([IdentityRecord(voter.id), SnapshotRecord(0, b"", self.voters, 1)])
-        nodes = tuple(self._settings(at, disk, 0) for at, disk in enumerate(disks))
-        moment = _Moment(nodes, disks, (0.0,) * 3, (), left, frozenset())
-        for at, ver in ((0, 1), (1, 2)):
-            judge = Order(ver, 0).judge(f"t{ver}")
-            moment = self._act(moment, at, lambda node, judge=judge, ver=ver: node.submit(ver, judge, 0.0))
-        return moment
-
-    def _act(self, was: _Moment, at: int, what: Callable[[Node], list[Effect]], **new: Any) -> _Moment:
-        """The state after node `at` did `what`, its writes synced and its words to itself heard."""
-        node, disk = _fork(was.nodes[at]), Disk()
-        disk.content = was.disks[at].load()
-        flying, taken = list(new.get("flying", was.flying)), set(was.taken)
-        effects = what(node)
+        nodes = tuple(self._start_node(index, disk, 0) for index, disk in enumerate(disks))
+        state = _State(nodes, disks, (0.0,) * 3, (), remaining, frozenset())
+        for index, ver in ((0, 1), (1, 2)):
+            builder = ChangeRequest(ver, 0).builder(f"t{ver}")
+            state = self._step(state, index, lambda node, builder=builder, ver=ver: node.submit(ver, builder, 0.0))
+        return state
+
+    def _step(self, state: _State, index: int, action: Callable[[Node], list[Effect]], **new: Any) -> _State:
+        """The state after node `index` ran `action`, synced its writes and handled its messages to itself."""
+        node, disk = _deep_copy(state.nodes[index]), Disk()
+        disk.content = state.disks[index].load()
+        in_flight, committed = list(new.get("in_flight", state.in_flight)), set(state.committed)
+        effects = action(node)
         while effects:
             effect = effects.pop(0)
             match effect:
-                case Send(addr=addr, message=message) if addr == self._ADDRS[at]:
+                case Send(addr=addr, message=message) if addr == self._ADDRS[index]:
                     effects += node.handle(addr, message, node._context.now)
                 case Send(addr=addr, message=message):
                     if not isinstance(message, QuorumRead):
-                        flying.append((at, self._ADDRS.index(addr), encode(message)))
+                        in_flight.append((index, self._ADDRS.index(addr), encode(message)))
                 case Persist():
                     disk.write(effect.records)
                     effects += effect.then
-                case CompleteRequest(request_id=ticket, outcome=Committed()):
-                    taken.add(ticket)
-        return _Moment(
-            _put(was.nodes, at, node),
-            _put(was.disks, at, disk),
-            new.get("clocks", was.clocks),
-            tuple(sorted(each for each in flying if each[1] != at or not _moot(node, each[2]))),
-            new.get("left", was.left),
-            frozenset(taken),
+                case CompleteRequest(request_id=request_id, outcome=Committed()):
+                    committed.add(request_id)
+        return _State(
+            _replace_at(state.nodes, index, node),
+            _replace_at(state.disks, index, disk),
+            new.get("clocks", state.clocks),
+            tuple(sorted(each for each in in_flight if each[1] != index or not _is_obsolete(node, each[2]))),
+            new.get("remaining", state.remaining),
+            frozenset(committed),
         )
 
-    def _next(self, was: _Moment) -> Iterable[_Moment]:
-        losses, timers, crashes = was.left
-        for place, (source, at, data) in enumerate(was.flying):
-            if place and was.flying[place - 1] == was.flying[place]:
+    def _successors(self, state: _State) -> Iterable[_State]:
+        losses, timers, crashes = state.remaining
+        for position, (sender_index, index, data) in enumerate(state.in_flight):
+            if position and state.in_flight[position - 1] == state.in_flight[position]:
                 continue
-            rest = was.flying[:place] + was.flying[place + 1 :]
-            message, sender, now = decode(data), self._ADDRS[source], was.clocks[at]
-            yield self._act(was, at, lambda n, m=message, s=sender, t=now: n.handle(s, m, t), flying=rest)
+            rest = state.in_flight[:position] + state.in_flight[position + 1 :]
+            message, sender, now = decode(data), self._ADDRS[sender_index], state.clocks[index]
+            yield self._step(state, index, lambda n, m=message, s=sender, t=now: n.handle(s, m, t), in_flight=rest)
             if losses:
-                left = (losses - 1, timers, crashes)
-                yield _Moment(was.nodes, was.disks, was.clocks, rest, left, was.taken)
-        for at in range(3) if timers else ():
-            clocks = _put(was.clocks, at, was.clocks[at] + 0.9)
-            left = (losses, timers - 1, crashes)
-            yield self._act(was, at, lambda n, t=clocks[at]: n.tick(t), clocks=clocks, left=left)
-        for at in range(3) if crashes else ():
-            node = self._settings(at, was.disks[at], crashes)
-            left = (losses, timers, crashes - 1)
-            yield self._act(
-                _Moment(_put(was.nodes, at, node), was.disks, was.clocks, was.flying, left, was.taken),
-                at,
-                lambda n, t=was.clocks[at]: n.tick(t),
+                remaining = (losses - 1, timers, crashes)
+                yield _State(state.nodes, state.disks, state.clocks, rest, remaining, state.committed)
+        for index in range(3) if timers else ():
+            clocks = _replace_at(state.clocks, index, state.clocks[index] + 0.9)
+            remaining = (losses, timers - 1, crashes)
+            yield self._step(state, index, lambda n, t=clocks[index]: n.tick(t), clocks=clocks, remaining=remaining)
+        for index in range(3) if crashes else ():
+            node = self._start_node(index, state.disks[index], crashes)
+            remaining = (losses, timers, crashes - 1)
+            yield self._step(
+                _State(
+                    _replace_at(state.nodes, index, node),
+                    state.disks,
+                    state.clocks,
+                    state.in_flight,
+                    remaining,
+                    state.committed,
+                ),
+                index,
+                lambda n, t=state.clocks[index]: n.tick(t),
             )
 
-    def go(self, depth: int, left: tuple[int, int, int]) -> Walk:
-        walk, start = self.walk, self.start(left)
+    def run(self, depth: int, remaining: tuple[int, int, int]) -> Exploration:
+        result, start = self.result, self.start(remaining)
         layer, seen = [start], {hash(start.key())}
         while layer:
-            after_layer = []
-            for moment in layer:
-                walk.states += 1
-                walk.decided += bool(moment.taken)
-                fault = self._fault(moment)
-                if fault:
-                    walk.violations.append(f"after {walk.depth} events: {fault}")
-                    return walk
-                if walk.states >= self.limit:
-                    return walk
-                # Once all know the entry of the slot, nothing more can happen to it.
-                if walk.depth == depth or all(node.last_slot for node in moment.nodes):
+            next_layer = []
+            for state in layer:
+                result.states += 1
+                result.decided += bool(state.committed)
+                violation = self._find_violation(state)
+                if violation:
+                    result.violations.append(f"after {result.depth} events: {violation}")
+                    return result
+                if result.states >= self.limit:
+                    return result
+                # Once all nodes have learned the entry of the slot, it cannot change any more.
+                if result.depth == depth or all(node.last_slot for node in state.nodes):
                     continue
-                for after in self._next(moment):
-                    key = hash(after.key())
+                for successor in self._successors(state):
+                    key = hash(successor.key())
                     if key not in seen:
                         seen.add(key)
-                        after_layer.append(after)
-            layer = after_layer
-            walk.depth += bool(layer)
-        walk.complete = True
-        return walk
-
-    def _fault(self, moment: _Moment) -> str | None:
-        if len(moment.taken) > 1:
-            return "two changes on one version were taken"
+                        next_layer.append(successor)
+            layer = next_layer
+            result.depth += bool(layer)
+        result.complete = True
+        return result
+
+    def _find_violation(self, state: _State) -> str | None:
+        if len(state.committed) > 1:
+            return "two changes with one parent were committed"
         chosen: dict[int, Entry] = {}
-        for node in moment.nodes:
+        for node in state.nodes:
             for slot, entry in enumerate(node.entries_from(node.first_slot) or (), node.first_slot):
                 if chosen.setdefault(slot, entry) != entry:
                     return f"slot {slot} has two entries"
@@ -223,19 +231,18 @@
     crashes: int = 0,
     limit: int = 1000000,
     node_class: type[Node] = Node,
-) -> Walk:
-    """Walk through all orders of the first `depth` events of two changes that race on one version among
-    three voters.
+) -> Exploration:
+    """Explore all orders of the first `depth` events of two concurrent changes with one parent among three voters.
 
-    On any one way, at most so many messages are lost, waits run out and machines crash; a message may be
-    arbitrarily late. A write that is lost with its machine is the same as the loss of the message that
-    asked for it. Gives up after `limit` states.
+    `losses`, `timers` and `crashes` bound the lost messages, expired timers and crashes of each path. Messages may
+    be delayed arbitrarily. The loss of an unsynced write is equivalent to the loss of the message that caused it.
+    Stops after `limit` states.
     """
-    return _Walker(node_class, limit).go(depth, (losses, timers, crashes))
+    return _Explorer(node_class, limit).run(depth, (losses, timers, crashes))
 
 
-def _moot(node: Node, data: bytes) -> bool:
-    """Whether `node` would pass over this message now and ever after, so that its place is no matter."""
+def _is_obsolete(node: Node, data: bytes) -> bool:
+    """Whether `node` ignores this message now and at any later time."""
     message, current = decode(data), node._proposer.round
     if isinstance(message, ChosenBallot | ChosenEntries):
         return node.last_slot >= message.slot
@@ -247,31 +254,31 @@
     return False
 
 
-def _put(items: tuple, at: int, item: Any) -> tuple:
-    return (*items[:at], item, *items[at + 1 :])
+def _replace_at(items: tuple, index: int, item: Any) -> tuple:
+    return (*items[:index], item, *items[index + 1 :])
 
 
-def _fork(value: Any, copies: dict[int, Any] | None = None) -> Any:
-    """A copy of all that a node may change; what its parts share, the parts of the copy share too."""
+def _deep_copy(value: Any, copies: dict[int, Any] | None = None) -> Any:
+    """Copy everything that a node may modify; objects shared by its parts are shared by the copies too."""
     copies = {} if copies is None else copies
     if id(value) in copies:
         return copies[id(value)]
     if isinstance(value, dict):
-        return {key: _fork(item, copies) for key, item in value.items()}
+        return {key: _deep_copy(item, copies) for key, item in value.items()}
     if isinstance(value, list):
-        return [_fork(item, copies) for item in value]
+        return [_deep_copy(item, copies) for item in value]
     if isinstance(value, set):
         return set(value)
     if isinstance(value, SlotVote):
         return SlotVote(value.promised, value.accepted, value.entry)
     if isinstance(value, MethodType):
-        return MethodType(value.__func__, _fork(value.__self__, copies))
-    if isinstance(value, Ledger) or (_is_of_consensus(value) and not isinstance(value, msgspec.Struct)):
+        return MethodType(value.__func__, _deep_copy(value.__self__, copies))
+    if isinstance(value, ModelStateMachine) or (_belongs_to_consensus(value) and not isinstance(value, msgspec.Struct)):
         copies[id(value)] = copy = object.__new__(type(value))
-        vars(copy).update((name, _fork(item, copies)) for name, item in vars(value).items())
+        vars(copy).update((name, _deep_copy(item, copies)) for name, item in vars(value).items())
         return copy
     return value
 
 
-def _is_of_consensus(value: Any) -> bool:
+def _belongs_to_consensus(value: Any) -> bool:
     return any(base.__module__.startswith("crowseam.consensus.") for base in type(value).__mro__)
--- a/crowseam/model_checks/agreement/mutants.py
+++ b/crowseam/model_checks/agreement/mutants.py
@@ -1,8 +1,8 @@
-"""The node without one of its guards, each as a class of its own: what the model check has to find.
+"""Mutants of the node, each with one guard removed, which the model check must detect.
 
-A guard stands between a fault of the environment and a broken invariant.  `seed` is that of a schedule of
-`agreement.check` in which its absence shows; where there is none, `why` says whether it is needless
-for what is checked here, or beyond its reach.
+A guard prevents a fault of the environment from breaking an invariant. `seed` selects a schedule of
+`agreement.check` that detects the mutant; without one, `why` says whether the guard is redundant for the
+invariants checked here, or out of reach of the check.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Mutation(msgspec.Struct, frozen=True):
-    """A guard, the node without it, and the seed that shows it."""
+    """A guard, a node class without it, and the seed of a schedule that detects its absence."""
 
     guard: str
     node_class: type[Node]
@@ -41,32 +41,32 @@
 
 
 def _without(guard: str, seed: int | None = None, why: str = "") -> Callable[[type], type]:
-    """Enter a node, or a part of one, that lacks `guard`."""
+    """Register a class of a node, or of a part of one, that lacks `guard`."""
 
-    def enter(mutant: type) -> type:
-        node_class = mutant if issubclass(mutant, Node) else node_with(mutant)
+    def register(mutated_class: type) -> type:
+        node_class = mutated_class if issubclass(mutated_class, Node) else node_with(mutated_class)
         MUTATIONS.append(Mutation(guard, node_class, seed, why))
-        return mutant
+        return mutated_class
 
-    return enter
+    return register
 
 
-def _sent_early(effects: list[Any]) -> list[Any]:
-    """Send at once what should wait for the disk."""
-    early: list[Any] = []
+def _send_before_persisting(effects: list[Any]) -> list[Any]:
+    """Send messages at once that should wait until the promise or vote is on disk."""
+    immediate: list[Any] = []
     for effect in effects:
         if isinstance(effect, Persist) and any(isinstance(each, PromiseRecord | VoteRecord) for each in effect.records):
-            early += [*effect.then, Persist(effect.records, [])]
+            immediate += [*effect.then, Persist(effect.records, [])]
         else:
-            early.append(effect)
-    return early
+            immediate.append(effect)
+    return immediate
 
 
 # Acceptor
 
 
 @_without("the ballot compare at a prepare", 75)
-class PreparesBelow(Acceptor):
+class PromisesLowerBallots(Acceptor):
     def on_prepare(self, sender, message):
         if message.slot in self.votes:
             self.votes[message.slot].promised = None
@@ -74,7 +74,7 @@
 
 
 @_without("the ballot compare at an accept", 5)
-class AcceptsBelow(Acceptor):
+class AcceptsLowerBallots(Acceptor):
     def on_accept(self, sender, message):
         if message.slot in self.votes:
             self.votes[message.slot].promised = None
@@ -88,15 +88,15 @@
     "then a ballot below it that is accepted by the same machine before the higher one comes "
     "back.",
 )
-class PromisesEarly(Acceptor):
+class PromisesBeforePersisting(Acceptor):
     def on_prepare(self, sender, message):
-        return _sent_early(super().on_prepare(sender, message))
+        return _send_before_persisting(super().on_prepare(sender, message))
 
 
 @_without("a vote on disk before it is told", 77)
-class VotesEarly(Acceptor):
+class VotesBeforePersisting(Acceptor):
     def on_accept(self, sender, message):
-        return _sent_early(super().on_accept(sender, message))
+        return _send_before_persisting(super().on_accept(sender, message))
 
 
 @_without("votes read back at a restart", 23)
@@ -107,28 +107,28 @@
 
 
 @_without("no vote at a slot known as chosen", 8)
-class VotesBehind(Acceptor):
+class VotesOnChosenSlots(Acceptor):
     def _redirect(self, sender, slot):
         is_behind = bool(self._log.voters) and slot <= self._log.last_slot
         return None if is_behind else super()._redirect(sender, slot)
 
 
 @_without("no vote before all earlier slots are known", 195)
-class VotesAhead(Acceptor):
+class VotesAheadOfLog(Acceptor):
     def _redirect(self, sender, slot):
         is_ahead = bool(self._log.voters) and slot > self._log.last_slot + 1
         return None if is_ahead else super()._redirect(sender, slot)
 
 
 @_without("the floor: no vote at a slot whose entry and vote went with damaged rows", 61)
-class NoFloor(Acceptor):
+class VotesOnLostSlots(Acceptor):
     def _redirect(self, sender, slot):
         self._highest_chosen_slot = 0
         return super()._redirect(sender, slot)
 
 
 @_without("chosen entries that could not be written go with the next write", 77)
-class ForgetsFailures(RecordWriter):
+class DropsFailedWrites(RecordWriter):
     def persist_failed(self, persist):
         super().persist_failed(persist)
         self.unsaved, self.retry_at = [], NEVER
@@ -160,7 +160,7 @@
 
 
 @_without("a ballot name of its own in each life", 2777)
-class SameName(Node):
+class ReusesProposerName(Node):
     def __init__(self, me, *args, **options):
         super().__init__(me, *args, **options)
         self._context.proposer_name = me.id
@@ -187,7 +187,7 @@
 
 
 @_without("the id of a voter: a machine under a new one is no voter yet", 9)
-class CountsStrangers(Proposer):
+class CountsNonVoters(Proposer):
     def _round_answered_by(self, reply, *kinds):
         current = self.round
         if current is None or not isinstance(current.message, kinds) or current.slot != reply.slot:
@@ -196,7 +196,7 @@
 
 
 @_without("more than half of an even number", 7)
-class HalfWillDo(Proposer):
+class CountsHalfAsMajority(Proposer):
     def _start(self, message):
         effects = super()._start(message)
         self.round.majority = (len(self.round.voters) + 1) // 2
@@ -204,7 +204,7 @@
 
 
 @_without("the end of a round once its slot is known", 0)
-class RoundStays(Proposer):
+class KeepsFinishedRound(Proposer):
     def slot_advanced(self):
         current = self.round
         super().slot_advanced()
@@ -212,13 +212,13 @@
 
 
 @_without("the judge, asked again after another entry took the slot", 1)
-class JudgesOnce(RequestQueue):
+class EvaluatesOnce(RequestQueue):
     def evaluate(self, request):
         return request.result if request.evaluated_slot >= 0 else super().evaluate(request)
 
 
 @_without("the tag: an entry at our slot may be another's", 6)
-class TakesAnothers(Node):
+class AcceptsOthersProposals(Node):
     def _learn(self, entries):
         for request in self._requests:
             if request.proposed_slot == self.last_slot + 1:
@@ -230,7 +230,7 @@
 
 
 @_without("a majority's word before a verdict, as a refusal is one", 0)
-class JudgesAlone(Proposer):
+class OutcomesUnconfirmed(Proposer):
     def advance(self):
         for request in self._requests:
             request.is_confirmed = request.is_confirmed or request.build is not None
@@ -238,7 +238,7 @@
 
 
 @_without("a majority's word before a read", 0)
-class ReadsAlone(Proposer):
+class ReadsUnconfirmed(Proposer):
     def advance(self):
         for request in self._requests:
             request.is_confirmed = request.is_confirmed or request.build is None
@@ -246,7 +246,7 @@
 
 
 @_without("an open vote makes a quorum read busy", 38)
-class ReadsPastVotes(Acceptor):
+class ReadsIgnoringOpenVotes(Acceptor):
     def on_quorum_read(self, sender, message):
         return [
             Send(send.addr, _with(send.message, has_voted=False)) if isinstance(send.message, QuorumReadReply) else send
@@ -255,7 +255,7 @@
 
 
 @_without("held promises confirm nothing", 58)
-class HeldConfirm(Proposer):
+class ConfirmsOnHeldPromises(Proposer):
     def on_promise(self, promise):
         current = self._round_answered_by(promise, Prepare)
         effects = super().on_promise(promise)
@@ -265,7 +265,7 @@
 
 
 @_without("a question confirms only calls that came before it", 5)
-class ConfirmsLater(RequestQueue):
+class ConfirmsLaterRequests(RequestQueue):
     def confirm_through(self, sequence):
         super().confirm_through(self.last_sequence)
 
@@ -283,7 +283,7 @@
 
 
 @_without("an older state is not taken over", 2)
-class GoesBack(Node):
+class RestoresOlderSnapshot(Node):
     def _on_snapshot(self, snapshot):
         if self.voters and snapshot.slot <= self.last_slot:
             self._log.last_slot = snapshot.slot - 1
@@ -291,7 +291,7 @@
 
 
 @_without("entries follow on what is known", 17)
-class LeavesGaps(Node):
+class AppliesAcrossGaps(Node):
     def _on_chosen_entries(self, sender, message):
         if self.voters and message.slot > self.last_slot + 1:
             message = _with(message, slot=self.last_slot + 1)
@@ -308,13 +308,13 @@
 
 
 @_without("the state told is that of the newest slot", 2)
-class TellsOldState(ReplicatedLog):
+class SendsCachedState(ReplicatedLog):
     def state(self):
         return self._cached_state[1] if self._cached_state is not None else super().state()
 
 
 @_without("the voters change with the entry", 2)
-class VotersStay(ReplicatedLog):
+class KeepsOldVoters(ReplicatedLog):
     def append(self, entry):
         voters = self.voters
         slot = super().append(entry)
@@ -328,7 +328,7 @@
     "needless here, where the ledger remembers all it took: judged anew, a change is known by its"
     " digest. Kept for state machines that forget.",
 )
-class JudgesAfterState(Node):
+class ReevaluatesAfterSnapshot(Node):
     def _on_snapshot(self, snapshot):
         for request in self._requests:
             request.proposed_slot = 0
@@ -340,7 +340,7 @@
     None,
     "needless for what is checked: whoever asks next finishes an open vote. It spares that call " "the wait.",
 )
-class LeavesOrphans(Node):
+class LeavesOrphanedBallots(Node):
     def _recover_vote_in_doubt(self):
         if self._context.now >= self._acceptor.recovery_due():
             self._acceptor.last_vote_at = self._context.now
@@ -351,7 +351,7 @@
 
 
 @_without("a change of voters rests on answers since the last stand-still", 210546)
-class ChangesUnproven(Reconfiguration):
+class ChangesVotersUnproven(Reconfiguration):
     def _current_proof(self, wanted):
         proof = MembershipProof(self._context.me, self._log.voters, wanted, 0, self._context.now)
         proof.answered |= {voter.id for voter in proof.missing}
@@ -364,7 +364,7 @@
     None,
     "by hand: test_consensus.StandStills; no seed was sought.",
 )
-class KeepsChangesOverStandStill(Node):
+class KeepsChangesAfterPause(Node):
     def _set_clock(self, now):
         requests = self._requests.requests
         super()._set_clock(now)
@@ -372,7 +372,7 @@
 
 
 @_without("who knows no voters has no vote to finish", 904571)
-class MindsVotesWithoutVoters(Node):
+class RecoversVotesWithoutVoters(Node):
     def _finish(self, effects):
         effects = super()._finish(effects)
         if self._proposer.round is None and self._acceptor.vote_in_doubt() is not None:
--- a/crowseam/model_checks/agreement/parts.py
+++ b/crowseam/model_checks/agreement/parts.py
@@ -1,4 +1,4 @@
-"""Nodes with another class in the place of one of their parts."""
+"""Builds node classes in which one part is replaced by a subclass."""
 
 from __future__ import annotations
 
@@ -18,6 +18,6 @@
 
 
 def node_with(part: type, base: type[Node] = Node) -> type[Node]:
-    """Return a node that uses `part` in the place of the class that it is derived from."""
+    """Return a node class that uses `part` instead of the class it is derived from."""
     name = next(name for name in _PART_TYPES if issubclass(part, getattr(base, name)))
     return type(part.__name__, (base,), {name: part})
--- a/crowseam/model_checks/agreement/world.py
+++ b/crowseam/model_checks/agreement/world.py
@@ -1,10 +1,13 @@
-"""The world of the model check: machines with the real Node over a simulated network, clocks and disks.
+"""Environment of the model check: machines that run the real Node over a simulated network, clocks and disks.
 
-Every answer, every applied entry and every state taken over is checked as it happens, and breaks off the
-schedule with a Violation: each slot has one entry, nothing acknowledged is missing from a later read or
-refused when it is sent again, no two changes made on one version or under one number are both taken, nothing
-refused comes into force, no state goes back within a life, and nobody answers who had no round trip to a
-majority of some slot's voters since the call came.
+Every answer, applied entry and restored snapshot is checked as it occurs; a broken invariant raises Violation:
+
+- each slot has one entry;
+- an acknowledged change is contained in every later read, and is not refused when it is sent again;
+- of several changes with the same parent or the same version number, at most one is applied;
+- a refused change is never applied;
+- the state of a process never goes back;
+- a machine answers a request only after a round trip, begun since the request, to a majority of the voters of a slot.
 """
 
 from __future__ import annotations
@@ -31,39 +34,39 @@
 )
 from crowseam.consensus.timing import Timing
 from crowseam.consensus.voter_selection import assign_identity
-from crowseam.model_checks.schedules import Course, Violation
+from crowseam.model_checks.schedules import EventSimulation, Violation
 
 SAME, STALE = "same", "stale"
 
-# What reports call the outcomes of requests.
+# Names of request outcomes in reports.
 _OUTCOME_LABELS = {Committed: "taken", ReadReady: "fresh", OutcomeUnknown: "unclear"}
 
 
-class Ledger:
-    """The applied state of the model: the current version and the digest of each one taken."""
+class ModelStateMachine:
+    """Replicated state of the model: the current version, and the digest of each applied version."""
 
     def __init__(self) -> None:
         self.ver = 0
-        self.taken: dict[int, str] = {}
+        self.applied_digests: dict[int, str] = {}
 
     def apply(self, slot: int, entry: Entry) -> None:
         if isinstance(entry, ConfigurationEntry):
             if entry.parent != self.ver:
-                raise Violation(f"{entry.ver} was taken on {self.ver}, not on its parent {entry.parent}")
+                raise Violation(f"{entry.ver} was applied on {self.ver}, not on its parent {entry.parent}")
             self.ver = entry.ver
-            self.taken[entry.ver] = entry.digest
+            self.applied_digests[entry.ver] = entry.digest
 
     def snapshot(self) -> bytes:
-        return msgspec.msgpack.encode((self.ver, self.taken))
+        return msgspec.msgpack.encode((self.ver, self.applied_digests))
 
     def restore(self, state: bytes) -> None:
-        self.ver, self.taken = 0, {}
+        self.ver, self.applied_digests = 0, {}
         if state:
-            self.ver, self.taken = msgspec.msgpack.decode(state, type=tuple[int, dict[int, str]])
+            self.ver, self.applied_digests = msgspec.msgpack.decode(state, type=tuple[int, dict[int, str]])
 
 
-class Order(msgspec.Struct, frozen=True):
-    """An operator's change, sent as often as it takes; two may go by one number and differ in content."""
+class ChangeRequest(msgspec.Struct, frozen=True):
+    """An operator's change, which may be sent repeatedly; two with the same version may differ in content."""
 
     ver: int
     parent: int
@@ -71,123 +74,129 @@
 
     @property
     def digest(self) -> str:
-        """What tells this change from others, whatever their number."""
+        """Identifies this change by version and content."""
         return f"d{self.ver}{self.content}"
 
-    def judge(self, tag: str) -> Callable[[Ledger], Any]:
-        """What a node asks about this change."""
+    def builder(self, tag: str) -> Callable[[ModelStateMachine], Any]:
+        """Return the function by which a node builds the entry, or decides that none is needed."""
 
-        def look(ledger: Ledger) -> Any:
-            if ledger.taken.get(self.ver) == self.digest:
+        def build(state_machine: ModelStateMachine) -> Any:
+            if state_machine.applied_digests.get(self.ver) == self.digest:
                 return SAME
-            if ledger.ver != self.parent or self.ver <= ledger.ver:
+            if state_machine.ver != self.parent or self.ver <= state_machine.ver:
                 return STALE
             return ConfigurationEntry(tag, self.ver, self.parent, True, b"", self.digest)
 
-        return look
+        return build
 
 
 class Disk:
-    """A disk in memory with the meaning that the store gives to each record."""
+    """A disk in memory that applies records as the store does."""
 
     def __init__(self) -> None:
         self.content = DurableState()
-        self.refuses = False
-        self.hangs_until = 0.0  # world time
-        self.damaged = False  # whether rows may be missing
+        self.fails_writes = False
+        self.hangs_until = 0.0  # simulation time
+        self.has_missing_rows = False
 
     def write(self, records: Iterable[Record]) -> None:
-        """Write and sync."""
-        held = self.content
+        """Write and sync records."""
+        content = self.content
         for record in records:
             match record:
                 case IdentityRecord(id=name):
-                    held.id = name
+                    content.id = name
                 case PromiseRecord(slot=slot, ballot=ballot):
-                    held.votes.setdefault(slot, SlotVote()).promised = ballot
+                    content.votes.setdefault(slot, SlotVote()).promised = ballot
                 case VoteRecord(slot=slot, ballot=ballot, entry=entry):
-                    held.votes[slot] = SlotVote(ballot, ballot, entry)
+                    content.votes[slot] = SlotVote(ballot, ballot, entry)
                 case ChosenRecord(slot=slot, entry=entry):
-                    held.chosen[slot] = entry
-                    held.votes.pop(slot, None)
-                    held.highest_chosen_slot = max(held.highest_chosen_slot, slot)
+                    content.chosen[slot] = entry
+                    content.votes.pop(slot, None)
+                    content.highest_chosen_slot = max(content.highest_chosen_slot, slot)
                 case SnapshotRecord(slot=slot, first_kept_slot=keep):
-                    held.snapshot = record
-                    held.chosen = {s: entry for s, entry in held.chosen.items() if s >= keep}
-                    held.votes = {s: vote for s, vote in held.votes.items() if s > slot}
-                    held.highest_chosen_slot = max(held.highest_chosen_slot, slot)
+                    content.snapshot = record
+                    content.chosen = {s: entry for s, entry in content.chosen.items() if s >= keep}
+                    content.votes = {s: vote for s, vote in content.votes.items() if s > slot}
+                    content.highest_chosen_slot = max(content.highest_chosen_slot, slot)
 
     def load(self) -> DurableState:
-        """A copy that the reader may change."""
-        held = self.content
-        votes = {slot: SlotVote(v.promised, v.accepted, v.entry) for slot, v in held.votes.items()}
-        return DurableState(held.id, held.highest_chosen_slot, votes, dict(held.chosen), held.snapshot)
+        """Return a copy that the caller may modify."""
+        content = self.content
+        votes = {slot: SlotVote(v.promised, v.accepted, v.entry) for slot, v in content.votes.items()}
+        return DurableState(content.id, content.highest_chosen_slot, votes, dict(content.chosen), content.snapshot)
 
     def damage(self, newest: int, state: bool) -> None:
-        """Lose the `newest` latest chosen entries, and the saved state if `state`: rows that read back
-        damaged are left out by the store, while a damaged vote makes it give up the whole disk."""
-        self.damaged = True
+        """Remove the `newest` latest chosen entries, and the snapshot if `state`.
+
+        The store leaves out rows that are corrupt when read back. A corrupt vote makes it discard the whole disk.
+        """
+        self.has_missing_rows = True
         for slot in sorted(self.content.chosen)[-newest:] if newest else ():
             del self.content.chosen[slot]
         if state:
             self.content.snapshot = None
 
     def holds(self, slot: int, entry: Entry) -> bool:
-        """Whether a restart from this disk could still tell what was chosen at `slot`."""
-        held = self.content
-        vote = held.votes.get(slot)
+        """Whether the entry chosen at `slot` can be recovered after a restart from this disk."""
+        content = self.content
+        vote = content.votes.get(slot)
         return (
-            held.chosen.get(slot) == entry
-            or (held.snapshot is not None and held.snapshot.slot >= slot)
+            content.chosen.get(slot) == entry
+            or (content.snapshot is not None and content.snapshot.slot >= slot)
             or (vote is not None and vote.entry == entry)
         )
 
 
 class Host:
-    """A machine: its disk stays, its node and what is not synced go with each crash."""
+    """A machine: a crash loses its node and its unsynced writes, but not its disk."""
 
     def __init__(self, addr: str) -> None:
         self.addr = addr
         self.disk = Disk()
-        self.life = 0
+        self.incarnation = 0
         self.node: Node | None = None
-        self.ledger = Ledger()
-        self.queue: list[Persist] = []
-        self.disk_free = 0.0
-        self.disk_hangs = False
-        self.tick_at = self.ticked = -1.0
-        self.restless = 0  # ticks in a row at one moment
-        self.gone = False
-        self.offset, self.rate = 0.0, 1.0  # its steady clock against the world's
-        self.frozen = False  # its process stands still
-        self.waiting: list[tuple[Callable, tuple]] = []  # what it finds when it is thawed
-        self.newest = -1  # the slot of its state in this life; -1 while it has none
-        self.ever = -1  # the newest slot in any of its lives
-        self.jumped = 0  # the slot of the last state that it took over whole
-        # World times: when what was last heard from an address was sent, and what was last heard from us by
-        # a voter, by its id, as far as its own words since then tell.
-        self.heard: dict[str, float] = {}
-        self.round_trip: dict[str, float] = {}
+        self.state_machine = ModelStateMachine()
+        self.pending_writes: list[Persist] = []
+        self.disk_free_at = 0.0
+        self.is_disk_hung = False
+        self.scheduled_tick_at = self.last_tick_at = -1.0
+        self.ticks_at_same_time = 0
+        self.gone = False  # lost for good
+        self.clock_offset_s, self.clock_rate = 0.0, 1.0  # its monotonic clock relative to simulation time
+        self.frozen = False  # its process is suspended
+        self.deferred: list[tuple[Callable, tuple]] = []  # events to handle once the process resumes
+        self.last_applied_slot = -1  # by this process; -1 while it has no state
+        self.highest_slot_ever = -1  # by any process of this machine
+        self.restored_slot = 0  # of the last snapshot that it installed
+        # Simulation times. By address: when the latest message received from it was sent. By voter id: when the
+        # latest of our messages was sent that the voter has confirmed as received.
+        self.received_sent_at: dict[str, float] = {}
+        self.confirmed_sent_at: dict[str, float] = {}
 
     def time(self, now: float) -> float:
-        """Its steady clock at the world's time `now`, in seconds."""
-        return self.offset + self.rate * now
+        """Its monotonic clock at simulation time `now`, in seconds."""
+        return self.clock_offset_s + self.clock_rate * now
 
 
 class _Call(msgspec.Struct):
-    """A call that has no answer yet: what for, when it came, and what was known then."""
+    """A request without an answer yet.
 
-    order: Order | None
+    `since` is when it was received, `last` the last slot of its node then, and `acknowledged` the newest slot of an
+    acknowledged change then. A read has no `order`.
+    """
+
+    order: ChangeRequest | None
     since: float
     last: int
     acknowledged: int
 
 
-class World(Course):
-    """Machines, the links between them and time; everything that happens is checked as it happens.
+class World(EventSimulation):
+    """Machines and the links between them, with checks of every answer and every applied entry.
 
-    `cut` holds links that are cut both ways, `one_way` pairs of sender and receiver. With `drift`, steady
-    clocks start anywhere and run at speeds of their own.
+    `cut` holds links that are cut both ways, `one_way` pairs of sender and receiver whose messages are lost. With
+    `drift`, each monotonic clock has its own offset and rate.
     """
 
     def __init__(
@@ -204,7 +213,7 @@
         self.node_class = node_class
         self.timing = timing or Timing()
         self.survive, self.drift = survive, drift
-        self.sync = 0.002
+        self.sync_s = 0.002
         self.all_crash_at_ack = False
         self.cut: set[frozenset[str]] = set()
         self.one_way: set[tuple[str, str]] = set()
@@ -213,321 +222,330 @@
         self.answers: dict[Any, Any] = {}
         self.answered_by: dict[str, str] = {}
         self.chosen: dict[int, Entry] = {}
-        self.vers = {0: 0}
+        self.versions = {0: 0}
         self.voters = {0: [Voter(f"genesis/{addr}", addr) for addr in sorted(founders)]}
-        self.acknowledged: dict[int, int] = {}
-        self.confirmed: dict[int, str] = {}  # the digest that was acknowledged under each number
-        self.refused: set[str] = set()
-        self.taken_at: dict[str, int] = {}  # the slot of each digest
-        self.taken_on: dict[int, str] = {}  # the digest that was taken on each parent
-        self._calls: dict[Any, _Call] = {}
-        self._teller: tuple[str, float] = ("", -1.0)  # whose message is being handled, and when it was sent
+        self.acknowledged_slots: dict[int, int] = {}
+        self.acknowledged_digests: dict[int, str] = {}  # by version
+        self.refused_digests: set[str] = set()
+        self.slot_by_digest: dict[str, int] = {}  # chosen changes
+        self.digest_by_parent: dict[int, str] = {}  # chosen changes
+        self._open_calls: dict[Any, _Call] = {}
+        self._current_sender: tuple[str, float] = ("", -1.0)  # of the message being handled, and when it was sent
         for addr in founders:
             self.start(addr, bootstrap=True)
 
     # Machines
 
     def start(self, addr: str, bootstrap: bool = False) -> None:
-        """Start a machine, or start it again from its disk."""
+        """Start or restart a machine from its disk."""
         host = self.hosts.setdefault(addr, Host(addr))
         if host.node is not None or host.gone:
             return
-        if self.drift and (host.life == 0 or self.rng.random() < 0.5):
-            host.offset, host.rate = self.rng.uniform(0.0, 1e5), self.rng.uniform(0.995, 1.005)
+        if self.drift and (host.incarnation == 0 or self.rng.random() < 0.5):
+            host.clock_offset_s, host.clock_rate = self.rng.uniform(0.0, 1e5), self.rng.uniform(0.995, 1.005)
         durable = host.disk.load()
         host.disk.write(assign_identity(durable, addr, self.founders, bootstrap, self.rng))
-        host.ledger = Ledger()
-        host.heard, host.round_trip = {}, {}
+        host.state_machine = ModelStateMachine()
+        host.received_sent_at, host.confirmed_sent_at = {}, {}
         contacts = [other for other in self.hosts if other != addr]
         host.node = self.node_class(
             Voter(durable.id, addr),
             durable,
-            host.ledger,
+            host.state_machine,
             self.rng,
             self.timing,
             tolerated_failures=self.survive,
             bootstrap_addrs=contacts,
         )
-        host.newest, host.jumped = host.node.last_slot if host.node.voters else -1, 0
-        if host.node.last_slot and host.ledger.ver != self.vers.get(host.node.last_slot):
-            raise Violation(f"{addr} restarts in a state of its own after slot {host.node.last_slot}")
+        host.last_applied_slot, host.restored_slot = host.node.last_slot if host.node.voters else -1, 0
+        if host.node.last_slot and host.state_machine.ver != self.versions.get(host.node.last_slot):
+            raise Violation(
+                f"{addr} restarts with a state that differs from the state chosen at slot {host.node.last_slot}"
+            )
         if durable.highest_chosen_slot <= host.node.last_slot:
-            host.disk.damaged = False
-        elif not host.disk.damaged:
+            host.disk.has_missing_rows = False
+        elif not host.disk.has_missing_rows:
             raise Violation(
                 f"{addr} restarts at slot {host.node.last_slot} and had {durable.highest_chosen_slot} on its disk"
             )
-        host.tick_at = -1.0
-        host.disk_free = self.now
-        self._call(host, host.node.tick)
+        host.scheduled_tick_at = -1.0
+        host.disk_free_at = self.now
+        self._run_node(host, host.node.tick)
 
     def crash(self, addr: str, lose_disk: bool = False) -> None:
-        """End a machine at once; of what is not synced, some first part may have reached the disk."""
+        """Kill a machine; a random prefix of its unsynced writes reaches the disk."""
         host = self.hosts[addr]
-        host.life += 1
-        for persist in host.queue[: self.rng.randint(0, len(host.queue))]:
-            if not host.disk.refuses:
+        host.incarnation += 1
+        for persist in host.pending_writes[: self.rng.randint(0, len(host.pending_writes))]:
+            if not host.disk.fails_writes:
                 host.disk.write(persist.records)
-        host.queue, host.waiting = [], []
-        host.frozen = host.disk_hangs = False
+        host.pending_writes, host.deferred = [], []
+        host.frozen = host.is_disk_hung = False
         host.node = None
         if lose_disk:
             host.disk = Disk()
 
     def crash_all(self) -> None:
-        """All lose power at once, and come back within a second."""
+        """All machines lose power at once, and restart within a second."""
         for host in self.hosts.values():
             if host.node is not None:
                 self.crash(host.addr)
             self.after(self.rng.uniform(0.1, 1.0), self.start, host.addr)
 
     def freeze(self, addr: str) -> None:
-        """Have a process stand still; what comes for it waits, and its steady clock goes on."""
+        """Suspend a process: its events are deferred while its monotonic clock continues."""
         self.hosts[addr].frozen = self.hosts[addr].node is not None
 
-    def disk_on(self, addr: str) -> None:
-        """A disk that hangs, or is behind, goes on at once."""
+    def resume_disk(self, addr: str) -> None:
+        """Let a disk that hangs or has a backlog continue at once."""
         host = self.hosts[addr]
-        host.disk.hangs_until, host.disk_hangs = self.now, True
-        self._disk_again(host, host.life)
+        host.disk.hangs_until, host.is_disk_hung = self.now, True
+        self._resume_hung_disk(host, host.incarnation)
 
     def thaw(self, addr: str, drop: bool = False) -> None:
-        """Let a process go on, with the messages that came meanwhile or without; timers come in between."""
+        """Resume a process. Deferred timers run before or after the other events; `drop` discards messages."""
         host = self.hosts[addr]
         if not host.frozen:
             return
         host.frozen = False
-        waiting, host.waiting = host.waiting, []
-        timers = [each for each in waiting if each[0] == self._tick]
-        others = [each for each in waiting if each[0] != self._tick]
+        deferred, host.deferred = host.deferred, []
+        timers = [each for each in deferred if each[0] == self._tick]
+        others = [each for each in deferred if each[0] != self._tick]
         if drop:
             others = [each for each in others if each[0] != self._deliver]
         at = self.rng.choice((0, len(others)))
-        for what, args in others[:at] + timers + others[at:]:
-            what(*args)
+        for callback, args in others[:at] + timers + others[at:]:
+            callback(*args)
 
     def may_lose(self, *addrs: str) -> bool:
-        """Whether what is chosen outlives the loss of these disks, by no more than the number of copies."""
+        """Whether enough copies of every chosen entry remain if these disks are lost."""
         last = max(self.chosen, default=0)
         for slot in (last, last + 1):
             voters = self.voters[max(slot, 1) - 1]
-            need = len(voters) // 2 + 1
-            left = [v for v in voters if v.addr not in addrs and self.hosts[v.addr].disk.content.id == v.id]
-            without = [
-                v for v in left if slot in self.chosen and not self.hosts[v.addr].disk.holds(slot, self.chosen[slot])
+            majority = len(voters) // 2 + 1
+            remaining = [v for v in voters if v.addr not in addrs and self.hosts[v.addr].disk.content.id == v.id]
+            lacking = [
+                v
+                for v in remaining
+                if slot in self.chosen and not self.hosts[v.addr].disk.holds(slot, self.chosen[slot])
             ]
-            if len(left) < need or len(without) >= need:
+            if len(remaining) < majority or len(lacking) >= majority:
                 return False
         return True
 
-    def _call(self, host: Host, what: Callable[..., list[Effect]], *args: Any) -> None:
+    def _run_node(self, host: Host, callback: Callable[..., list[Effect]], *args: Any) -> None:
         try:
-            effects = what(*args, host.time(self.now))
+            effects = callback(*args, host.time(self.now))
         except ConsensusError as error:
             raise Violation(str(error)) from error
-        self._carry(host, effects)
+        self._run_effects(host, effects)
 
-    def _carry(self, host: Host, effects: list[Effect]) -> None:
+    def _run_effects(self, host: Host, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case Send(addr=addr, message=message):
                     self._send(host, addr, message)
                 case Persist():
-                    host.queue.append(effect)
+                    host.pending_writes.append(effect)
                     self._write(host, effect)
                 case NotifyApplied(slot=slot, entry=entry):
                     self._check_applied(host, slot, entry)
-                case CompleteRequest(request_id=ticket, outcome=outcome):
-                    self._check_answer(host, ticket, outcome)
-        if host.node is not None and host.node.next_tick != host.tick_at:
-            host.tick_at = host.node.next_tick
-            delay = max(0.0, host.tick_at - host.time(self.now)) / host.rate
-            # A clock far from zero is coarse: without a little more, the tick could come before its time.
-            delay += 1e-9 * (host.rate != 1.0)
-            self.after(delay, self._tick, host, host.life, host.tick_at)
-
-    def _tick(self, host: Host, life: int, at: float) -> None:
-        if host.life == life and host.tick_at == at:
+                case CompleteRequest(request_id=request_id, outcome=outcome):
+                    self._check_answer(host, request_id, outcome)
+        if host.node is not None and host.node.next_tick != host.scheduled_tick_at:
+            host.scheduled_tick_at = host.node.next_tick
+            delay = max(0.0, host.scheduled_tick_at - host.time(self.now)) / host.clock_rate
+            # Floating-point rounding of a clock with a large offset must not make the tick early.
+            delay += 1e-9 * (host.clock_rate != 1.0)
+            self.after(delay, self._tick, host, host.incarnation, host.scheduled_tick_at)
+
+    def _tick(self, host: Host, incarnation: int, at: float) -> None:
+        if host.incarnation == incarnation and host.scheduled_tick_at == at:
             if host.frozen:
-                host.waiting.append((self._tick, (host, life, at)))
+                host.deferred.append((self._tick, (host, incarnation, at)))
                 return
-            host.tick_at = -1.0
-            host.restless = host.restless + 1 if host.ticked == self.now else 0
-            host.ticked = self.now
-            if host.restless > 100:
-                raise Violation(f"{host.addr} asks for ticks without end")
-            self._call(host, host.node.tick)
-            # Rounded, the clock may be a little short of the moment, or past it.
-            if host.life == life and host.node.next_tick == at <= host.time(self.now):
+            host.scheduled_tick_at = -1.0
+            host.ticks_at_same_time = host.ticks_at_same_time + 1 if host.last_tick_at == self.now else 0
+            host.last_tick_at = self.now
+            if host.ticks_at_same_time > 100:
+                raise Violation(f"{host.addr} requests ticks in an endless loop")
+            self._run_node(host, host.node.tick)
+            # Because of rounding, the clock may be slightly before or after the due time.
+            if host.incarnation == incarnation and host.node.next_tick == at <= host.time(self.now):
                 raise Violation(f"{host.addr} does nothing about a timer that is due at {at}")
 
     def _write(self, host: Host, persist: Persist) -> None:
-        host.disk_free = max(self.now, host.disk_free) + self.sync * self.rng.uniform(0.5, 1.5)
-        self.after(host.disk_free - self.now, self._synced, host, host.life, persist)
-
-    def _disk_again(self, host: Host, life: int) -> None:
-        """A disk that hung does what has waited for it, in order."""
-        if host.life == life and host.disk_hangs:
-            host.disk_hangs, host.disk_free = False, self.now
-            for persist in host.queue:
+        host.disk_free_at = max(self.now, host.disk_free_at) + self.sync_s * self.rng.uniform(0.5, 1.5)
+        self.after(host.disk_free_at - self.now, self._synced, host, host.incarnation, persist)
+
+    def _resume_hung_disk(self, host: Host, incarnation: int) -> None:
+        """Restart the pending writes of a disk that hung, in order."""
+        if host.incarnation == incarnation and host.is_disk_hung:
+            host.is_disk_hung, host.disk_free_at = False, self.now
+            for persist in host.pending_writes:
                 self._write(host, persist)
 
-    def _synced(self, host: Host, life: int, persist: Persist) -> None:
-        if host.life == life and host.frozen:
-            host.waiting.append((self._synced, (host, life, persist)))
+    def _synced(self, host: Host, incarnation: int, persist: Persist) -> None:
+        if host.incarnation == incarnation and host.frozen:
+            host.deferred.append((self._synced, (host, incarnation, persist)))
             return
-        if host.life != life or not host.queue or host.queue[0] is not persist:
+        if host.incarnation != incarnation or not host.pending_writes or host.pending_writes[0] is not persist:
             return
-        if host.disk.hangs_until > self.now and not host.disk_hangs:
-            host.disk_hangs = True
-            self.after(host.disk.hangs_until - self.now, self._disk_again, host, life)
-        if host.disk_hangs:
+        if host.disk.hangs_until > self.now and not host.is_disk_hung:
+            host.is_disk_hung = True
+            self.after(host.disk.hangs_until - self.now, self._resume_hung_disk, host, incarnation)
+        if host.is_disk_hung:
             return
-        if host.disk.refuses:
-            failed, host.queue = host.queue, []
+        if host.disk.fails_writes:
+            failed, host.pending_writes = host.pending_writes, []
             for each in failed:
                 host.node.persist_failed(each, host.time(self.now))
             return
-        host.queue.pop(0)
+        host.pending_writes.pop(0)
         host.disk.write(persist.records)
-        self._carry(host, persist.then)
+        self._run_effects(host, persist.then)
 
     def _send(self, host: Host, addr: str, message: Message) -> None:
         if addr == host.addr:
-            self.after(0.0, self._deliver, host.addr, addr, host.life, message)
+            self.after(0.0, self._deliver, host.addr, addr, host.incarnation, message)
             return
         if addr in self.hosts:
-            stamp = (host.node.me.id, self.now, host.heard.get(addr, -1.0))
-            self.carry(self._deliver, host.addr, addr, None, encode(message), stamp)
+            metadata = (host.node.me.id, self.now, host.received_sent_at.get(addr, -1.0))
+            self.transmit(self._deliver, host.addr, addr, None, encode(message), metadata)
 
     def _deliver(
         self,
         sender: str,
         addr: str,
-        life: int | None,
+        incarnation: int | None,
         data: Any,
-        stamp: tuple[str, float, float] | None = None,
+        metadata: tuple[str, float, float] | None = None,
     ) -> None:
         host = self.hosts[addr]
-        if host.node is None or (life is not None and host.life != life):
+        if host.node is None or (incarnation is not None and host.incarnation != incarnation):
             return
         if frozenset((sender, addr)) in self.cut or (sender, addr) in self.one_way:
             return
         if host.frozen:
-            host.waiting.append((self._deliver, (sender, addr, life, data, stamp)))
+            host.deferred.append((self._deliver, (sender, addr, incarnation, data, metadata)))
             return
-        if stamp is not None:
-            name, sent, echo = stamp
-            host.heard[sender] = max(sent, host.heard.get(sender, sent))
-            host.round_trip[name] = max(echo, host.round_trip.get(name, echo))
-            self._teller = (sender, sent)
-        self._call(host, host.node.handle, sender, data if life is not None else decode(data))
-        self._teller = ("", -1.0)
+        if metadata is not None:
+            name, sent, confirmed = metadata
+            host.received_sent_at[sender] = max(sent, host.received_sent_at.get(sender, sent))
+            host.confirmed_sent_at[name] = max(confirmed, host.confirmed_sent_at.get(name, confirmed))
+            self._current_sender = (sender, sent)
+        self._run_node(host, host.node.handle, sender, data if incarnation is not None else decode(data))
+        self._current_sender = ("", -1.0)
 
-    # What operators do
+    # Operators
 
-    def submit(self, addr: str, ticket: Any, order: Order, patience: float | None = None) -> None:
+    def submit(self, addr: str, request_id: Any, change: ChangeRequest, timeout_s: float | None = None) -> None:
         """An operator sends a change to a machine."""
         host = self.hosts[addr]
         if host.frozen:
-            host.waiting.append((self.submit, (addr, ticket, order, patience)))
+            host.deferred.append((self.submit, (addr, request_id, change, timeout_s)))
         elif host.node is not None:
-            self._calls[ticket] = _Call(order, self.now, host.node.last_slot, 0)
-            judge = order.judge(f"{order.ver}{order.content}/{ticket}")
-            self._call(host, lambda now: host.node.submit(ticket, judge, now, patience))
+            self._open_calls[request_id] = _Call(change, self.now, host.node.last_slot, 0)
+            builder = change.builder(f"{change.ver}{change.content}/{request_id}")
+            self._run_node(host, lambda now: host.node.submit(request_id, builder, now, timeout_s))
 
-    def read(self, addr: str, ticket: Any) -> None:
-        """An operator asks a machine for the newest configuration."""
+    def read(self, addr: str, request_id: Any) -> None:
+        """An operator reads the newest configuration from a machine."""
         host = self.hosts[addr]
         if host.frozen:
-            host.waiting.append((self.read, (addr, ticket)))
+            host.deferred.append((self.read, (addr, request_id)))
         elif host.node is not None:
-            newest = max(self.acknowledged.values(), default=0)
-            self._calls[ticket] = _Call(None, self.now, host.node.last_slot, newest)
-            self._call(host, host.node.read, ticket)
+            newest = max(self.acknowledged_slots.values(), default=0)
+            self._open_calls[request_id] = _Call(None, self.now, host.node.last_slot, newest)
+            self._run_node(host, host.node.read, request_id)
 
-    # What must hold
+    # Invariants
 
     def _check_applied(self, host: Host, slot: int, entry: Entry | None) -> None:
-        if slot <= host.newest or (entry is not None and slot != host.newest + 1):
-            raise Violation(f"{host.addr} went from slot {host.newest} to {slot}")
-        host.newest = slot
-        host.ever = max(host.ever, slot)
+        if slot <= host.last_applied_slot or (entry is not None and slot != host.last_applied_slot + 1):
+            raise Violation(f"{host.addr} went from slot {host.last_applied_slot} to {slot}")
+        host.last_applied_slot = slot
+        host.highest_slot_ever = max(host.highest_slot_ever, slot)
         if entry is None:
-            host.jumped = slot
+            host.restored_slot = slot
         elif slot not in self.chosen:
             self._choose(slot, entry)
         elif self.chosen[slot] != entry:
             raise Violation(f"slot {slot} has two entries")
         if slot == host.node.last_slot:
-            if host.ledger.ver != self.vers[slot] or host.node.voters != self.voters[slot]:
-                raise Violation(f"{host.addr} is in a state of its own after slot {slot}")
+            if host.state_machine.ver != self.versions[slot] or host.node.voters != self.voters[slot]:
+                raise Violation(f"{host.addr} has a state that differs from the state chosen at slot {slot}")
 
     def _choose(self, slot: int, entry: Entry) -> None:
-        """Note what is chosen at a slot, from the first who applies it."""
+        """Record the entry chosen at a slot when the first machine applies it."""
         self.chosen[slot] = entry
         is_change, is_voters = isinstance(entry, ConfigurationEntry), isinstance(entry, VotersEntry)
-        self.vers[slot] = entry.ver if is_change else self.vers[slot - 1]
+        self.versions[slot] = entry.ver if is_change else self.versions[slot - 1]
         self.voters[slot] = entry.voters if is_voters else self.voters[slot - 1]
         if not is_change:
             return
-        if entry.digest in self.refused:
-            raise Violation(f"{entry.digest} was refused and is in force")
-        if self.taken_on.setdefault(entry.parent, entry.digest) != entry.digest:
-            raise Violation(f"two changes on {entry.parent} were taken")
-        if self.taken_at.setdefault(entry.digest, slot) != slot:
-            raise Violation(f"{entry.digest} was taken twice")
-
-    def _check_answer(self, host: Host, ticket: Any, outcome: Any) -> None:
-        self.answers[ticket] = outcome
+        if entry.digest in self.refused_digests:
+            raise Violation(f"{entry.digest} was refused and is chosen")
+        if self.digest_by_parent.setdefault(entry.parent, entry.digest) != entry.digest:
+            raise Violation(f"two changes with parent {entry.parent} were chosen")
+        if self.slot_by_digest.setdefault(entry.digest, slot) != slot:
+            raise Violation(f"{entry.digest} was chosen twice")
+
+    def _check_answer(self, host: Host, request_id: Any, outcome: Any) -> None:
+        self.answers[request_id] = outcome
         self.outcomes[outcome if isinstance(outcome, str) else _OUTCOME_LABELS[type(outcome)]] += 1
-        call = self._calls.pop(ticket)
-        order = call.order
+        call = self._open_calls.pop(request_id)
+        change = call.order
         if isinstance(outcome, Committed | ReadReady) or outcome in (SAME, STALE):
-            self._check_contact(host, call, outcome)
+            self._check_quorum_contact(host, call, outcome)
         if isinstance(outcome, ReadReady):
             if outcome.slot < call.acknowledged:
-                raise Violation(f"a read saw slot {outcome.slot}, {call.acknowledged} was acknowledged")
-            missing = [v for v, slot in self.acknowledged.items() if slot <= call.acknowledged]
-            if any(host.ledger.taken.get(ver) != self.confirmed[ver] for ver in missing):
-                raise Violation("a read lacks what was acknowledged")
+                raise Violation(f"a read returned slot {outcome.slot} after slot {call.acknowledged} was acknowledged")
+            missing = [v for v, slot in self.acknowledged_slots.items() if slot <= call.acknowledged]
+            if any(host.state_machine.applied_digests.get(ver) != self.acknowledged_digests[ver] for ver in missing):
+                raise Violation("a read lacks an acknowledged change")
         elif isinstance(outcome, Committed) or outcome == SAME:
             slot = outcome.slot if isinstance(outcome, Committed) else host.node.last_slot
-            if self.taken_at.get(order.digest, slot + 1) > slot:
-                raise Violation(f"{order.digest} was acknowledged and is not chosen")
-            if self.taken_on[order.parent] != order.digest:
-                raise Violation(f"two changes on {order.parent} were taken")
-            if self.confirmed.setdefault(order.ver, order.digest) != order.digest:
-                raise Violation(f"two contents under number {order.ver} were acknowledged")
-            self.acknowledged.setdefault(order.ver, slot)
-            self.answered_by.setdefault(order.digest, host.addr)
+            if self.slot_by_digest.get(change.digest, slot + 1) > slot:
+                raise Violation(f"{change.digest} was acknowledged and is not chosen")
+            if self.digest_by_parent[change.parent] != change.digest:
+                raise Violation(f"two changes with parent {change.parent} were chosen")
+            if self.acknowledged_digests.setdefault(change.ver, change.digest) != change.digest:
+                raise Violation(f"two different changes with version {change.ver} were acknowledged")
+            self.acknowledged_slots.setdefault(change.ver, slot)
+            self.answered_by.setdefault(change.digest, host.addr)
             if self.all_crash_at_ack:
                 self.all_crash_at_ack = False
                 self.after(0.0, self.crash_all)
         elif outcome == STALE:
-            self.refused.add(order.digest)
-            if self.confirmed.get(order.ver) == order.digest:
-                raise Violation(f"{order.digest} was acknowledged, and refused when it was sent again")
-            if order.digest in self.taken_at:
-                raise Violation(f"{order.digest} was refused and is in force")
+            self.refused_digests.add(change.digest)
+            if self.acknowledged_digests.get(change.ver) == change.digest:
+                raise Violation(f"{change.digest} was acknowledged, and refused when it was sent again")
+            if change.digest in self.slot_by_digest:
+                raise Violation(f"{change.digest} was refused and is chosen")
 
-    def _check_contact(self, host: Host, call: _Call, outcome: Any) -> None:
-        """An answer needs a round trip, begun since the call, to a majority of the voters of one slot.
+    def _check_quorum_contact(self, host: Host, call: _Call, outcome: Any) -> None:
+        """An answer needs a round trip, begun since the request, to a majority of the voters of one slot.
 
-        That an entry was taken may also be told by a machine that knows its slot: the entry came up after
-        the call, so whoever knows it as chosen has it from a majority that was asked since.
+        A machine may also learn from another one that its entry was chosen: the entry was proposed after the
+        request, so the other machine learned it from a majority that was asked since then.
         """
-        teller, sent = self._teller
-        if isinstance(outcome, Committed) and sent >= call.since and self.hosts[teller].ever >= outcome.slot:
+        sender, sent = self._current_sender
+        if (
+            isinstance(outcome, Committed)
+            and sent >= call.since
+            and self.hosts[sender].highest_slot_ever >= outcome.slot
+        ):
             return
         seen: Collection[Voter] = ()
         for slot in range(call.last, host.node.last_slot + 1):
             if self.voters[slot] is seen:
                 continue
             seen = self.voters[slot]
-            met = sum(
-                voter.id == host.node.me.id or host.round_trip.get(voter.id, -1.0) >= call.since for voter in seen
+            reached = sum(
+                voter.id == host.node.me.id or host.confirmed_sent_at.get(voter.id, -1.0) >= call.since
+                for voter in seen
             )
-            if 2 * met > len(seen):
+            if 2 * reached > len(seen):
                 return
-        raise Violation(f"{host.addr} answered {outcome} and had met no majority since the call")
+        raise Violation(f"{host.addr} answered {outcome} without a round trip to a majority since the request")
--- a/crowseam/model_checks/callers/__init__.py
+++ b/crowseam/model_checks/callers/__init__.py
@@ -1,1 +1,1 @@
-"""Model check of who is answered."""
+"""Model check of request and response matching, over the real gateway and controllers."""
--- a/crowseam/model_checks/callers/check.py
+++ b/crowseam/model_checks/callers/check.py
@@ -1,21 +1,20 @@
-"""Model check of who is answered: scripted peers before the real gateway and the real controllers.
-
-`run` plays seeded schedules on virtual time and links; every fourth is a sweep, every fourth of the
-control side.  Servers, clients, callers and the gateway's controller are scripts (`callers.scripted`): they
-answer late, twice, in part, with another's id, with none, with bytes that are no answer; they fall silent,
-close or reset at any byte, or close just as the next request comes.  Between them is the code that is
-deployed.  Watched is that
-
-- a client gets the whole answer to its own request or none: no success is another's, cut short or doubled,
-  and no byte comes that belongs to no request;
-- what is `unsafe` is run by all servers together at most once for each try of its client, what is `safe`, and
-  whatever is turned away, comes to servers at most as often as its route says;
-- a status that promises that a request has not run is given to none that a server has run, then or later;
-- what the reserve hands out counts once, for the tenant that it was asked for, in the life of the gateway that
-  asked;
-- an answer of the control side is to the call in whose turn it comes, and what it says holds.
-
-A sweep plays every byte of one message with one fault; which it is goes by the seed.
+"""Model check of request and response matching: scripted peers of the real gateway and the real controllers.
+
+`run` runs seeded schedules on virtual time and links; every fourth is a sweep, and every fourth is of controllers.
+Servers, clients, callers and the gateway's controller are scripts (`callers.scripted`): they answer late, twice,
+partially, with the id of another request or without one, or with garbage; they fall silent, close or reset the
+connection at any byte, or close it as the next request arrives. Checked is that
+
+- a client gets the complete answer to its own request or none: no success belongs to another request, is truncated
+  or duplicated, and no unsolicited bytes arrive;
+- an `unsafe` request is run at most once by all servers together for each attempt of its client, and a `safe` or
+  refused one reaches servers at most as often as its route allows;
+- a status that promises that a request has not run is only sent if no server runs the request, then or later;
+- a grant from the reserve counts once, for the tenant that it was requested for, in the gateway process that
+  requested it;
+- an answer of a controller belongs to the call that is next in order, and its content is true.
+
+A sweep applies one fault at each byte of a message; the seed selects the fault and the message.
 All times are seconds of virtual time.
 """
 
@@ -32,113 +31,113 @@
 from crowseam.gateway import daemon
 from crowseam.model_checks.callers.mutants import mutants
 from crowseam.model_checks.callers.scripted import (
+    CLIENT_TIME_LEFT_S,
     CONTROLLER,
     FAULTS,
+    GARBAGE,
     GATEWAY,
-    LARGE,
-    LEFT,
-    NOISE,
+    LARGE_BODY_BYTES,
     SERVERS,
-    Asking,
-    CallerEnd,
-    ClientEnd,
+    Call,
+    CallerConnection,
+    ClientConnection,
     Plan,
-    Registrar,
-    Scene,
-    ServerEnd,
-    Teller,
-    drawn,
-    request,
+    ScriptedController,
+    ScriptedGateway,
+    ScriptedWorld,
+    ServerConnection,
+    build_request,
+    random_plan,
 )
 from crowseam.model_checks.schedules import Report, Violation, play
 from crowseam.simulator.memory_controller import MemoryController
 from crowseam.simulator.world.disk import DiskImage
 from crowseam.simulator.world.link_faults import LinkFault
-from crowseam.simulator.world.patches import simulated_environment as worn
+from crowseam.simulator.world.patches import simulated_environment
 from fennelpoint.net.flow import STREAM_STALL_TIMEOUT_S
 
-STEPS = 40  # requests, or calls, of a random schedule
-SWEEP_EACH = 4  # one schedule of so many is a sweep, one is of the control side
+STEPS = 40  # requests or calls of a random schedule
+SWEEP_INTERVAL = 4  # of this many schedules, one is a sweep and one is of controllers
 CALLS = ("unknown", "heartbeat", "drain", "drain", "leave", "retire", "look", "look", "read", "change")
-STRIDE = 8  # a sweep plays each so-manieth byte; the seed says which
+STRIDE = 8  # a sweep covers every eighth byte, starting from one selected by the seed
 
 
-# A schedule before the gateway
+# Schedules of the gateway
 
 
-class BeforeGateway:
+class GatewaySchedule:
     """The real gateway between scripted clients, servers and a scripted controller."""
 
     def __init__(self, seed: int, steps: int) -> None:
         self.seed, self.steps = seed, steps
-        scene = self.world = Scene(seed)
-        self.rng = scene.random("schedule")
-        self.plans: dict[str, Plan] = {}  # by attempt, or by (server, attempt) once drawn
-        self.drawn: dict[tuple[str, str], Plan] = {}
-        self.registrar: Registrar | None = None
+        world = self.world = ScriptedWorld(seed)
+        self.rng = world.random("schedule")
+        self.plan_by_attempt: dict[str, Plan] = {}
+        self.random_plans: dict[tuple[str, str], Plan] = {}  # by (server, attempt)
+        self.controller: ScriptedController | None = None
         self.daemon: daemon.Process | None = None
-        self.lives = 0
-        self.lent: Counter = Counter()
-        self.ends: list[ClientEnd] = []
-        self.clients = scene.network.process("clients", "10.9.0.1")
-        self.kinds = ("safe", "safe", "once", "once", "kept")
-        self.heavy = self.rng.random() < 0.15
+        self.start_count = 0
+        self.granted_requests: Counter = Counter()
+        self.connections: list[ClientConnection] = []
+        self.clients = world.network.process("clients", "10.9.0.1")
+        self.route_kinds = ("safe", "safe", "once", "once", "kept")
+        self.has_large_answers = self.rng.random() < 0.15
 
     def plan(self, server: str, attempt: str) -> Plan:
-        """What a server does with an attempt: as told, else as drawn, the same each time it is asked."""
-        if (told := self.plans.get(attempt)) is not None:
-            return told
-        if (server, attempt) not in self.drawn:
-            plan = drawn(self.rng)
-            if self.heavy and self.rng.random() < 0.7:
-                # Large answers that take long: two attempts' are on their way at once.
-                plan = Plan(after=self.rng.choice((0.0, 0.1)), size=2 * LARGE, pieces=5, pause=0.1)
-            self.drawn[server, attempt] = plan
-        return self.drawn[server, attempt]
+        """The plan set for an attempt, else a random one that stays the same for a server and an attempt."""
+        if (planned := self.plan_by_attempt.get(attempt)) is not None:
+            return planned
+        if (server, attempt) not in self.random_plans:
+            plan = random_plan(self.rng)
+            if self.has_large_answers and self.rng.random() < 0.7:
+                # Large, slow answers, so that the answers to two attempts arrive concurrently.
+                plan = Plan(after=self.rng.choice((0.0, 0.1)), size=2 * LARGE_BODY_BYTES, pieces=5, pause=0.1)
+            self.random_plans[server, attempt] = plan
+        return self.random_plans[server, attempt]
 
     def play(self) -> None:
-        """Play it to its end; raises Violation."""
-        with worn(self.world, self.world.say):
-            self._begin()
+        """Run it to its end; raises Violation."""
+        with simulated_environment(self.world, self.world.on_log_event):
+            self._start_machines()
             self.world.run(0.6)
             if self.daemon.reader.table is None:
                 raise Violation("the gateway has no configuration")
-            self._acts()
-            self.world.settle()
-            self._settle_gateway()
-        self._settle_draws()
-
-    def _settle_gateway(self) -> None:
-        """Once all clients have gone and all time is up, the gateway holds nothing for anybody."""
-        for end in self.ends:
-            if end.usable:
-                end.leave()
-        one = self.daemon.gateway
+            self._run_actions()
+            self.world.check_rules()
+            self._check_gateway_idle()
+        self._check_draws()
+
+    def _check_gateway_idle(self) -> None:
+        """Check that the gateway holds no request, id or buffer once all clients have left and timeouts have passed."""
+        for connection in self.connections:
+            if connection.usable:
+                connection.disconnect()
+        gateway = self.daemon.gateway
         for span in (2.0, STREAM_STALL_TIMEOUT_S + 1.0):
-            # A large body whose peer says nothing more is waited for longer than a client waits.
+            # The timeout of a stalled large body is longer than the deadline of a client.
             self.world.run(self.world.now + span)
-            held = one.in_flight or one.open_ids or one.backends.budget.used
+            held = gateway.in_flight or gateway.open_ids or gateway.backends.budget.used
             if not held:
                 break
         if held:
             raise Violation(
-                f"the gateway still holds {len(one.in_flight)} requests, {len(one.open_ids)} ids and "
-                f"{one.backends.budget.used} bytes"
+                f"the gateway still holds {len(gateway.in_flight)} requests, {len(gateway.open_ids)} ids and "
+                f"{gateway.backends.budget.used} bytes"
             )
 
-    def _begin(self) -> None:
-        scene = self.world
+    def _start_machines(self) -> None:
+        world = self.world
         for at, name in enumerate(SERVERS):
-            process = scene.network.process(name, f"10.1.0.{at + 1}")
-            scene.network.listen(process, lambda name=name: ServerEnd(scene, name, self.plan), process.ip, 8080)
-        self.registrar = Registrar(scene)
+            process = world.network.process(name, f"10.1.0.{at + 1}")
+            world.network.listen(process, lambda name=name: ServerConnection(world, name, self.plan), process.ip, 8080)
+        self.controller = ScriptedController(world)
         self.start()
 
     def start(self) -> None:
-        """The gateway starts, as a new life where it ran before."""
-        self.lives += 1
-        # Clocks of later lives say more, as those of a machine do.
-        process = self.world.network.process(f"gateway/{self.lives}", GATEWAY, 0.00002, offset=1000.0)
+        """Start a new gateway process."""
+        self.start_count += 1
+        # The clock of the machine continues across restarts.
+        process = self.world.network.process(f"gateway/{self.start_count}", GATEWAY, 0.00002, offset=1000.0)
         self.process = process
         settings = settings_file.Settings(
             hostname="d",
@@ -153,235 +152,246 @@
         self.world.schedule(self.world.now, process, self._start, (process, settings))
 
     def _start(self, process: Any, settings: settings_file.Settings) -> None:
-        self.daemon = one = daemon.Process(process.loop, settings, self.world.random(f"gateway/{self.lives}"))
-        life, lend = one.controller_session.incarnation, one.gateway.admission.add_reserve_grant
+        self.daemon = gateway_daemon = daemon.Process(
+            process.loop, settings, self.world.random(f"gateway/{self.start_count}")
+        )
+        incarnation, add_grant = (
+            gateway_daemon.controller_session.incarnation,
+            gateway_daemon.gateway.admission.add_reserve_grant,
+        )
 
-        def lent(tenant: str, count: int) -> None:
-            self.lent[life, tenant] += count
-            lend(tenant, count)
+        def count_grant(tenant: str, count: int) -> None:
+            self.granted_requests[incarnation, tenant] += count
+            add_grant(tenant, count)
 
-        one.gateway.admission.add_reserve_grant = lent
-        process.loop.create_task(one.start())
+        gateway_daemon.gateway.admission.add_reserve_grant = count_grant
+        process.loop.create_task(gateway_daemon.start())
 
     def kill(self) -> None:
-        """The gateway is killed, and starts again a while later."""
+        """Kill the gateway, and restart it after a while."""
         self.world.network.process_ended(self.process)
         self.world.later(self.rng.choice((0.01, 0.2)), self.start)
 
     def stop(self) -> None:
-        """The gateway is told to stop, ends once nobody waits, or its grace is over, and starts again."""
-        process, one = self.process, self.daemon
+        """Stop the gateway, which drains until its grace period ends, and restart it."""
+        process, gateway_daemon = self.process, self.daemon
 
         def ended(_: object) -> None:
-            one.close()
+            gateway_daemon.close()
             self.world.network.process_ended(process)
             self.world.later(0.01, self.start)
 
-        process.loop.call_soon(one.stop)
-        one.stopped.add_done_callback(ended)
+        process.loop.call_soon(gateway_daemon.stop)
+        gateway_daemon.stopped.add_done_callback(ended)
 
-    def _settle_draws(self) -> None:
-        for who, count in self.lent.items():
-            if count > (units := self.registrar.units(*who)):
-                raise Violation(f"{who[1]} was handed {units} requests out of the reserve and counts {count}")
+    def _check_draws(self) -> None:
+        for who, count in self.granted_requests.items():
+            if count > (granted := self.controller.granted_units(*who)):
+                raise Violation(f"{who[1]} was granted {granted} requests from the reserve, and {count} were counted")
 
     # Requests
 
-    def connect(self, made: Callable[[ClientEnd], None]) -> None:
+    def connect(self, on_connected: Callable[[ClientConnection], None]) -> None:
         """Open a client's connection."""
-        end = ClientEnd(self.world)
-        self.ends.append(end)
+        connection = ClientConnection(self.world)
+        self.connections.append(connection)
         future = self.clients.loop.create_future()
-        future.add_done_callback(lambda f: made(end) if not f.cancelled() and f.exception() is None else None)
-        self.world.network.dial(self.clients, lambda: end, GATEWAY, 8405, future)
+        future.add_done_callback(
+            lambda f: on_connected(connection) if not f.cancelled() and f.exception() is None else None
+        )
+        self.world.network.dial(self.clients, lambda: connection, GATEWAY, 8405, future)
 
-    def send(self, end: ClientEnd, data: bytes, pieces: int = 1) -> None:
-        """Write in pieces, some milliseconds apart."""
+    def send(self, connection: ClientConnection, data: bytes, pieces: int = 1) -> None:
+        """Write data in pieces, two milliseconds apart."""
         size = max(1, -(-len(data) // pieces))
         for number in range(-(-len(data) // size)):
             part = data[number * size : (number + 1) * size]
-            self.world.later(0.002 * number, end.write, part)
+            self.world.later(0.002 * number, connection.write, part)
 
-    def _acts(self) -> None:
+    def _run_actions(self) -> None:
         world, rng = self.world, self.rng
-        walkers = rng.choice((1, 2, 4, 8))
-        if lending := rng.random() < 0.25:
-            self.kinds = ("kept",) * 6 + ("safe",)
-        each = max(1, self.steps // walkers)
-        for _ in range(walkers):
-            world.later(rng.uniform(0.0, 0.1), self._walk, each)
-        if rng.random() < (0.7 if lending else 0.4):
+        client_count = rng.choice((1, 2, 4, 8))
+        if uses_reserve := rng.random() < 0.25:
+            self.route_kinds = ("kept",) * 6 + ("safe",)
+        each = max(1, self.steps // client_count)
+        for _ in range(client_count):
+            world.later(rng.uniform(0.0, 0.1), self._run_caller, each)
+        if rng.random() < (0.7 if uses_reserve else 0.4):
             world.later(rng.uniform(0.1, 1.0), rng.choice((self.kill, self.kill, self.stop)))
         if rng.random() < 0.5:
-            world.later(rng.uniform(0.0, 1.0), self.registrar.drop)
+            world.later(rng.uniform(0.0, 1.0), self.controller.drop_session)
         world.run(world.now + 3.0 + 0.1 * each)
 
-    def _walk(self, left: int) -> None:
-        """A client asks on one connection until that is closed, then on another."""
-        if left > 0:
-            self.connect(lambda end: self._ask(end, left))
+    def _run_caller(self, remaining: int) -> None:
+        """A client sends requests on one connection until it is closed, then on another."""
+        if remaining > 0:
+            self.connect(lambda connection: self._send_requests(connection, remaining))
 
-    def _ask(self, end: ClientEnd, left: int) -> None:
+    def _send_requests(self, connection: ClientConnection, remaining: int) -> None:
         rng, world = self.rng, self.world
-        if left <= 0:
+        if remaining <= 0:
             return
-        if not end.usable:
-            return self._walk(left)
-        count = min(left, rng.choice((1, 1, 1, 2, 4)))
+        if not connection.usable:
+            return self._run_caller(remaining)
+        count = min(remaining, rng.choice((1, 1, 1, 2, 4)))
         data = b""
         for number in range(count):
-            attempt = world.name(rng.choice(self.kinds))
+            attempt = world.new_attempt_id(rng.choice(self.route_kinds))
             expect = count == 1 and rng.random() < 0.15
-            head, body = request(
+            head, body = build_request(
                 attempt,
-                rng.choice((LEFT, LEFT, 0.3)),
+                rng.choice((CLIENT_TIME_LEFT_S, CLIENT_TIME_LEFT_S, 0.3)),
                 rng.choice(("length", "chunked")),
-                rng.choice((0, 0, 0, 300, LARGE)) if number == count - 1 else 0,
+                rng.choice((0, 0, 0, 300, LARGE_BODY_BYTES)) if number == count - 1 else 0,
                 expect,
             )
-            end.asked.append(attempt)
+            connection.outstanding.append(attempt)
             if expect and body:
-                end.held.append(body)
+                connection.pending_bodies.append(body)
                 body = b""
             data += head + body
-        waits = count
-
-        def answered(keep: bool) -> None:
-            nonlocal waits
-            waits -= 1
-            if not waits or not keep:
-                end.answered = lambda keep: None  # each turn is followed by one
-            if not end.usable or not keep:
-                end.left = True
-                world.later(rng.choice((0.0, 0.01)), self._walk, left - count)
-            elif not waits:
-                world.later(rng.choice((0.0, 0.001, 0.004, 0.035, 0.07)), self._ask, end, left - count)
-
-        end.answered = answered
-        act = rng.choice(("stay",) * 9 + ("leave", "half", "part"))
-        if act == "part":
+        unanswered = count
+
+        def on_answer(keep: bool) -> None:
+            nonlocal unanswered
+            unanswered -= 1
+            if not unanswered or not keep:
+                connection.on_answer = lambda keep: None  # continue only once
+            if not connection.usable or not keep:
+                connection.has_left = True
+                world.later(rng.choice((0.0, 0.01)), self._run_caller, remaining - count)
+            elif not unanswered:
+                world.later(
+                    rng.choice((0.0, 0.001, 0.004, 0.035, 0.07)), self._send_requests, connection, remaining - count
+                )
+
+        connection.on_answer = on_answer
+        action = rng.choice(("stay",) * 9 + ("leave", "half", "part"))
+        if action == "part":
             data = data[: rng.randrange(len(data))]
             if rng.random() < 0.3:
-                end.noisy = True
-                world.garbled.update(end.asked)
-                data += NOISE
-        self.send(end, data, rng.choice((1, 1, 2, 6)))
-        if act in ("leave", "part"):
-            world.later(rng.choice((0.003, 0.02, 0.3)), self._leave, end, left - count, answered)
-        elif act == "half":
-            world.later(0.02, lambda: end.transport.write_eof() if end.usable else None)
+                connection.sends_garbage = True
+                world.corrupted.update(connection.outstanding)
+                data += GARBAGE
+        self.send(connection, data, rng.choice((1, 1, 2, 6)))
+        if action in ("leave", "part"):
+            world.later(rng.choice((0.003, 0.02, 0.3)), self._disconnect, connection, remaining - count, on_answer)
+        elif action == "half":
+            world.later(0.02, lambda: connection.transport.write_eof() if connection.usable else None)
 
-    def _leave(self, end: ClientEnd, left: int, turn: Callable[[bool], None]) -> None:
-        if end.usable and end.answered is turn:
-            end.answered = lambda keep: None
-            end.leave(self.rng.random() < 0.5)
-            self._walk(left)
+    def _disconnect(self, connection: ClientConnection, remaining: int, callback: Callable[[bool], None]) -> None:
+        if connection.usable and connection.on_answer is callback:
+            connection.on_answer = lambda keep: None
+            connection.disconnect(self.rng.random() < 0.5)
+            self._run_caller(remaining)
 
 
-class Sweep(BeforeGateway):
-    """Each byte of an answer, or of a request, with one fault; a second request follows on the connection."""
+class Sweep(GatewaySchedule):
+    """One fault at each byte of an answer or a request; a second request follows on the connection."""
 
     def __init__(self, seed: int, stride: int = STRIDE) -> None:
         super().__init__(seed, 0)
-        place = seed // SWEEP_EACH
-        self.fault = FAULTS[place % len(FAULTS)]
-        place //= len(FAULTS)
-        self.kind, place = ("once", "safe")[place % 2], place // 2
-        self.side, place = ("answer", "answer chunked", "request")[place % 3], place // 3
-        self.stride, self.first = stride, place % stride
+        index = seed // SWEEP_INTERVAL
+        self.fault = FAULTS[index % len(FAULTS)]
+        index //= len(FAULTS)
+        self.kind, index = ("once", "safe")[index % 2], index // 2
+        self.side, index = ("answer", "answer chunked", "request")[index % 3], index // 3
+        self.stride, self.first = stride, index % stride
 
     def plan(self, server: str, attempt: str) -> Plan:
-        """As told; what is not the one under fault is answered."""
-        return self.plans.get(attempt) or Plan()
+        """The plan set for an attempt, else a normal answer."""
+        return self.plan_by_attempt.get(attempt) or Plan()
 
-    def _acts(self) -> None:
+    def _run_actions(self) -> None:
         world = self.world
         size = len(
-            ServerEnd(world, "", self.plan).answer(
+            ServerConnection(world, "", self.plan).answer(
                 "once-0001-000000", "once-0001-000000", chunked=self.side != "answer"
             )
         )
         if self.side == "request":
-            size = sum(map(len, request("once-0001-000000")))
+            size = sum(map(len, build_request("once-0001-000000")))
         at = 0.0
         for byte in range(self.first, size + 1, self.stride):
-            # Side by side, so that connections are used in turn by those that fail and those that don't.
-            world.later(at, self.connect, lambda end, byte=byte: self._one(end, byte))
+            # Overlapping, so that failing and normal requests alternate on the connections to servers.
+            world.later(at, self.connect, lambda connection, byte=byte: self._send_one(connection, byte))
             at += 0.04
         world.run(world.now + at + 2.5)
 
-    def _one(self, end: ClientEnd, byte: int) -> None:
+    def _send_one(self, connection: ClientConnection, byte: int) -> None:
         world = self.world
-        attempt, follows = world.name(self.kind), world.name("safe")
-        data = b"".join(request(attempt))
-        end.asked.append(attempt)
+        attempt, follows = world.new_attempt_id(self.kind), world.new_attempt_id("safe")
+        data = b"".join(build_request(attempt))
+        connection.outstanding.append(attempt)
         if self.side == "request":
-            end.transport.write(data[:byte])
+            connection.transport.write(data[:byte])
             if self.fault == "garbage":
-                end.noisy = True
-                world.garbled.add(attempt)
-                end.transport.write(NOISE)
+                connection.sends_garbage = True
+                world.corrupted.add(attempt)
+                connection.transport.write(GARBAGE)
             elif self.fault == "rest late":
-                world.later(0.3, lambda: end.transport.write(data[byte:]) if end.usable else None)
+                world.later(0.3, lambda: connection.transport.write(data[byte:]) if connection.usable else None)
             elif self.fault in ("reset", "close"):
-                world.later(0.0 if byte % 2 else 0.003, end.leave, self.fault == "reset")
+                world.later(0.0 if byte % 2 else 0.003, connection.disconnect, self.fault == "reset")
             return
-        self.plans[attempt] = Plan(
+        self.plan_by_attempt[attempt] = Plan(
             "cut", cut=byte, fault=self.fault, chunked=self.side != "answer", again=0.0 if byte % 2 else 0.004
         )
 
-        def more(keep: bool) -> None:
-            end.answered = lambda keep: None
-            if keep and end.usable:
-                end.asked.append(follows)
-                end.transport.write(b"".join(request(follows)))
+        def send_next(keep: bool) -> None:
+            connection.on_answer = lambda keep: None
+            if keep and connection.usable:
+                connection.outstanding.append(follows)
+                connection.transport.write(b"".join(build_request(follows)))
 
-        end.answered = more
-        end.transport.write(data)
+        connection.on_answer = send_next
+        connection.transport.write(data)
 
 
-# A schedule before the control side
+# Schedules of the controllers
 
 
-class BeforeControl:
-    """The real controllers between scripted callers and a scripted gateway; they are killed, cut off, frozen."""
+class ControllerSchedule:
+    """The real controllers between scripted callers and a scripted gateway; they are killed, cut off and frozen."""
 
     IPS = ("10.0.0.1", "10.0.0.2", "10.0.0.3")
 
     def __init__(self, seed: int, steps: int) -> None:
         self.seed, self.steps = seed, steps
-        scene = self.world = Scene(seed)
-        self.rng = scene.random("schedule")
-        self.callers = scene.network.process("callers", "10.9.0.1")
-        self.disk_images = [DiskImage(scene.random(f"disk_image/{ip}")) for ip in self.IPS]
+        world = self.world = ScriptedWorld(seed)
+        self.rng = world.random("schedule")
+        self.callers = world.network.process("callers", "10.9.0.1")
+        self.disk_images = [DiskImage(world.random(f"disk_image/{ip}")) for ip in self.IPS]
         self.controllers: dict[str, Any] = {}
         self.processes: dict[str, Any] = {}
-        self.lives = Counter()
-        self.had: dict[str, set[tuple[str, str]]] = {}  # by server: what killed controllers held
-        self.acked = self.tried = 0  # versions
-        self.seq = 0
+        self.start_count = Counter()
+        self.states_when_killed: dict[str, set[tuple[str, str]]] = {}  # by server: (controller, phase)
+        self.acknowledged_version = self.last_version = 0
+        self.sequence = 0
         self.busy: dict[str, int] = {}
 
     def play(self) -> None:
         """Play it to its end; raises Violation."""
         world, rng = self.world, self.rng
-        with worn(world, world.say):
+        with simulated_environment(world, world.on_log_event):
             for ip in self.IPS:
                 self.start(ip, True)
-            Teller(world, "teller", "10.8.0.1", 7, self.busy)
+            ScriptedGateway(world, "teller", "10.8.0.1", 7, self.busy)
             world.run(1.5)
             each = max(1, self.steps // 4)
             for _ in range(4):
-                world.later(rng.uniform(0.0, 0.2), self._walk, each)
+                world.later(rng.uniform(0.0, 0.2), self._run_caller, each)
             for _ in range(rng.choice((0, 1, 3))):
                 world.later(rng.uniform(0.1, 2.0), self._trouble)
             world.run(world.now + 6.0)
-            world.settle()
+            world.check_rules()
 
     def start(self, ip: str, bootstrap: bool = False) -> None:
-        """A controller starts, on the disk it had."""
-        self.lives[ip] += 1
-        process = self.processes[ip] = self.world.network.process(f"{ip}/{self.lives[ip]}", ip, 0.00005, offset=100.0)
+        """Start a controller with its existing disk."""
+        self.start_count[ip] += 1
+        process = self.processes[ip] = self.world.network.process(
+            f"{ip}/{self.start_count[ip]}", ip, 0.00005, offset=100.0
+        )
         settings = settings_file.Settings(
             hostname=ip,
             ip=ip,
@@ -396,33 +406,36 @@
         )
 
         def begin() -> None:
-            one = self.controllers[ip] = MemoryController(
-                process, settings, self.disk_images[self.IPS.index(ip)], self.world.random(f"{ip}/{self.lives[ip]}")
+            controller = self.controllers[ip] = MemoryController(
+                process,
+                settings,
+                self.disk_images[self.IPS.index(ip)],
+                self.world.random(f"{ip}/{self.start_count[ip]}"),
             )
-            process.loop.create_task(one.start())
+            process.loop.create_task(controller.start())
 
         process.loop.call_soon(begin)
 
     def _trouble(self) -> None:
         world, rng = self.world, self.rng
         ip = rng.choice(self.IPS)
-        act, span = rng.choice(("kill", "cut", "freeze", "hang")), rng.choice((0.05, 0.3, 0.8))
-        if act == "kill" and len(self.controllers) == len(self.IPS):
-            one = self.controllers.pop(ip)
-            for record in one.registry.records(one.now()):
-                self.had.setdefault(record.id, set()).add((ip, record.phase))
+        action, span = rng.choice(("kill", "cut", "freeze", "hang")), rng.choice((0.05, 0.3, 0.8))
+        if action == "kill" and len(self.controllers) == len(self.IPS):
+            controller = self.controllers.pop(ip)
+            for record in controller.registry.records(controller.now()):
+                self.states_when_killed.setdefault(record.id, set()).add((ip, record.phase))
             world.network.process_ended(self.processes[ip])
-            one.disk.crash()
+            controller.disk.crash()
             world.later(span, self.start, ip)
-        elif act == "cut":
+        elif action == "cut":
             trouble = LinkFault(frozenset([ip]), frozenset(set(self.IPS) - {ip}), cut=True)
             world.network.link_faults.append(trouble)
             world.later(span, self._heal, trouble)
-        elif act == "freeze":
+        elif action == "freeze":
             process = self.processes[ip]
             process.frozen = True
             world.later(span, process.thaw)
-        elif act == "hang":
+        elif action == "hang":
             self.disk_images[self.IPS.index(ip)].hangs_until = world.now + span
 
     def _heal(self, trouble: LinkFault) -> None:
@@ -431,155 +444,163 @@
 
     # Calls
 
-    def _walk(self, left: int) -> None:
-        if left <= 0:
+    def _run_caller(self, remaining: int) -> None:
+        if remaining <= 0:
             return
         world, rng = self.world, self.rng
-        ip, end = rng.choice(self.IPS), CallerEnd(world)
-        made = self.callers.loop.create_future()
+        ip, connection = rng.choice(self.IPS), CallerConnection(world)
+        connected = self.callers.loop.create_future()
 
-        def up(future: asyncio.Future) -> None:
+        def on_connected(future: asyncio.Future) -> None:
             if future.exception() is None:
-                self._ask(end, ip, left)
+                self._send_requests(connection, ip, remaining)
             else:
-                world.later(0.05, self._walk, left - 1)
+                world.later(0.05, self._run_caller, remaining - 1)
 
-        made.add_done_callback(up)
-        world.network.dial(self.callers, lambda: end, ip, 8407, made)
+        connected.add_done_callback(on_connected)
+        world.network.dial(self.callers, lambda: connection, ip, 8407, connected)
 
-    def _ask(self, end: CallerEnd, ip: str, left: int) -> None:
+    def _send_requests(self, connection: CallerConnection, ip: str, remaining: int) -> None:
         world, rng = self.world, self.rng
-        if left <= 0 or not end.usable:
-            return self._walk(left)
-        count = min(left, rng.choice((1, 1, 2, 4, 6)))
-        asked = [self._call(ip) for _ in range(count)]
-        end.asked.extend(asked)
+        if remaining <= 0 or not connection.usable:
+            return self._run_caller(remaining)
+        count = min(remaining, rng.choice((1, 1, 2, 4, 6)))
+        asked = [self._random_call(ip) for _ in range(count)]
+        connection.outstanding.extend(asked)
         data = b"".join(each.data for each in asked)
 
-        def over() -> None:
-            end.over = lambda: None
-            world.later(rng.choice((0.0, 0.01, 0.1)), self._ask, end, ip, left - count)
+        def on_all_answered() -> None:
+            connection.on_all_answered = lambda: None
+            world.later(rng.choice((0.0, 0.01, 0.1)), self._send_requests, connection, ip, remaining - count)
 
-        end.over = over
-        act = rng.choice(("stay",) * 7 + ("leave", "leave", "part", "half"))
-        if act == "part":
+        connection.on_all_answered = on_all_answered
+        action = rng.choice(("stay",) * 7 + ("leave", "leave", "part", "half"))
+        if action == "part":
             data = data[: rng.randrange(len(data))]
             if rng.random() < 0.5:
-                end.noisy = True
-                data += NOISE
+                connection.sends_garbage = True
+                data += GARBAGE
         size = max(1, -(-len(data) // rng.choice((1, 1, 3, 7))))
         for number in range(-(-len(data) // size)):
             part = data[number * size : (number + 1) * size]
-            world.later(0.001 * number, end.write, part)
-        if act in ("leave", "part"):
-            world.later(rng.choice((0.002, 0.006, 0.02, 0.2)), self._leave, end, over)
-        elif act == "half":
-            world.later(0.02, lambda: end.transport.write_eof() if end.usable else None)
-
-    def _leave(self, end: CallerEnd, turn: Callable[[], None]) -> None:
-        if end.over is turn and end.usable:
-            end.transport.reset_on_close = self.rng.random() < 0.5
-            end.transport.abort()
-
-    def _call(self, ip: str) -> Asking:
+            world.later(0.001 * number, connection.write, part)
+        if action in ("leave", "part"):
+            world.later(rng.choice((0.002, 0.006, 0.02, 0.2)), self._disconnect, connection, on_all_answered)
+        elif action == "half":
+            world.later(0.02, lambda: connection.transport.write_eof() if connection.usable else None)
+
+    def _disconnect(self, connection: CallerConnection, callback: Callable[[], None]) -> None:
+        if connection.on_all_answered is callback and connection.usable:
+            connection.transport.reset_on_close = self.rng.random() < 0.5
+            connection.transport.abort()
+
+    def _random_call(self, ip: str) -> Call:
         rng = self.rng
         kind = rng.choice(CALLS)
-        self.seq += 1
-        ident = f"i-{self.seq if kind == 'heartbeat' else rng.randrange(1, max(2, self.seq))}"
+        self.sequence += 1
+        server_id = f"i-{self.sequence if kind == 'heartbeat' else rng.randrange(1, max(2, self.sequence))}"
         if kind == "unknown":
             token = f"{rng.getrandbits(40):010x}"
-            return self._asking(kind, ip, "GET", f"/x/{token}", b"", {404: token.encode()})
+            return self._expect(kind, ip, "GET", f"/x/{token}", b"", {404: token.encode()})
         if kind in ("heartbeat", "drain"):
             phase = "up" if kind == "heartbeat" else "draining"
             body = msgspec.json.encode(
                 {
                     "addr": "10.1.0.1:8080",
                     "summary": {"svc": "s", "ver": "v", "az": "z", "slots": 4},
-                    "stat": {"phase": phase, "seq": self.seq, "warmup_time": "0ms"},
+                    "stat": {"phase": phase, "seq": self.sequence, "warmup_time": "0ms"},
                 }
             )
-            held = self._held(ident, ("draining", "gone")) if kind == "drain" else None
-            return self._asking(kind, ip, "PUT", f"/-/backends/{ident}", body, {200: b"{}"}, held)
+            held = self._check_leaving(server_id, ("draining", "gone")) if kind == "drain" else None
+            return self._expect(kind, ip, "PUT", f"/-/backends/{server_id}", body, {200: b"{}"}, held)
         if kind == "leave":
-            return self._asking(
-                kind, ip, "DELETE", f"/-/backends/{ident}", b"", {200: b"{}"}, self._held(ident, ("gone",))
+            return self._expect(
+                kind,
+                ip,
+                "DELETE",
+                f"/-/backends/{server_id}",
+                b"",
+                {200: b"{}"},
+                self._check_leaving(server_id, ("gone",)),
             )
         if kind == "retire":
-            body = msgspec.json.encode({"id": ident, "force": True})
-            found = b'"found":["%b"]' % ident.encode()
-            return self._asking(kind, ip, "POST", "/-/retire", body, {200: found})
+            body = msgspec.json.encode({"id": server_id, "force": True})
+            found = b'"found":["%b"]' % server_id.encode()
+            return self._expect(kind, ip, "POST", "/-/retire", body, {200: found})
         if kind == "look":
             if rng.random() < 0.5:
-                self.busy[ident] = 1
-            return self._asking(kind, ip, "GET", f"/-/retiring/{ident}", b"", {200: b'"servers":'}, self._looked(ident))
+                self.busy[server_id] = 1
+            return self._expect(
+                kind, ip, "GET", f"/-/retiring/{server_id}", b"", {200: b'"servers":'}, self._check_retiring(server_id)
+            )
         if kind == "read":
-            least = self.acked
-            return self._asking(
+            acknowledged = self.acknowledged_version
+            return self._expect(
                 kind,
                 ip,
                 "GET",
                 "/-/config",
                 b"",
                 {200: b'"ver"'},
-                lambda body: int(msgspec.json.decode(body)["ver"], 16) >= least,
+                lambda body: int(msgspec.json.decode(body)["ver"], 16) >= acknowledged,
             )
-        self.tried += 1
-        ver, parent = self.tried, self.acked
+        self.last_version += 1
+        ver, parent = self.last_version, self.acknowledged_version
         body = msgspec.json.encode({"ver": f"{ver:08x}", "parent": f"{parent:08x}", "objs": []})
 
-        def taken(_: bytes) -> bool:
-            self.acked = max(self.acked, ver)
-            one = self.controllers.get(ip)
-            return one is None or any(f"{ver:08x}" in str(each) for each in one.machine.history())
+        def check_applied(_: bytes) -> bool:
+            self.acknowledged_version = max(self.acknowledged_version, ver)
+            controller = self.controllers.get(ip)
+            return controller is None or any(f"{ver:08x}" in str(each) for each in controller.machine.history())
 
-        return self._asking(kind, ip, "PUT", "/-/config", body, {200: b"{}"}, taken)
+        return self._expect(kind, ip, "PUT", "/-/config", body, {200: b"{}"}, check_applied)
 
-    def _asking(
+    def _expect(
         self,
         kind: str,
         ip: str,
         method: str,
         path: str,
         body: bytes,
-        told: dict[int, bytes],
+        expected_bytes: dict[int, bytes],
         holds: Callable[[bytes], bool] | None = None,
-    ) -> Asking:
-        """A call whose answer of such a status has these bytes in it, and for which `holds` says yes."""
+    ) -> Call:
+        """Return a call with the bytes expected in its answer by status, and a check of a successful answer."""
         expects = bool(body) and self.rng.random() < 0.2
         lines = [f"{method} {path} HTTP/1.1", f"Host: {ip}", f"Content-Length: {len(body)}"]
         lines += ["Expect: 100-continue"] if expects else []
 
         def check(status: int, answer: bytes) -> None:
-            word = told.get(status)
+            word = expected_bytes.get(status)
             if word is not None and (word not in answer or (word == b"{}" and answer != word)):
-                self.world.wrong(f"{method} {path} was answered {status} with {answer[:80]!r}")
+                self.world.report_fault(f"{method} {path} was answered {status} with {answer[:80]!r}")
             elif status == 200 and word is None or status not in (200, 400, 404, 409, 412, 503):
-                self.world.wrong(f"{method} {path} was answered {status}")
+                self.world.report_fault(f"{method} {path} was answered {status}")
             elif status == 200 and holds is not None and not holds(answer):
-                self.world.wrong(f"{method} {path} was answered 200, which does not hold: {answer[:80]!r}")
+                self.world.report_fault(f"{method} {path} was answered 200, which is not true: {answer[:80]!r}")
 
-        return Asking(kind, "\r\n".join(lines).encode() + b"\r\n\r\n" + body, check, expects)
+        return Call(kind, "\r\n".join(lines).encode() + b"\r\n\r\n" + body, check, expects)
 
-    def _held(self, ident: str, phases: tuple[str, ...]) -> Callable[[bytes], bool]:
-        """Whether a majority has, or had when it was killed, this server as one that leaves."""
+    def _check_leaving(self, server_id: str, phases: tuple[str, ...]) -> Callable[[bytes], bool]:
+        """Return a check that a majority has, or had when killed, this server in one of the phases."""
 
         def held(_: bytes) -> bool:
-            have = {ip for ip, phase in self.had.get(ident, ()) if phase in phases}
-            for ip, one in self.controllers.items():
-                record = one.registry.get(ident, one.now())
+            holders = {ip for ip, phase in self.states_when_killed.get(server_id, ()) if phase in phases}
+            for ip, controller in self.controllers.items():
+                record = controller.registry.get(server_id, controller.now())
                 if record is not None and record.phase in phases:
-                    have.add(ip)
-            return len(have) > len(self.IPS) // 2
+                    holders.add(ip)
+            return len(holders) > len(self.IPS) // 2
 
         return held
 
-    def _looked(self, ident: str) -> Callable[[bytes], bool]:
-        busy = ident in self.busy
+    def _check_retiring(self, server_id: str) -> Callable[[bytes], bool]:
+        busy = server_id in self.busy
 
         def looked(body: bytes) -> bool:
-            # The scripted gateway's requests never end: what it has any at is safe in nobody's eyes.
+            # The scripted gateway's requests never end, so a server that has any must not be reported as safe.
             return all(
-                row["id"] == ident and not (busy and row["safe"] and row["state"] != "gone")
+                row["id"] == server_id and not (busy and row["safe"] and row["state"] != "gone")
                 for row in msgspec.json.decode(body)["servers"]
             )
 
@@ -587,16 +608,16 @@
 
 
 def make(seed: int, steps: int = STEPS) -> Any:
-    """The schedule of a seed."""
-    if seed % SWEEP_EACH == 0:
+    """Return the schedule of a seed."""
+    if seed % SWEEP_INTERVAL == 0:
         return Sweep(seed)
-    if seed % SWEEP_EACH == 1:
-        return BeforeControl(seed, steps)
-    return BeforeGateway(seed, steps)
+    if seed % SWEEP_INTERVAL == 1:
+        return ControllerSchedule(seed, steps)
+    return GatewaySchedule(seed, steps)
 
 
 def run(seeds: Iterable[int], steps: int = STEPS) -> Report:
-    """Play the schedule of each seed."""
+    """Run the schedule of each seed."""
     report = Report()
     play(seeds, lambda seed: make(seed, steps), report)
     return report
--- a/crowseam/model_checks/callers/mutants.py
+++ b/crowseam/model_checks/callers/mutants.py
@@ -1,4 +1,4 @@
-"""The code that the model check of callers plays, without one of its guards at a time."""
+"""Mutants for the model check of callers: the code under check with one guard removed at a time."""
 
 from __future__ import annotations
 
@@ -23,81 +23,86 @@
 
 
 @contextmanager
-def without(*changes: tuple[object, str, object]) -> Iterator[None]:
-    """Within this, attributes of classes or modules are others: (owner, name, value)."""
-    before = [(owner, name, vars(owner)[name]) for owner, name, _ in changes]
+def patched_attributes(*changes: tuple[object, str, object]) -> Iterator[None]:
+    """Replace attributes of classes or modules, given as (owner, name, value), for the duration of the context."""
+    originals = [(owner, name, vars(owner)[name]) for owner, name, _ in changes]
     for owner, name, value in changes:
         setattr(owner, name, value)
     try:
         yield
     finally:
-        for owner, name, value in before:
+        for owner, name, value in originals:
             setattr(owner, name, value)
 
 
-def _outcome_of_none(kinds: tuple[Status, ...]) -> Callable:
-    """`LoadBalancer.on_outcome` that takes such an end for one before the server had the request."""
-    told = balancers.LoadBalancer.on_outcome
+def _treat_as_not_sent(statuses: tuple[Status, ...]) -> Callable:
+    """Return a `LoadBalancer.on_outcome` that treats these statuses as failures before the request was sent."""
+    original = balancers.LoadBalancer.on_outcome
 
     def outcome(self: balancers.LoadBalancer, number: int, attempt: int, status: Status, *more: Any) -> list:
-        return told(self, number, attempt, Status.CONNECT_FAILED if status in kinds else status, *more)
+        return original(self, number, attempt, Status.CONNECT_FAILED if status in statuses else status, *more)
 
     return outcome
 
 
-def _hedge_all(
-    self: balancers.LoadBalancer, t: balancers.RequestState, now: float, told: Callable = balancers.LoadBalancer._send
+def _hedge_unsafe(
+    self: balancers.LoadBalancer,
+    t: balancers.RequestState,
+    now: float,
+    original: Callable = balancers.LoadBalancer._send,
 ) -> list | None:
-    out = told(self, t, now)
+    out = original(self, t, now)
     if out is not None and not t.route.safe and t.attempt_count < t.route.tries:
         t.hedge_at = now + 0.2
         out.append(balancers.StartHedgeTimer(t.id, t.hedge_at))
     return out
 
 
-def _refuse_all(
+def _refuse_after_run(
     self: balancers.LoadBalancer,
     t: balancers.RequestState,
     status: Status,
     now: float,
-    told: Callable = balancers.LoadBalancer._retry_or_respond,
+    original: Callable = balancers.LoadBalancer._retry_or_respond,
 ) -> list:
-    # What ran and may not be sent again is told that it has not run.
+    # Answers that a request has not run when it may have and is not retried.
     if t.may_have_run and not t.route.safe:
         return self._refuse(t, now, status.value)
-    return told(self, t, status, now)
+    return original(self, t, status, now)
 
 
-def _endless(
-    self: ServerDialect, status: int, headers: list, until_close: bool, told: Callable = ServerDialect.find_defect
+def _allow_unframed_body(
+    self: ServerDialect, status: int, headers: list, until_close: bool, original: Callable = ServerDialect.find_defect
 ) -> str:
-    return told(self, status, headers, False)
+    return original(self, status, headers, False)
 
 
-def _take_cut(self: backends.UpstreamConnection) -> None:
+def _accept_truncated(self: backends.UpstreamConnection) -> None:
     if self.exchange is not None and self.status >= 200 and not (self.in_head or self.defect or self.is_skipping):
         self._finish_answer()
 
 
-def _spoilt_unrun(self: backends.UpstreamConnection, what: str) -> None:
+def _treat_rejected_as_not_sent(self: backends.UpstreamConnection, what: str) -> None:
     exchange = self.exchange
     self.give_up()
     exchange.end(Status.CONNECT_FAILED)
 
 
-def _keep_all(self: backends.UpstreamConnection, told: Callable = backends.UpstreamConnection._finish_answer) -> None:
+def _keep_after_excess(
+    self: backends.UpstreamConnection, original: Callable = backends.UpstreamConnection._finish_answer
+) -> None:
     self.has_excess = self.has_skipped = False
-    told(self)
+    original(self)
 
 
-def _hear_all(
-    self: backends.UpstreamConnection, count: int, told: Callable = backends.UpstreamConnection.buffer_updated
+def _ignore_unsolicited(
+    self: backends.UpstreamConnection, count: int, original: Callable = backends.UpstreamConnection.buffer_updated
 ) -> None:
     if self.exchange is not None:
-        told(self, count)
+        original(self, count)
 
 
-def _passing_begin(self: StreamedAnswer, answer: Any, length: int | None, source: Any) -> None:
+def _begin_interleaved(self: StreamedAnswer, answer: Any, length: int | None, source: Any) -> None:
     ticket = self.request
     if ticket.client is None:
         return
@@ -109,44 +114,44 @@
     ticket.client.begin(answer, length, source)
 
 
-def _passing_piece(self: StreamedAnswer, data: bytes) -> None:
+def _write_interleaved(self: StreamedAnswer, data: bytes) -> None:
     if self.request.client is not None:
         self.request.client.write_body(data)
 
 
-def _draw_any(
+def _accept_any_draw(
     self: controller_session.ControllerSession,
     link: Link,
     message: Message,
-    told: Callable = controller_session.ControllerSession._on_message,
+    original: Callable = controller_session.ControllerSession._on_message,
 ) -> None:
     if isinstance(message, ReserveDrawReply) and self.pending_draws and link is self.link:
         message = msgspec.structs.replace(message, number=next(iter(self.pending_draws)))
-    told(self, link, message)
+    original(self, link, message)
 
 
-def _draw_kept(
+def _keep_answered_draw(
     self: controller_session.ControllerSession,
     link: Link,
     message: Message,
-    told: Callable = controller_session.ControllerSession._on_message,
+    original: Callable = controller_session.ControllerSession._on_message,
 ) -> None:
-    done = self.pending_draws.get(message.number) if isinstance(message, ReserveDrawReply) else None
-    told(self, link, message)
-    if done is not None:
-        self.pending_draws[message.number] = done
+    callback = self.pending_draws.get(message.number) if isinstance(message, ReserveDrawReply) else None
+    original(self, link, message)
+    if callback is not None:
+        self.pending_draws[message.number] = callback
 
 
-def _from_one(
+def _number_draws_from_one(
     self: controller_session.ControllerSession,
     *args: Any,
-    told: Callable = controller_session.ControllerSession.__init__,
+    original: Callable = controller_session.ControllerSession.__init__,
 ) -> None:
-    told(self, *args)
+    original(self, *args)
     self.last_draw_number = 0
 
 
-def _out_of_turn(self: HttpConnection) -> None:
+def _serve_out_of_order(self: HttpConnection) -> None:
     while self.queued:
         call = self.queued.pop(0)
         self.is_serving = True
@@ -156,64 +161,70 @@
             call.reply(400)
 
 
-def _same_ticket(self: PendingCalls) -> int:
+def _constant_ticket(self: PendingCalls) -> int:
     return 1
 
 
-def _pending_calls_from_one(self: PendingCalls, first: int = 0, told: Callable = PendingCalls.__init__) -> None:
-    told(self, 0)
+def _pending_calls_from_one(self: PendingCalls, first: int = 0, original: Callable = PendingCalls.__init__) -> None:
+    original(self, 0)
 
 
-def _go_on_at_once(self: HttpConnection, told: Callable = HttpConnection.on_headers_complete) -> None:
+def _continue_at_once(self: HttpConnection, original: Callable = HttpConnection.on_headers_complete) -> None:
     if self.expects_continue:
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
 
-def _keep_call(self: PendingCalls, ticket: object, status: int, body: bytes) -> None:
+def _keep_answered_call(self: PendingCalls, ticket: object, status: int, body: bytes) -> None:
     if (call := self._waiting.get(ticket)) is not None:
         call.reply(status, body, fields=RETRY_AFTER if status == 503 else ())
 
 
-def _reply_again(self: Call, *args: Any, told: Callable = Call.reply, **fields: Any) -> None:
+def _reply_again(self: Call, *args: Any, original: Callable = Call.reply, **fields: Any) -> None:
     self.is_answered = False
-    told(self, *args, **fields)
+    original(self, *args, **fields)
 
 
 def _finish_broken(self: fronts.ClientConnection) -> None:
     self.finish()
 
 
-def _front_out_of_turn(self: fronts.ClientConnection, told: Callable = fronts.ClientConnection._serve_next) -> None:
+def _serve_client_out_of_order(
+    self: fronts.ClientConnection, original: Callable = fronts.ClientConnection._serve_next
+) -> None:
     self.open_request = None
-    told(self)
+    original(self)
 
 
-def _expire_answered(self: gateway.Gateway, ticket: InFlightRequest, told: Callable = gateway.Gateway._expire) -> None:
+def _skip_expiry_once_answered(
+    self: gateway.Gateway, ticket: InFlightRequest, original: Callable = gateway.Gateway._expire
+) -> None:
     if ticket.client is not None:
-        told(self, ticket)
+        original(self, ticket)
 
 
-def _refuse_sent(self: gateway.Gateway, ticket: InFlightRequest, told: Callable = gateway.Gateway._time_out) -> None:
-    # What a server has had is refused at its timeout as if none had.
+def _refuse_after_send(
+    self: gateway.Gateway, ticket: InFlightRequest, original: Callable = gateway.Gateway._time_out
+) -> None:
+    # Answers at the timeout as if no server had received the request.
     for exchange in list(ticket.exchanges.values()):
         if exchange.connection is not None:
             exchange.connection.give_up()
             exchange.end(Status.CONNECT_FAILED)
-    told(self, ticket)
+    original(self, ticket)
 
 
 CONNECTION = backends.UpstreamConnection
 
 
 def mutants(run: Callable[[Iterable[int]], Report]) -> tuple[Mutant, ...]:
-    """Each guard left out, by changes of attributes for as long as `run` plays."""
+    """Return a mutant for each guard, which is removed by patching attributes while `run` runs."""
 
     def mutant(guard: str, seed: int | None, *changes: tuple[object, str, object], why: str = "") -> Mutant:
-        def play_it(seeds: Iterable[int]) -> Report:
-            with without(*changes):
+        def run_mutant(seeds: Iterable[int]) -> Report:
+            with patched_attributes(*changes):
                 return run(seeds)
 
-        return Mutant(guard, play_it, seed, why)
+        return Mutant(guard, run_mutant, seed, why)
 
     return (
         mutant("the id of an answer compared", 2, (ServerDialect, "is_for_other_request", lambda *_: False)),
@@ -223,14 +234,16 @@
             (ServerDialect, "lacks_request_id", lambda *_: False),
         ),
         mutant("an answer that names two refused", 6, (http_dialect, "SINGLE_VALUED_HEADERS", ())),
-        mutant("an answer refused that does not say where it ends", 2, (ServerDialect, "find_defect", _endless)),
-        mutant("an answer cut short taken for none", 4, (CONNECTION, "eof_received", _take_cut)),
+        mutant(
+            "an answer refused that does not say where it ends", 2, (ServerDialect, "find_defect", _allow_unframed_body)
+        ),
+        mutant("an answer cut short taken for none", 4, (CONNECTION, "eof_received", _accept_truncated)),
         mutant("a large answer cut short shown to be", 27, (fronts.ClientConnection, "abort", _finish_broken)),
-        mutant("a connection closed after extra bytes", 3, (CONNECTION, "_finish_answer", _keep_all)),
+        mutant("a connection closed after extra bytes", 3, (CONNECTION, "_finish_answer", _keep_after_excess)),
         mutant(
             "a connection closed where bytes come unasked",
             None,
-            (CONNECTION, "buffer_updated", _hear_all),
+            (CONNECTION, "buffer_updated", _ignore_unsolicited),
             why="by hand: test_dialect.OtherBytes; "
             "nobody is answered wrongly: what follows is no answer, or another's, or nameless",
         ),
@@ -244,37 +257,49 @@
         mutant(
             "no unsafe request sent again after a reset",
             0,
-            (balancers.LoadBalancer, "on_outcome", _outcome_of_none((Status.RESET,))),
+            (balancers.LoadBalancer, "on_outcome", _treat_as_not_sent((Status.RESET,))),
         ),
         mutant(
             "no unsafe request sent again after an answer that is none",
             2,
-            (CONNECTION, "_reject_answer", _spoilt_unrun),
+            (CONNECTION, "_reject_answer", _treat_rejected_as_not_sent),
         ),
         mutant(
             "no unsafe request sent again after a failure",
             2,
-            (balancers.LoadBalancer, "on_outcome", _outcome_of_none((Status.ERROR,))),
+            (balancers.LoadBalancer, "on_outcome", _treat_as_not_sent((Status.ERROR,))),
         ),
-        mutant("no unsafe request sent again after silence", 16, (balancers.LoadBalancer, "_send", _hedge_all)),
-        mutant("no 503 for what may have run", 0, (balancers.LoadBalancer, "_retry_or_respond", _refuse_all)),
+        mutant("no unsafe request sent again after silence", 16, (balancers.LoadBalancer, "_send", _hedge_unsafe)),
+        mutant("no 503 for what may have run", 0, (balancers.LoadBalancer, "_retry_or_respond", _refuse_after_run)),
         mutant(
             "a server's promise passed on only with X-Not-Run", 7, (balancers, "NOT_EXECUTED_STATUSES", frozenset())
         ),
-        mutant("one attempt's large answer begun", 27, (StreamedAnswer, "begin", _passing_begin)),
-        mutant("one attempt's pieces passed on", 27, (StreamedAnswer, "write_body", _passing_piece)),
-        mutant("requests of a client served in turn", 3, (fronts.ClientConnection, "_serve_next", _front_out_of_turn)),
-        mutant("the number of a draw compared", 6, (controller_session.ControllerSession, "_on_message", _draw_any)),
-        mutant("a draw's answer counted once", 3, (controller_session.ControllerSession, "_on_message", _draw_kept)),
+        mutant("one attempt's large answer begun", 27, (StreamedAnswer, "begin", _begin_interleaved)),
+        mutant("one attempt's pieces passed on", 27, (StreamedAnswer, "write_body", _write_interleaved)),
+        mutant(
+            "requests of a client served in turn",
+            3,
+            (fronts.ClientConnection, "_serve_next", _serve_client_out_of_order),
+        ),
         mutant(
-            "numbers of draws begun with the life", 30, (controller_session.ControllerSession, "__init__", _from_one)
+            "the number of a draw compared", 6, (controller_session.ControllerSession, "_on_message", _accept_any_draw)
         ),
-        mutant("calls of a connection served in turn", 1, (HttpConnection, "_serve_next", _out_of_turn)),
-        mutant("each ticket given out once", 21, (PendingCalls, "next_number", _same_ticket)),
+        mutant(
+            "a draw's answer counted once",
+            3,
+            (controller_session.ControllerSession, "_on_message", _keep_answered_draw),
+        ),
+        mutant(
+            "numbers of draws begun with the life",
+            30,
+            (controller_session.ControllerSession, "__init__", _number_draws_from_one),
+        ),
+        mutant("calls of a connection served in turn", 1, (HttpConnection, "_serve_next", _serve_out_of_order)),
+        mutant("each ticket given out once", 21, (PendingCalls, "next_number", _constant_ticket)),
         mutant(
             "a call taken off with its answer",
             None,
-            (PendingCalls, "reply", _keep_call),
+            (PendingCalls, "reply", _keep_answered_call),
             why="by hand: test_check_callers.Tickets; "
             "a second answer is dropped all the same, but who stops would wait for the call",
         ),
@@ -292,9 +317,15 @@
             why="by hand: test_controller.Sessions; "
             "an answer of another controller has to meet a look of a later life with the same number",
         ),
-        mutant("100 Continue told in a call's turn only", 5, (HttpConnection, "on_headers_complete", _go_on_at_once)),
-        mutant("a slower attempt given up at the deadline", 70, (gateway.Gateway, "_expire", _expire_answered)),
-        mutant("only what came to no server refused at its timeout", 2, (gateway.Gateway, "_time_out", _refuse_sent)),
+        mutant(
+            "100 Continue told in a call's turn only", 5, (HttpConnection, "on_headers_complete", _continue_at_once)
+        ),
+        mutant(
+            "a slower attempt given up at the deadline", 70, (gateway.Gateway, "_expire", _skip_expiry_once_answered)
+        ),
+        mutant(
+            "only what came to no server refused at its timeout", 2, (gateway.Gateway, "_time_out", _refuse_after_send)
+        ),
         mutant(
             "a body that waits behind let go of",
             6,
--- a/crowseam/model_checks/callers/scripted.py
+++ b/crowseam/model_checks/callers/scripted.py
@@ -1,6 +1,6 @@
 """Scripted peers of the model check of callers: servers, clients, callers, a gateway's controller and a gateway.
 
-What they do by chance they draw from the schedule's seed.  Times are seconds of virtual time.
+Their random decisions come from the schedule's seed. Times are seconds of virtual time.
 """
 
 from __future__ import annotations
@@ -39,32 +39,32 @@
     SessionOpened,
 )
 
-TRIES = 3  # of each route
-LEFT = 1.0  # s that a client waits
-DELAY = 0.001  # s, one way
+MAX_TRIES = 3  # of each route
+CLIENT_TIME_LEFT_S = 1.0  # sent as X-Time-Left
+LINK_DELAY_S = 0.001  # one way
 HOST = "callers.example"
 GATEWAY, CONTROLLER = "10.0.0.1", "10.0.0.2"
 SERVERS = ("i-1", "i-2", "i-3")
 TENANTS = ("north", "south")
-KINDS = (b"safe-", b"once-", b"kept-", b"none")  # how a server's body begins
-PROMISES = frozenset((429, 503, 408, 421))
+BODY_PREFIXES = (b"safe-", b"once-", b"kept-", b"none")  # of answers by servers
+NOT_RUN_STATUSES = frozenset((429, 503, 408, 421))
 FAULTS = ("reset", "close", "rest late", "garbage", "silence")
-NOISE = b"\x00\x16 no answer\r\n\r\nHTTP/9"
-LARGE = 70_000  # bytes of a body that is not held
+GARBAGE = b"\x00\x16 no answer\r\n\r\nHTTP/9"
+LARGE_BODY_BYTES = 70_000  # too large to be buffered
 
 
-def stamp(attempt: str, body: bytes) -> str:
-    """What a scripted server stamps an answer with: it names whose it is, and the bytes."""
+def content_seal(attempt: str, body: bytes) -> str:
+    """The seal of a scripted server's answer: the attempt id and a digest of the body."""
     return f"{attempt}.{blake2s(body, digest_size=6).hexdigest()}"
 
 
 def configuration() -> bytes:
-    """The routes and tenants in force."""
+    """The configuration: routes, a service and tenants."""
 
     def item(group: str, name: str, **spec: Any) -> dict:
         return {"type": group, "meta": {"name": name}, "spec": spec}
 
-    common = {"vhost": HOST, "timeout": "1000ms", "target_time": "200ms", "tries": TRIES, "svc": "s"}
+    common = {"vhost": HOST, "timeout": "1000ms", "target_time": "200ms", "tries": MAX_TRIES, "svc": "s"}
     objs = [
         item("svcs", "s", hc_path="/", maxconn=0),
         item("routes", "safe", prefix="/safe/", kind="safe", public=True, **common),
@@ -75,56 +75,56 @@
     return msgspec.json.encode({"ver": "00000001", "parent": "00000000", "objs": objs})
 
 
-class Scene(World):
-    """Time, links, and what the scripts have seen."""
+class ScriptedWorld(World):
+    """Virtual time, links, and the observations of the scripted peers."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
         self.outcomes: Counter = Counter()
-        self.network = Network(self, lambda a, b: DELAY, lambda ip: "")
+        self.network = Network(self, lambda a, b: LINK_DELAY_S, lambda ip: "")
         self.environment.loop.network = self.network
         self.faults: list[str] = []
-        self.got: dict[str, list[tuple[str, bool]]] = {}  # attempt: servers that had it whole, and ran it
-        self.given: dict[str, list[int]] = {}  # attempt: statuses that its client had whole
-        self.garbled: set[str] = set()  # attempts whose body a server has spoilt within its frame
-        self.named = 0
+        self.server_receipts: dict[str, list[tuple[str, bool]]] = {}  # by attempt: server, whether it ran the request
+        self.client_statuses: dict[str, list[int]] = {}  # by attempt: statuses of complete answers
+        self.corrupted: set[str] = set()  # attempts with a body corrupted within valid framing
+        self.attempt_count = 0
 
     @property
     def events(self) -> int:
-        """Callbacks that were run."""
+        """The number of callbacks run so far."""
         return self.callbacks_run
 
-    def wrong(self, text: str) -> None:
-        """Note what must not happen; only the first counts."""
+    def report_fault(self, text: str) -> None:
+        """Record a violation; only the first is raised."""
         self.faults.append(f"at {self.now:.4f}s {text}")
 
-    def say(self, event: str, **fields: object) -> None:
-        """What the code under check logs: its own failures are faults."""
+    def on_log_event(self, event: str, **fields: object) -> None:
+        """Handle a log event of the code under check: internal failures are violations."""
         if event.endswith("_failed"):
-            self.wrong(f"{event}: {fields.get('trace')}")
+            self.report_fault(f"{event}: {fields.get('trace')}")
 
-    def name(self, kind: str) -> str:
-        """The id of a new try, which tells its route."""
-        self.named += 1
-        return f"{kind}-{self.named:04d}-{self.rng.getrandbits(24):06x}"
+    def new_attempt_id(self, kind: str) -> str:
+        """Return a new attempt id, which begins with the kind of its route."""
+        self.attempt_count += 1
+        return f"{kind}-{self.attempt_count:04d}-{self.rng.getrandbits(24):06x}"
 
-    def later(self, delay: float, what: Callable, *args: object) -> None:
-        """Have `what` done outside of all processes."""
-        self.schedule(self.now + delay, self.environment, what, args)
+    def later(self, delay: float, callback: Callable, *args: object) -> None:
+        """Call `callback` in `delay` seconds, outside of all simulated processes."""
+        self.schedule(self.now + delay, self.environment, callback, args)
 
-    def settle(self) -> None:
-        """Hold what was seen against the rules. Raises Violation."""
-        for attempt, got in self.got.items():
-            ran = [name for name, run in got if run]
+    def check_rules(self) -> None:
+        """Check the observations against the rules; raises Violation."""
+        for attempt, receipts in self.server_receipts.items():
+            ran = [name for name, run in receipts if run]
             if attempt.startswith("once") and len(ran) > 1:
-                self.wrong(f"{attempt} ran at {', '.join(ran)}")
-            if len(got) > TRIES:
-                self.wrong(f"{attempt} came to servers {len(got)} times")
-            if ran and PROMISES.intersection(self.given.get(attempt, ())):
-                self.wrong(f"{attempt} ran, and its client was told {self.given[attempt]}")
-        for attempt, given in self.given.items():
-            if len(given) > 1:
-                self.wrong(f"{attempt} was answered {given}")
+                self.report_fault(f"{attempt} ran at {', '.join(ran)}")
+            if len(receipts) > MAX_TRIES:
+                self.report_fault(f"{attempt} was received by servers {len(receipts)} times")
+            if ran and NOT_RUN_STATUSES.intersection(self.client_statuses.get(attempt, ())):
+                self.report_fault(f"{attempt} ran, and its client was answered {self.client_statuses[attempt]}")
+        for attempt, statuses in self.client_statuses.items():
+            if len(statuses) > 1:
+                self.report_fault(f"{attempt} was answered {statuses}")
         if self.faults or self.failures:
             raise Violation([*self.faults, *self.failures][0])
 
@@ -133,21 +133,21 @@
 
 
 class Plan(msgspec.Struct):
-    """What a server does with one request."""
+    """How a server handles one request."""
 
     act: str = "whole"
-    after: float = 0.0  # s until it answers
-    again: float = 0.0  # s after which what belongs to nobody follows
-    cut: int = 0  # byte at which the fault strikes
+    after: float = 0.0  # seconds until it answers
+    again: float = 0.0  # seconds until unsolicited bytes, or a close, follow
+    cut: int = 0  # byte at which the fault occurs
     fault: str = "reset"
     chunked: bool = False
-    size: int = 0  # bytes of the body beyond its words
-    pieces: int = 1  # in which it is written
-    pause: float = 0.003  # s between them
-    next: str = ""  # what meets the next request on the connection
+    size: int = 0  # minimum size of the body in bytes
+    pieces: int = 1  # writes per answer
+    pause: float = 0.003  # seconds between them
+    next: str = ""  # action when the next request arrives on the connection
 
 
-ACTS = ("whole",) * 6 + (
+SERVER_ACTIONS = ("whole",) * 6 + (
     "twice",
     "foreign first",
     "foreign only",
@@ -169,65 +169,65 @@
     "two names",
     "astride",
 )
-NEXT = ("",) * 6 + ("slam", "slam reset", "stray", "stray", "foreign", "half")
-MOMENTS = (0.0, 0.0, 0.0005, 0.002, 0.004, 0.01, 0.03, 0.06)
+NEXT_REQUEST_ACTIONS = ("",) * 6 + ("slam", "slam reset", "stray", "stray", "foreign", "half")
+FOLLOW_UP_DELAYS_S = (0.0, 0.0, 0.0005, 0.002, 0.004, 0.01, 0.03, 0.06)
 
 
-def drawn(rng: Random) -> Plan:
-    """A plan by chance."""
-    act = rng.choice(ACTS)
+def random_plan(rng: Random) -> Plan:
+    """Return a random plan."""
+    act = rng.choice(SERVER_ACTIONS)
     return Plan(
         act,
         rng.choice((0.0, 0.0, 0.0, 0.002, 0.02, 0.25, 0.5, 1.2)),
-        rng.choice(MOMENTS),
-        rng.randrange(rng.choice((260, 260, 2 * LARGE))),
+        rng.choice(FOLLOW_UP_DELAYS_S),
+        rng.randrange(rng.choice((260, 260, 2 * LARGE_BODY_BYTES))),
         rng.choice(FAULTS),
         rng.random() < 0.3,
-        rng.choice((0, 0, 0, 40, LARGE, 2 * LARGE)),
+        rng.choice((0, 0, 0, 40, LARGE_BODY_BYTES, 2 * LARGE_BODY_BYTES)),
         rng.choice((1, 1, 2, 5)),
         rng.choice((0.003, 0.003, 0.15)),
-        rng.choice(NEXT),
+        rng.choice(NEXT_REQUEST_ACTIONS),
     )
 
 
-class ServerEnd(asyncio.Protocol):
+class ServerConnection(asyncio.Protocol):
     """A connection that the gateway has opened to a scripted server."""
 
-    def __init__(self, scene: Scene, name: str, plan: Callable[[str, str], Plan]) -> None:
-        self.scene, self.name, self.plan = scene, name, plan
+    def __init__(self, world: ScriptedWorld, name: str, plan: Callable[[str, str], Plan]) -> None:
+        self.world, self.name, self.plan = world, name, plan
         self.transport: Any = None
         self.parser = httptools.HttpRequestParser(self)
-        self.last = ""  # the attempt before
+        self.previous = ""  # the previous attempt
         self.next = ""
-        self.mute = self.spoilt = False
-        self.rest = b""
-        self.amid = 0  # parts of an answer that are still to be written
+        self.ignores_input = self.is_corrupted = False
+        self.pending_bytes = b""
+        self.unsent_parts = 0  # pieces of answers still to be written
         self.url, self.fields, self.body = b"", {}, []
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if self.mute:
+        if self.ignores_input:
             return
-        meets, self.next = self.next, ""
-        if self.rest:
-            self.write(self.rest)
-            self.rest = b""
-        if meets == "half":
-            # What comes of both is one answer, by its framing: only its stamp tells, which clients check.
-            self.write(self.stray(self.last)[:60])
-            self.spoilt = True
-        if meets.startswith("slam"):
-            return self.end(meets == "slam reset")
-        if meets == "stray":
-            self.write(self.stray(self.last))
-        elif meets == "foreign":
-            self.write(self.answer(self.last, self.last))
+        next_action, self.next = self.next, ""
+        if self.pending_bytes:
+            self.write(self.pending_bytes)
+            self.pending_bytes = b""
+        if next_action == "half":
+            # By its framing, the combination with the next answer is one answer; only the seal reveals it.
+            self.write(self.unsolicited_answer(self.previous)[:60])
+            self.is_corrupted = True
+        if next_action.startswith("slam"):
+            return self.close(next_action == "slam reset")
+        if next_action == "stray":
+            self.write(self.unsolicited_answer(self.previous))
+        elif next_action == "foreign":
+            self.write(self.answer(self.previous, self.previous))
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.scene.wrong(f"{self.name} was sent what is no request: {data[:60]!r}")
+            self.world.report_fault(f"{self.name} received an invalid request: {data[:60]!r}")
 
     def on_message_begin(self) -> None:
         self.url, self.fields, self.body = b"", {}, []
@@ -244,26 +244,26 @@
     def on_headers_complete(self) -> None:
         attempt = self.fields.get(b"x-attempt-id", b"").decode()
         if self.parser.get_method() == b"POST" and self.plan(self.name, attempt).act == "early":
-            # Turned away before its body has come, and never run.
-            self.mute = True
+            # Refused before its body has arrived, and never run.
+            self.ignores_input = True
             self.write(self.answer(attempt, attempt, 503, run=False))
-            self.scene.later(0.002, self.end, False)
+            self.world.later(0.002, self.close, False)
 
     def on_message_complete(self) -> None:
-        if self.mute:
+        if self.ignores_input:
             return
-        scene, attempt = self.scene, self.fields.get(b"x-attempt-id", b"").decode()
+        world, attempt = self.world, self.fields.get(b"x-attempt-id", b"").decode()
         if self.fields.get(b"x-target-instance") != self.name.encode():
-            scene.wrong(f"{attempt} came to {self.name} in place of another")
-        if attempt not in scene.garbled and b"".join(self.body).replace(attempt.encode(), b""):
-            scene.wrong(f"{attempt} came with the body of another")
-        if self.spoilt:
-            scene.garbled.add(attempt)
+            world.report_fault(f"{attempt} for another server was received by {self.name}")
+        if attempt not in world.corrupted and b"".join(self.body).replace(attempt.encode(), b""):
+            world.report_fault(f"{attempt} was received with the body of another request")
+        if self.is_corrupted:
+            world.corrupted.add(attempt)
         plan = self.plan(self.name, attempt)
-        scene.got.setdefault(attempt, []).append((self.name, plan.act != "refuse"))
-        scene.later(plan.after, self._answer, attempt, plan)
+        world.server_receipts.setdefault(attempt, []).append((self.name, plan.act != "refuse"))
+        world.later(plan.after, self._answer, attempt, plan)
 
-    # What is said
+    # Answers
 
     def answer(
         self,
@@ -275,12 +275,12 @@
         size: int = 0,
         framed: bool = True,
     ) -> bytes:
-        """The bytes of an answer to `attempt` that names `named`; of none of them where that is empty."""
-        words = f"{attempt} ".encode()
-        body = words * (1 + size // len(words))
+        """The bytes of an answer to `attempt` with the attempt id `named`, or without one if that is empty."""
+        prefix = f"{attempt} ".encode()
+        body = prefix * (1 + size // len(prefix))
         lines = [f"HTTP/1.1 {status} X"]
         lines += [f"X-Attempt-Id: {named}"] if named else []
-        lines += [f"X-Server-Seal: {stamp(attempt, body)}"] if 200 <= status < 300 else []
+        lines += [f"X-Server-Seal: {content_seal(attempt, body)}"] if 200 <= status < 300 else []
         lines += [] if run else ["X-Not-Run: 1"]
         if chunked:
             half = len(body) // 2
@@ -290,136 +290,136 @@
             lines.append(f"Content-Length: {len(body)}")
         return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
-    def stray(self, attempt: str) -> bytes:
-        """An answer to nobody: an older try's, and it names none."""
-        status = self.scene.rng.choice((500, 503, 503, 200, 404))
+    def unsolicited_answer(self, attempt: str) -> bytes:
+        """An answer without an attempt id, to an earlier attempt."""
+        status = self.world.rng.choice((500, 503, 503, 200, 404))
         return self.answer(attempt or "none", "", status, status != 503)
 
     def write(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.write(data)
 
-    def extra(self, data: bytes) -> None:
-        """Write what belongs to no request; not into an answer, whose bytes it would then be."""
-        if not self.amid:
+    def write_unsolicited(self, data: bytes) -> None:
+        """Write bytes that belong to no request, unless an answer is being written, of which they would become part."""
+        if not self.unsent_parts:
             self.write(data)
 
-    def end(self, reset: bool = False) -> None:
-        """Close, with a reset or in order."""
-        self.mute, self.transport.reset_on_close = True, reset
+    def close(self, reset: bool = False) -> None:
+        """Close or reset the connection."""
+        self.ignores_input, self.transport.reset_on_close = True, reset
         self.transport.abort()
 
     def _answer(self, attempt: str, plan: Plan) -> None:
-        scene, last = self.scene, self.last
-        self.last, self.next = attempt, plan.next
-        whole = self.answer(attempt, attempt, chunked=plan.chunked, size=plan.size)
+        world, previous = self.world, self.previous
+        self.previous, self.next = attempt, plan.next
+        complete = self.answer(attempt, attempt, chunked=plan.chunked, size=plan.size)
         match plan.act:
             case "whole" | "early":
-                self._pieces(whole, plan)
+                self._write_pieces(complete, plan)
             case "close":
-                self._pieces(whole, plan)
-                scene.later(plan.again + 0.01, self.end)
+                self._write_pieces(complete, plan)
+                world.later(plan.again + 0.01, self.close)
             case "twice":
-                self.write(whole)
-                scene.later(plan.again, self.extra, whole)
+                self.write(complete)
+                world.later(plan.again, self.write_unsolicited, complete)
             case "foreign first":
-                self.write(self.answer(last or "none", last or "none"))
-                scene.later(plan.again, self.write, whole)
+                self.write(self.answer(previous or "none", previous or "none"))
+                world.later(plan.again, self.write, complete)
             case "foreign only":
                 self.write(self.answer("none", "none"))
             case "stray":
-                self.write(whole)
-                scene.later(plan.again, self.extra, self.stray(attempt))
+                self.write(complete)
+                world.later(plan.again, self.write_unsolicited, self.unsolicited_answer(attempt))
             case "cut":
-                self._cut(attempt, whole, plan)
+                self._write_with_fault(attempt, complete, plan)
             case "noise first":
-                self.write(NOISE + whole)
+                self.write(GARBAGE + complete)
             case "noise after":
-                self.write(whole)
-                scene.later(plan.again, self.extra, NOISE)
+                self.write(complete)
+                world.later(plan.again, self.write_unsolicited, GARBAGE)
             case "refuse":
-                self.write(self.answer(attempt, attempt, scene.rng.choice((503, 429, 400)), run=False))
+                self.write(self.answer(attempt, attempt, world.rng.choice((503, 429, 400)), run=False))
             case "error":
-                status = scene.rng.choice((400, 404, 500))
-                self._pieces(self.answer(attempt, attempt, status, size=plan.size), plan)
+                status = world.rng.choice((400, 404, 500))
+                self._write_pieces(self.answer(attempt, attempt, status, size=plan.size), plan)
             case "bare":
-                # It ran, and says what elsewhere is a promise.
-                self.write(self.answer(attempt, attempt, scene.rng.choice((503, 429, 408))))
+                # The request ran; without X-Not-Run these statuses do not say otherwise.
+                self.write(self.answer(attempt, attempt, world.rng.choice((503, 429, 408))))
             case "endless":
-                # An error without a length: only a close tells its end, in order or not.
+                # An error without a length, which only the close of the connection ends.
                 self.write(self.answer(attempt, attempt, 500, size=300, framed=False)[: plan.cut or 1])
-                scene.later(0.003, self.end)
+                world.later(0.003, self.close)
             case "astride":
-                # The first bytes of what belongs to nobody come with the answer, the rest amid the next.
-                stray = self.stray(attempt)
-                self.rest = stray[plan.cut % len(stray) :]
-                self.write(whole + stray[: -len(self.rest)])
+                # The start of an unsolicited answer follows this answer, the rest precedes the next one.
+                unsolicited_answer = self.unsolicited_answer(attempt)
+                self.pending_bytes = unsolicited_answer[plan.cut % len(unsolicited_answer) :]
+                self.write(complete + unsolicited_answer[: -len(self.pending_bytes)])
             case "two names":
-                # Two heads that ran into one another: the body is that of either.
-                other = self.answer(last or "none", last or "none")
-                self.write(whole[: whole.index(b"\r\nX-S") + 2] + other[other.index(b"X-A") :])
+                # Two merged answer heads, with the body of the second.
+                other = self.answer(previous or "none", previous or "none")
+                self.write(complete[: complete.index(b"\r\nX-S") + 2] + other[other.index(b"X-A") :])
             case "nameless":
-                self.write(self.answer(attempt, "", scene.rng.choice((200, 500, 503))))
+                self.write(self.answer(attempt, "", world.rng.choice((200, 500, 503))))
 
-    def _pieces(self, data: bytes, plan: Plan) -> None:
+    def _write_pieces(self, data: bytes, plan: Plan) -> None:
         size = -(-len(data) // plan.pieces)
-        self.amid += plan.pieces
+        self.unsent_parts += plan.pieces
         for number in range(plan.pieces):
-            self.scene.later(plan.pause * number, self._part, data[number * size : (number + 1) * size])
+            self.world.later(plan.pause * number, self._write_part, data[number * size : (number + 1) * size])
 
-    def _part(self, data: bytes) -> None:
-        self.amid -= 1
+    def _write_part(self, data: bytes) -> None:
+        self.unsent_parts -= 1
         self.write(data)
 
-    def _cut(self, attempt: str, whole: bytes, plan: Plan) -> None:
-        head = whole[: plan.cut]
-        self.amid += 1
+    def _write_with_fault(self, attempt: str, complete: bytes, plan: Plan) -> None:
+        head = complete[: plan.cut]
+        self.unsent_parts += 1
         if plan.fault == "garbage":
-            self.scene.garbled.add(attempt)
-            head += NOISE
+            self.world.corrupted.add(attempt)
+            head += GARBAGE
         self.write(head)
         if plan.fault in ("reset", "close"):
-            # With what was written, or a moment after it has come.
-            self.scene.later(plan.again, self.end, plan.fault == "reset")
+            # Together with the data, or after it has been received.
+            self.world.later(plan.again, self.close, plan.fault == "reset")
         elif plan.fault == "rest late":
-            self.scene.later(0.1 + plan.again * 10, self._part, whole[plan.cut :])
+            self.world.later(0.1 + plan.again * 10, self._write_part, complete[plan.cut :])
 
 
 # A client
 
 
-class ClientEnd(asyncio.Protocol):
-    """A client's connection; its requests are answered in turn."""
+class ClientConnection(asyncio.Protocol):
+    """A client's connection; its requests are answered in order."""
 
-    def __init__(self, scene: Scene) -> None:
-        self.scene = scene
+    def __init__(self, world: ScriptedWorld) -> None:
+        self.world = world
         self.transport: Any = None
         self.parser = httptools.HttpResponseParser(self)
-        self.asked: deque[str] = deque()
-        self.held: deque[bytes] = deque()  # bodies that wait to be asked for
+        self.outstanding: deque[str] = deque()
+        self.pending_bodies: deque[bytes] = deque()  # to be sent after 100 Continue
         self.fields: dict[bytes, bytes] = {}
         self.body: list[bytes] = []
-        self.answered: Callable[[bool], None] = lambda keep: None
-        self.left = self.noisy = False  # it sends what is no request
+        self.on_answer: Callable[[bool], None] = lambda keep: None
+        self.has_left = self.sends_garbage = False
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
 
     @property
     def usable(self) -> bool:
-        return not (self.left or self.transport is None or self.transport.closed or self.transport.end_received)
+        return not (self.has_left or self.transport is None or self.transport.closed or self.transport.end_received)
 
     def data_received(self, data: bytes) -> None:
-        if self.left:
+        if self.has_left:
             return
-        if not self.asked and not self.noisy:
-            self.scene.wrong(f"a client that asked nothing was sent {data[:60]!r}")
+        if not self.outstanding and not self.sends_garbage:
+            self.world.report_fault(f"a client without a request received {data[:60]!r}")
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            whose = self.asked[0] if self.asked else "nothing"
-            self.scene.wrong(f"the client of {whose} was sent what is no answer: {data[:60]!r}")
-            self.leave()
+            whose = self.outstanding[0] if self.outstanding else "nothing"
+            self.world.report_fault(f"the client of {whose} received an invalid answer: {data[:60]!r}")
+            self.disconnect()
 
     def on_message_begin(self) -> None:
         self.fields, self.body = {}, []
@@ -431,68 +431,68 @@
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        status, scene = self.parser.get_status_code(), self.scene
+        status, world = self.parser.get_status_code(), self.world
         if 100 <= status < 200:
-            if self.held:
-                self.transport.write(self.held.popleft())
+            if self.pending_bodies:
+                self.transport.write(self.pending_bodies.popleft())
             return
-        if not self.asked:
-            if not self.noisy:
-                scene.wrong(f"an answer {status} to nobody")
+        if not self.outstanding:
+            if not self.sends_garbage:
+                world.report_fault(f"answer {status} without a request")
             return
-        attempt, body = self.asked.popleft(), b"".join(self.body)
-        self.held.clear()
-        scene.given.setdefault(attempt, []).append(status)
-        scene.outcomes[str(status)] += 1
+        attempt, body = self.outstanding.popleft(), b"".join(self.body)
+        self.pending_bodies.clear()
+        world.client_statuses.setdefault(attempt, []).append(status)
+        world.outcomes[str(status)] += 1
         named = self.fields.get(b"x-attempt-id", b"").decode()
         if 200 <= status < 300:
-            self._success(attempt, named, body)
-        elif body.startswith(KINDS) and body.replace(f"{attempt} ".encode(), b""):
-            # A server's failure is passed on whole as well, and says whose it is.
-            scene.wrong(f"{attempt} was answered {status} with {body[:60]!r}")
-        self.answered(self.parser.should_keep_alive())
-
-    def _success(self, attempt: str, named: str, body: bytes) -> None:
-        scene, told = self.scene, self.fields.get(b"x-server-seal", b"").decode()
-        if not scene.got.get(attempt):
-            scene.wrong(f"{attempt} had a success, and no server has had it")
+            self._check_success(attempt, named, body)
+        elif body.startswith(BODY_PREFIXES) and body.replace(f"{attempt} ".encode(), b""):
+            # A server's error is also forwarded unchanged, and its body must be that of this attempt.
+            world.report_fault(f"{attempt} was answered {status} with {body[:60]!r}")
+        self.on_answer(self.parser.should_keep_alive())
+
+    def _check_success(self, attempt: str, named: str, body: bytes) -> None:
+        world, seal = self.world, self.fields.get(b"x-server-seal", b"").decode()
+        if not world.server_receipts.get(attempt):
+            world.report_fault(f"{attempt} succeeded, and no server has received it")
         if named != attempt:
-            scene.wrong(f"{attempt} was answered with what is to {named or 'nobody'}")
-        elif told != stamp(attempt, body) and attempt not in scene.garbled:
-            scene.wrong(f"{attempt} had a success that is not whole: {len(body)} bytes")
+            world.report_fault(f"{attempt} received the answer to {named or 'no attempt'}")
+        elif seal != content_seal(attempt, body) and attempt not in world.corrupted:
+            world.report_fault(f"{attempt} succeeded with a truncated or altered body of {len(body)} bytes")
 
     def eof_received(self) -> None:
         return None
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.scene.outcomes["no answer"] += len(self.asked)
-        if not self.left:
-            self.left = True
-            self.answered(False)
+        self.world.outcomes["no answer"] += len(self.outstanding)
+        if not self.has_left:
+            self.has_left = True
+            self.on_answer(False)
 
     def write(self, data: bytes) -> None:
         """Send, unless the connection is closed."""
         if self.usable:
             self.transport.write(data)
 
-    def leave(self, reset: bool = False) -> None:
-        """Go without waiting for anything."""
-        self.left = True
+    def disconnect(self, reset: bool = False) -> None:
+        """Close or reset the connection without waiting for answers."""
+        self.has_left = True
         if self.transport is not None:
             self.transport.reset_on_close = reset
             self.transport.abort()
 
 
-def request(
-    attempt: str, left: float = LEFT, framing: str = "length", size: int = 0, expect: bool = False
+def build_request(
+    attempt: str, time_left_s: float = CLIENT_TIME_LEFT_S, framing: str = "length", size: int = 0, expect: bool = False
 ) -> tuple[bytes, bytes]:
-    """Head and body of a request."""
+    """Return the head and the body of a request."""
     kind, _, rest = attempt.partition("-")
     lines = [
         f"{'POST' if kind == 'once' else 'GET'} /{kind}/{rest} HTTP/1.1",
         f"Host: {HOST}",
         f"X-Attempt-Id: {attempt}",
-        f"X-Time-Left: {int(left * 1000)}",
+        f"X-Time-Left: {int(time_left_s * 1000)}",
     ]
     if kind == "kept":
         lines.append(f"Authorization: Bearer key-{TENANTS[int(rest[:4]) % 2]}")
@@ -514,32 +514,32 @@
 # The gateway's controller
 
 
-class Registrar:
-    """A scripted controller: tells the gateway its servers, lends slices, hands out of the reserve at its whim."""
+class ScriptedController:
+    """The gateway's controller: sends servers and the configuration, leases quotas, grants reserve draws at random."""
 
-    def __init__(self, scene: Scene) -> None:
-        self.scene, self.rng = scene, scene.random("registrar")
-        self.process = scene.network.process("controller", CONTROLLER)
+    def __init__(self, world: ScriptedWorld) -> None:
+        self.world, self.rng = world, world.random("registrar")
+        self.process = world.network.process("controller", CONTROLLER)
         self.link: Link | None = None
-        self.draws: list[tuple[int, ReserveDraw]] = []  # with the life that asked
-        self.said: dict[tuple[int, int], tuple[str, int]] = {}  # by (life, number): tenant, most handed out
-        self.life = 0
-        self.last: bytes = b""
-        scene.network.listen(self.process, lambda: Link(self._heard, self._ended), CONTROLLER, 7660)
-        self._pulse()
-
-    def _ended(self, link: Link) -> None:
+        self.draws: list[tuple[int, ReserveDraw]] = []  # with the gateway's incarnation
+        self.replies: dict[tuple[int, int], tuple[str, int]] = {}  # by (incarnation, number): tenant, largest grant
+        self.incarnation = 0
+        self.previous: bytes = b""
+        world.network.listen(self.process, lambda: Link(self._on_message, self._on_close), CONTROLLER, 7660)
+        self._send_heartbeats()
+
+    def _on_close(self, link: Link) -> None:
         if self.link is link:
             self.link = None
 
-    def _pulse(self) -> None:
+    def _send_heartbeats(self) -> None:
         if self.link is not None:
             self.link.send(SessionHeartbeat(1, 1, True))
-        self.process.loop.call_later(0.25, self._pulse)
+        self.process.loop.call_later(0.25, self._send_heartbeats)
 
-    def _heard(self, link: Link, message: Message) -> None:
+    def _on_message(self, link: Link, message: Message) -> None:
         if isinstance(message, OpenSession):
-            self.link, self.life = link, message.incarnation
+            self.link, self.incarnation = link, message.incarnation
             records = [ServerRecord(name, "s", f"10.1.0.{at + 1}:8080", "z", "v", 8) for at, name in enumerate(SERVERS)]
             link.send(
                 SessionOpened(f"{CONTROLLER}:8407", [f"{CONTROLLER}:8407"], PROTOCOL_VERSION),
@@ -556,61 +556,63 @@
 
     def _draw(self, draw: ReserveDraw) -> None:
         rng = self.rng
-        given = rng.choice((0, 1, 1))
-        self.draws.append((self.life, draw))
-        older = [each for each in self.draws if each[0] != self.life]
-        acts = ("once", "once", "twice", "late", "never", "old", "break")
-        act = rng.choice(acts + ("old",) * 4 * bool(older))
-        if act in ("once", "twice", "late"):
-            self.scene.later(
-                rng.choice((0.0, 0.01, 0.04)) if act != "late" else rng.uniform(0.05, 0.3),
-                self._say,
-                self.life,
+        granted = rng.choice((0, 1, 1))
+        self.draws.append((self.incarnation, draw))
+        older = [each for each in self.draws if each[0] != self.incarnation]
+        actions = ("once", "once", "twice", "late", "never", "old", "break")
+        action = rng.choice(actions + ("old",) * 4 * bool(older))
+        if action in ("once", "twice", "late"):
+            self.world.later(
+                rng.choice((0.0, 0.01, 0.04)) if action != "late" else rng.uniform(0.05, 0.3),
+                self._reply,
+                self.incarnation,
                 draw,
-                given,
+                granted,
             )
-        if act == "twice":
-            self.scene.later(rng.choice((0.0, 0.01, 0.1)), self._say, self.life, draw, given)
-        elif act == "old":
-            # The answer to another draw, which may be of an earlier life of the gateway.
-            self._say(*rng.choice(older or self.draws), 1)
-        elif act == "break":
-            self.scene.later(rng.uniform(0.0, 0.02), self.drop)
-
-    def _say(self, life: int, draw: ReserveDraw, given: int) -> None:
-        # By the name of the gateway, as controllers do: to whatever session it has now.
-        _, before = self.said.get((life, draw.number), ("", 0))
-        self.said[life, draw.number] = draw.tenant, max(before, given)
+        if action == "twice":
+            self.world.later(rng.choice((0.0, 0.01, 0.1)), self._reply, self.incarnation, draw, granted)
+        elif action == "old":
+            # The reply to another draw, possibly of an earlier incarnation of the gateway.
+            self._reply(*rng.choice(older or self.draws), 1)
+        elif action == "break":
+            self.world.later(rng.uniform(0.0, 0.02), self.drop_session)
+
+    def _reply(self, incarnation: int, draw: ReserveDraw, granted: int) -> None:
+        # Like a controller, send to the current session of the gateway with this name.
+        _, before = self.replies.get((incarnation, draw.number), ("", 0))
+        self.replies[incarnation, draw.number] = draw.tenant, max(before, granted)
         if self.link is not None:
-            self.link.send(ReserveDrawReply(draw.gateway, draw.number, given, 0.1))
+            self.link.send(ReserveDrawReply(draw.gateway, draw.number, granted, 0.1))
 
-    def units(self, life: int, tenant: str) -> int:
-        """Requests of a tenant that were handed to a life of the gateway."""
-        return sum(given for (each, _), (name, given) in self.said.items() if (each, name) == (life, tenant))
+    def granted_units(self, incarnation: int, tenant: str) -> int:
+        """Requests of a tenant that were granted to an incarnation of the gateway."""
+        return sum(
+            granted for (each, _), (name, granted) in self.replies.items() if (each, name) == (incarnation, tenant)
+        )
 
-    def drop(self) -> None:
-        """The session ends amid a message."""
+    def drop_session(self) -> None:
+        """Close the session in the middle of a message."""
         if self.link is not None and self.link.open:
-            whole = encode(ReserveDrawReply("d", 1, 1, 0.1))
-            self.link.write(whole[: self.rng.randrange(len(whole))])
+            complete = encode(ReserveDrawReply("d", 1, 1, 0.1))
+            self.link.write(complete[: self.rng.randrange(len(complete))])
             self.link.transport.reset_on_close = self.rng.random() < 0.5
             self.link.close()
 
 
-# Before the control side
+# Callers and a gateway, for schedules of the controllers
 
 
-class CallerEnd(asyncio.Protocol):
-    """A caller's connection; each call knows what may be answered to it."""
+class CallerConnection(asyncio.Protocol):
+    """A caller's connection; each call checks its own answer."""
 
-    def __init__(self, scene: Scene) -> None:
-        self.scene = scene
+    def __init__(self, world: ScriptedWorld) -> None:
+        self.world = world
         self.transport: Any = None
         self.parser = httptools.HttpResponseParser(self)
-        self.asked: deque[Asking] = deque()
+        self.outstanding: deque[Call] = deque()
         self.body: list[bytes] = []
-        self.noisy = False
-        self.over: Callable[[], None] = lambda: None
+        self.sends_garbage = False
+        self.on_all_answered: Callable[[], None] = lambda: None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         self.transport = transport
@@ -628,7 +630,7 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
-            self.scene.wrong(f"a caller was sent what is no answer: {data[:60]!r}")
+            self.world.report_fault(f"a caller received an invalid answer: {data[:60]!r}")
             self.transport.abort()
 
     def on_message_begin(self) -> None:
@@ -640,30 +642,30 @@
     def on_message_complete(self) -> None:
         status = self.parser.get_status_code()
         if 100 <= status < 200:
-            if not self.asked or not self.asked[0].expects:
-                self.scene.wrong(f"a {status} to a call that did not wait for it")
+            if not self.outstanding or not self.outstanding[0].expects:
+                self.world.report_fault(f"interim answer {status} to a call that did not request it")
             return
-        if not self.asked:
-            if not self.noisy:
-                self.scene.wrong(f"an answer {status} to nobody")
+        if not self.outstanding:
+            if not self.sends_garbage:
+                self.world.report_fault(f"answer {status} without a call")
             return
-        asking = self.asked.popleft()
-        self.scene.outcomes[f"{asking.name} {status}"] += 1
-        if not (self.noisy and status == 400):
-            asking.check(status, b"".join(self.body))
-        if not self.asked:
-            self.over()
+        call = self.outstanding.popleft()
+        self.world.outcomes[f"{call.name} {status}"] += 1
+        if not (self.sends_garbage and status == 400):
+            call.check(status, b"".join(self.body))
+        if not self.outstanding:
+            self.on_all_answered()
 
     def eof_received(self) -> None:
         return None
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.scene.outcomes["no answer"] += len(self.asked)
-        self.over()
+        self.world.outcomes["no answer"] += len(self.outstanding)
+        self.on_all_answered()
 
 
-class Asking(msgspec.Struct):
-    """A call, and the check of its answer."""
+class Call(msgspec.Struct):
+    """A call and the check of its answer."""
 
     name: str
     data: bytes
@@ -671,27 +673,27 @@
     expects: bool = False
 
 
-class Teller(asyncio.Protocol):
-    """A scripted gateway with a session at one controller, which has requests under way at servers that leave."""
+class ScriptedGateway(asyncio.Protocol):
+    """A gateway with a session to one controller, which reports requests in flight at leaving servers."""
 
-    def __init__(self, scene: Scene, name: str, ip: str, life: int, busy: dict[str, int]) -> None:
-        self.scene, self.name, self.life, self.busy = scene, name, life, busy
-        self.process = scene.network.process(name, ip)
+    def __init__(self, world: ScriptedWorld, name: str, ip: str, incarnation: int, busy: dict[str, int]) -> None:
+        self.world, self.name, self.incarnation, self.busy = world, name, incarnation, busy
+        self.process = world.network.process(name, ip)
         self.servers = ("", 0)
         self.open("10.0.0.1")
 
     def open(self, at: str) -> None:
-        """Begin a session."""
+        """Open a session."""
         made = self.process.loop.create_future()
-        link = Link(self._heard, lambda link: self.process.loop.call_later(0.2, self.open, at))
-        made.add_done_callback(lambda f: self._made(link, at, f.exception() is None))
-        self.scene.network.dial(self.process, lambda: link, at, 7660, made)
+        link = Link(self._on_message, lambda link: self.process.loop.call_later(0.2, self.open, at))
+        made.add_done_callback(lambda f: self._on_connected(link, at, f.exception() is None))
+        self.world.network.dial(self.process, lambda: link, at, 7660, made)
 
-    def _made(self, link: Link, at: str, up: bool) -> None:
+    def _on_connected(self, link: Link, at: str, up: bool) -> None:
         if not up:
             self.process.loop.call_later(0.2, self.open, at)
             return
-        link.send(OpenSession(self.name, self.life, 1, "z", -1, "", 0, protocol=PROTOCOL_VERSION))
+        link.send(OpenSession(self.name, self.incarnation, 1, "z", -1, "", 0, protocol=PROTOCOL_VERSION))
         self._report(link)
 
     def _report(self, link: Link) -> None:
@@ -699,7 +701,7 @@
             link.send(GatewayReport({}, {}))
             self.process.loop.call_later(0.4, self._report, link)
 
-    def _heard(self, link: Link, message: Message) -> None:
+    def _on_message(self, link: Link, message: Message) -> None:
         if isinstance(message, ServerUpdate):
             self.servers = message.registry, message.position
         elif isinstance(message, InFlightCountRequest):
--- a/crowseam/model_checks/catchup/__init__.py
+++ b/crowseam/model_checks/catchup/__init__.py
@@ -1,1 +1,1 @@
-"""Model check of catching up with the log."""
+"""Model check of log catch-up and snapshot transfer."""
--- a/crowseam/model_checks/cutoff/__init__.py
+++ b/crowseam/model_checks/cutoff/__init__.py
@@ -1,1 +1,1 @@
-"""Model check of controllers that are cut off."""
+"""Model check of partitioned controllers."""
--- a/crowseam/model_checks/handover/__init__.py
+++ b/crowseam/model_checks/handover/__init__.py
@@ -1,1 +1,1 @@
-"""Model check of what a newcomer among the voters has to learn."""
+"""Model check of the state that a majority keeps outside the log."""
