--- a/crowseam/model_checks/handover/check.py
+++ b/crowseam/model_checks/handover/check.py
@@ -1,26 +1,27 @@
-"""Model check of what a majority holds beside the log, while voters are lost and replaced.
-
-`run` plays seeded random schedules on a virtual time: servers that heartbeat, drain and leave at any controller;
-operators who retire them and take it back; a duty that is sought and renewed. Voters crash, lose their disks,
-stand still, are cut off (also one way, also from one other), leave and are replaced, all lose power at once,
-and the next loss likes to come just after something was acknowledged, learned or agreed on. No more are lost
-at once than `survive` says: a machine is lost while it is down, stands still or is cut off, and for SYNC
-seconds after that or after its start. In a third of the schedules links also break as they like; what is said
-of registries then holds from SYNC seconds after they are mended. It watches that
-
-- what is acknowledged (a server drains or is gone; an operator's word) is in that moment on the disks of a
-  majority of the voters, each under the id that it votes with, but for disks just lost;
-- from then on no allowed loss takes the last copy: the voters not lost that hold it are more than may still
-  be lost, and so are the disks that hold it;
-- a newcomer that counts knows all that was acknowledged, and the highest fence held, before it was let in;
-- no controller that has been in touch with a majority for TOLD seconds calls a server usable that was
-  acknowledged as leaving so long ago;
-- one controller at a time holds the duty, and each hand has a higher fence than all before it;
-- in calm times somebody holds the duty, but for a change of hands, and no machine votes that is gone.
-
-The node of the log, its policy of voters, the registries, their repair, the acknowledgements, the duties and
-the handover are the real ones, driven by the real parts of the controller; links, disks and clocks are played.
-All times are seconds; what a class under check is told is its own machine's steady clock.
+"""Model check of the state that a majority keeps outside the log, while voters fail and are replaced.
+
+`run` executes seeded random schedules on a virtual clock: servers send heartbeats, drain and leave at any controller;
+operators retire them and undo it; a role lease is acquired and renewed. Voters crash, lose their disks, freeze, are
+partitioned (also in one direction, or from a single peer), leave and are replaced; all of them may lose power at once.
+Faults tend to follow immediately on an acknowledgement, a state transfer or a change of voters. No more machines are
+lost at once than `survive` allows: a machine counts as lost while it is down, frozen or partitioned, and for
+SYNC_TIME_S after that or after its start. In a third of the schedules links also fail without this limit; the
+invariants on registries then apply from SYNC_TIME_S after the links are restored. The check requires that
+
+- whatever is acknowledged (a server drains or is gone; an operator's request) is at that moment on the disks of a
+  majority of the voters, each under the id that it votes with, except for disks lost just before;
+- from then on no permitted loss removes the last copy: the voters not lost that hold it outnumber the machines that
+  may still be lost, and so do the disks that hold it;
+- a new voter that counts knows everything that was acknowledged, and the highest fencing token held, before it was
+  admitted;
+- no controller that has been in touch with a majority for MAX_PROPAGATION_S considers a server usable whose leaving
+  was acknowledged that long ago;
+- the role has one holder at a time, and each new hold has a higher fencing token than all before it;
+- once the faults have ended, the role has a holder, except while it changes hands, and no removed machine votes.
+
+The consensus node, the voter selection, the registries, their anti-entropy, the acknowledgements, the role leases and
+the voter catch-up are the real ones, driven by the real parts of the controller; links, disks and clocks are simulated.
+All times are in seconds; each class under check gets the time of its own machine's monotonic clock.
 """
 
 from __future__ import annotations
@@ -39,8 +40,7 @@
 from crowseam.consensus.voter_selection import assign_identity
 from crowseam.controller.durable_state import CAUGHT_UP_VOTER_KEY, ROLE_KEY_PREFIX
 from crowseam.controller.lease_service import LeaseService
-from crowseam.controller.leaving_records import NOTE_KEY_PREFIX as RETIRED
-from crowseam.controller.leaving_records import LeavingRecords
+from crowseam.controller.leaving_records import NOTE_KEY_PREFIX, LeavingRecords
 from crowseam.controller.pending_calls import PendingCalls
 from crowseam.controller.retirements import Retirements
 from crowseam.controller.server_reports import REGISTRY_KEY, ServerReports
@@ -61,27 +61,33 @@
 from crowseam.membership.role_voter import RoleLeaseVoter
 from crowseam.membership.sessions import SessionTable
 from crowseam.model_checks.agreement.check import Disk as LogDisk
-from crowseam.model_checks.schedules import Course, Mutant, Report, Violation, play
+from crowseam.model_checks.schedules import EventSimulation, Mutant, Report, Violation, play
 from crowseam.storage.records import Note
 from crowseam.transport.messages import ChangedServers, HeardReports, PeerHeartbeat
 
-STEPS = 30  # acts of a schedule
+STEPS = 30  # actions per schedule
 KEY = "quota/0"
-SIZES = ((3, 1), (6, 1), (6, 2), (8, 1), (8, 2))  # voters, and how many may be lost at once; by the seed
-TICK, PING, TELL, REPAIR, SAVE = 0.05, 0.25, 0.5, 1.0, 1.0  # s, as in the daemon
-SYNC = 4.0  # s for which a machine counts as lost after its start, or after it is back
-STALLED = 1.5  # s after which a link that is cut one way carries nothing the other way either
-BEAT = 1.0  # s between reports of a server
-TOLD = 2.3  # s in touch, and after an acknowledgement, by which a controller has to know of it
-TRACKED = 25.0  # s after which a server that says no more may be forgotten
-LOOK = 0.1  # s between two looks at what must hold
-CALM, WATCHED = 12.0, 2.0  # s without strikes at the end, and of these the last, in which the duty is held
-HANDS = 0.5  # s of the latter for which nobody may hold it, as it may be changing hands
-DRIFT = 0.01  # most that a clock gains or loses
+FLEET_SIZES = ((3, 1), (6, 1), (6, 2), (8, 1), (8, 2))  # (voters, machines that may be lost at once), by the seed
+TICK_S, HEARTBEAT_INTERVAL_S, REPORT_INTERVAL_S, REPAIR_INTERVAL_S, SAVE_INTERVAL_S = (
+    0.05,
+    0.25,
+    0.5,
+    1.0,
+    1.0,
+)  # as in the daemon
+SYNC_TIME_S = 4.0  # time for which a machine counts as lost after its start or recovery
+LINK_STALL_S = 1.5  # time after which a link cut in one direction carries nothing in the other one either
+SERVER_HEARTBEAT_INTERVAL_S = 1.0
+MAX_PROPAGATION_S = 2.3  # time in touch, and since an acknowledgement, after which a controller must know of it
+RETENTION_S = 25.0  # time after which a server without heartbeats may be forgotten
+CHECK_INTERVAL_S = 0.1  # interval between checks of the invariants
+RECOVERY_S, HOLDER_CHECK_S = 12.0, 2.0  # time without faults at the end; its last part, in which the role must be held
+MAX_UNHELD_S = 0.5  # time in the latter without a holder that is tolerated, as the role may change hands
+MAX_CLOCK_ERROR = 0.01  # largest relative error of a clock
 
 
 class CheckedParts(msgspec.Struct, frozen=True):
-    """The classes under check; mutants put others in their place that lack a guard."""
+    """The classes under check; mutants replace them by versions without a guard."""
 
     node: Callable[..., Node] = Node
     pending: Callable[..., replication.PendingAcknowledgements] = replication.PendingAcknowledgements
@@ -93,73 +99,75 @@
 
 
 class Acknowledgement(msgspec.Struct):
-    """What was acknowledged of a server: at least this phase, and this epoch of the operator's."""
+    """The acknowledged state of a server: at least this phase, and this epoch of an operator's request."""
 
     rank: int = 0
     epoch: int = 0
-    at: float = 0.0  # when it was acknowledged first
-    till: float = 0.0  # until when it has to be known
+    at: float = 0.0  # time of the first acknowledgement
+    till: float = 0.0  # time until which controllers have to know it
 
 
 class SimulatedMachine:
-    """What outlives a process: the disk, the clock, and since when it counts as lost."""
+    """The state that survives a process: disk and clock, and until when the machine counts as lost."""
 
     def __init__(self, world: SimulatedFleet, addr: str) -> None:
         self.world, self.addr = world, addr
-        self.speed = 1.0 + world.rng.uniform(-DRIFT, DRIFT)
-        self.zero = world.rng.uniform(100.0, 1e5)
+        self.clock_rate = 1.0 + world.rng.uniform(-MAX_CLOCK_ERROR, MAX_CLOCK_ERROR)
+        self.clock_offset_s = world.rng.uniform(100.0, 1e5)
         self.log = LogDisk()
         self.notes: dict[str, bytes] = {}
-        self.noted: dict[str, ServerRecord] = {}  # what the notes say of servers
-        self.saved: dict[str, ServerRecord] = {}  # what the whole registry on disk says
+        self.noted_records: dict[str, ServerRecord] = {}  # records of servers in the notes on disk
+        self.saved_records: dict[str, ServerRecord] = {}  # records in the registry saved on disk
         self.voting = True
-        self.back_at = 0.0  # until when it counts as lost after it came back
+        self.lost_until = 0.0
         self.wiped = False
 
     def clock(self) -> float:
-        return self.zero + self.world.now * self.speed
+        return self.clock_offset_s + self.world.now * self.clock_rate
 
     def wipe(self) -> None:
-        self.log, self.notes, self.noted, self.saved = LogDisk(), {}, {}, {}
+        self.log, self.notes, self.noted_records, self.saved_records = LogDisk(), {}, {}, {}
 
-    def has(self, ident: str, promise: Acknowledgement) -> bool:
-        """Whether it would still be known after a loss of power."""
-        return _has(self.saved.get(ident), promise) or _has(self.noted.get(RETIRED + ident), promise)
+    def has_on_disk(self, ident: str, acknowledgement: Acknowledgement) -> bool:
+        """Return whether the acknowledged state would survive a power failure."""
+        return _covers(self.saved_records.get(ident), acknowledgement) or _covers(
+            self.noted_records.get(NOTE_KEY_PREFIX + ident), acknowledgement
+        )
 
-    def put(self, note: Note) -> None:
-        """Write a note."""
+    def store_note(self, note: Note) -> None:
+        """Store a note on disk."""
         if note.value is None:
             self.notes.pop(note.key, None)
-            self.noted.pop(note.key, None)
+            self.noted_records.pop(note.key, None)
             return
         self.notes[note.key] = note.value
-        if note.key.startswith(RETIRED):
-            self.noted[note.key] = msgspec.msgpack.decode(note.value, type=ServerRecord)
+        if note.key.startswith(NOTE_KEY_PREFIX):
+            self.noted_records[note.key] = msgspec.msgpack.decode(note.value, type=ServerRecord)
         elif note.key == REGISTRY_KEY:
             records = msgspec.msgpack.decode(note.value, type=list[ServerRecord])
-            self.saved = {record.id: record for record in records}
+            self.saved_records = {record.id: record for record in records}
 
 
 class SimulatedStore:
-    """The disk as the controller's parts see it: writes are synced in order, some at once, and then told of."""
+    """The store used by the controller's parts: writes are synced in order, then their callbacks run."""
 
     def __init__(self, host: SimulatedController) -> None:
-        self.host, self.queue, self.free = host, [], 0.0
+        self.host, self.queue, self.free_at = host, [], 0.0
 
     def write(self, records: list, done: Callable[[bool], None]) -> None:
         world = self.host.world
-        self.free = max(self.free, world.now) + world.rng.uniform(0.001, 0.01)
+        self.free_at = max(self.free_at, world.now) + world.rng.uniform(0.001, 0.01)
         self.queue.append((records, done))
-        world.after(self.free - world.now, self._synced, records, done)
+        world.after(self.free_at - world.now, self._on_synced, records, done)
 
-    def _synced(self, records: list, done: Callable[[bool], None]) -> None:
+    def _on_synced(self, records: list, done: Callable[[bool], None]) -> None:
         if self.host.alive and self.queue and self.queue[0][1] is done:
             self.queue.pop(0)
             self._put(records)
             done(True)
 
     def crash(self) -> None:
-        """Of what is not synced some first part may have reached the disk."""
+        """Lose the pending writes, except for a random prefix that has reached the disk."""
         for records, _ in self.queue[: self.host.world.rng.randint(0, len(self.queue))]:
             self._put(records)
         self.queue = []
@@ -169,25 +177,27 @@
         machine.log.write([record for record in records if not isinstance(record, Note)])
         for record in records:
             if isinstance(record, Note):
-                machine.put(record)
+                machine.store_note(record)
 
 
 class SimulatedPeers:
-    """The links as the controller's parts see them."""
+    """The peer connections used by the controller's parts."""
 
     def __init__(self, host: SimulatedController, node: Node) -> None:
         self.host, self.node, self.me = host, node, host.addr
-        self.detector = FailureDetector(PING)
-        self.began = host.machine.clock()
+        self.detector = FailureDetector(HEARTBEAT_INTERVAL_S)
+        self.started_at = host.machine.clock()
         self.echoes: dict[str, float] = {}
 
     @property
     def dialers(self) -> dict[str, None]:
         return dict.fromkeys(addr for addr in self.host.world.fleet if addr != self.me)
 
-    def on_heartbeat(self, addr: str, ping: PeerHeartbeat, now: float) -> None:
-        self.echoes[addr] = ping.sent_at
-        self.detector.record_heartbeat(addr, now, now - ping.echo if self.began <= ping.echo <= now else None)
+    def on_heartbeat(self, addr: str, heartbeat: PeerHeartbeat, now: float) -> None:
+        self.echoes[addr] = heartbeat.sent_at
+        self.detector.record_heartbeat(
+            addr, now, now - heartbeat.echo if self.started_at <= heartbeat.echo <= now else None
+        )
 
     def send_heartbeats(self, now: float, addr: str = "") -> None:
         self.detector.tick(now)
@@ -219,7 +229,7 @@
 
 
 class NoGateways:
-    """No gateways: what they would be told is read off the registry."""
+    """No gateways are connected: the check reads the registry instead."""
 
     silent: list[str] = []
 
@@ -227,22 +237,22 @@
         self.sessions: dict[str, Any] = {}
 
     def push_changes(self, now: float) -> None:
-        """Nobody listens."""
+        """Do nothing."""
 
 
 class ScriptedCall:
-    """A call of a server or an operator."""
+    """A call by a server or an operator."""
 
-    def __init__(self, body: bytes, answered: Callable[[int], None]) -> None:
-        self.body, self.answered = body, answered
+    def __init__(self, body: bytes, on_reply: Callable[[int], None]) -> None:
+        self.body, self.on_reply = body, on_reply
 
     def reply(self, status: int, body: bytes = b"", **_: Any) -> None:
-        answered, self.answered = self.answered, lambda _: None
-        answered(status)
+        on_reply, self.on_reply = self.on_reply, lambda _: None
+        on_reply(status)
 
 
-class _WatchedSynchronization(VoterSynchronization):
-    """Tells the world of the moments at which a loss would do most harm."""
+class _ObservedSynchronization(VoterSynchronization):
+    """Notifies the world of the moments at which a fault is most critical."""
 
     def __init__(self, host: SimulatedController) -> None:
         super().__init__(
@@ -260,21 +270,21 @@
 
     def _voters_changed(self, now: float) -> None:
         if self.node.is_changing_voters:
-            self._world.moment()
+            self._world.on_critical_moment()
         super()._voters_changed(now)
 
     def _reply_saved(self, number: int) -> None:
         super()._reply_saved(number)
-        self._world.moment()
+        self._world.on_critical_moment()
 
 
 class SimulatedController:
-    """A controller's process, as `crowseam.controller.daemon` puts it together."""
+    """A controller process, assembled as in `crowseam.controller.daemon`."""
 
     def __init__(self, world: SimulatedFleet, machine: SimulatedMachine, bootstrap: bool = False) -> None:
         self.world, self.machine, self.addr = world, machine, machine.addr
         self.alive, self.inbox = True, None
-        self.life = f"{self.addr}.{world.rng.getrandbits(32):x}"
+        self.incarnation = f"{self.addr}.{world.rng.getrandbits(32):x}"
         parts, now = world.parts, machine.clock()
         durable = machine.log.load()
         machine.log.write(assign_identity(durable, self.addr, world.founders, bootstrap, world.rng))
@@ -292,23 +302,28 @@
         )
         counted = machine.notes.get(CAUGHT_UP_VOTER_KEY, b"").decode()
         self.handover = parts.handover(durable.id, durable.id in (counted, f"genesis/{self.addr}"))
-        self.registry = ServiceRegistry(self.life, now)
+        self.registry = ServiceRegistry(self.incarnation, now)
         self.repair, self.pending, self.pending_calls = (
             AntiEntropy(self.registry),
             parts.pending(self.addr),
             PendingCalls(),
         )
         self.peers, self.gateways = SimulatedPeers(self, self.node), NoGateways()
-        remembered = {
+        saved_notes = {
             key.removeprefix(ROLE_KEY_PREFIX): value.decode()
             for key, value in machine.notes.items()
             if key.startswith(ROLE_KEY_PREFIX)
         }
         self.role_leases = parts.role_leases(
-            self.addr, world.rng, now, [KEY], saved_notes=remembered if (remembered or bootstrap) else None
+            self.addr, world.rng, now, [KEY], saved_notes=saved_notes if (saved_notes or bootstrap) else None
         )
         self.lease_service = parts.lease_service(
-            self.role_leases, configured, SessionTable(self.addr, self.life), self.gateways, self.peers, self.store
+            self.role_leases,
+            configured,
+            SessionTable(self.addr, self.incarnation),
+            self.gateways,
+            self.peers,
+            self.store,
         )
         self.leaving_records = parts.leaving_records(self.registry, self.peers, self.gateways, self.store)
         self.retirements = Retirements(None, self.registry, self.pending, self.peers, self.gateways, self.pending_calls)
@@ -324,14 +339,14 @@
             now,
         )
         self.reports.restore(machine.notes, now)
-        self.voter_sync = _WatchedSynchronization(self)
-        self._due_at = dict.fromkeys(("ping", "tell", "repair"), 0.0) | {"save": now + SAVE}
-        self.touch_since: float | None = None
-        self.fence: int | None = None
-        self.counted = self.handover.is_caught_up and self.node.me in world.voters
+        self.voter_sync = _ObservedSynchronization(self)
+        self._due_at = dict.fromkeys(("ping", "tell", "repair"), 0.0) | {"save": now + SAVE_INTERVAL_S}
+        self.in_touch_since: float | None = None
+        self.fencing_token: int | None = None
+        self.is_counted = self.handover.is_caught_up and self.node.me in world.voters
         self._handlers: dict[type, Callable[[str, Any, float], None]] = {
             PeerHeartbeat: self._on_heartbeat,
-            **dict.fromkeys(consensus.Message.__args__, self._agree),
+            **dict.fromkeys(consensus.Message.__args__, self._on_consensus_message),
             **dict.fromkeys(role_messages.Message.__args__, self.lease_service.on_role_message),
             ChangedServers: self.reports.on_changed,
             HeardReports: self.reports.on_heard,
@@ -343,10 +358,10 @@
             StateTransferReply: self.voter_sync.on_reply,
         }
 
-    # What comes
+    # Incoming messages and calls
 
-    def take(self, sender: str, message: Any) -> None:
-        """A message, or a call of `sender` ""."""
+    def receive(self, sender: str, message: Any) -> None:
+        """Handle a message, or a call if `sender` is empty."""
         if self.inbox is not None:
             self.inbox.append((sender, message))
             return
@@ -356,61 +371,61 @@
             message(now)
         else:
             self._handlers[type(message)](sender, message, now)
-        self.world.look_at(self)
+        self.world.check_role_holder(self)
 
     def thaw(self) -> None:
         inbox, self.inbox = self.inbox or [], None
         if self.world.rng.random() < 0.5:
-            self.due()
+            self.run_due_tasks()
         for sender, message in inbox:
             if self.alive:
-                self.take(sender, message)
+                self.receive(sender, message)
 
     def call(self, what: Callable[[ScriptedCall, float], None], call: ScriptedCall) -> None:
-        """A server's or an operator's call."""
-        self.take("", lambda now: what(call, now))
+        """Handle a call by a server or an operator."""
+        self.receive("", lambda now: what(call, now))
 
-    def _on_heartbeat(self, addr: str, ping: PeerHeartbeat, now: float) -> None:
-        self.peers.on_heartbeat(addr, ping, now)
+    def _on_heartbeat(self, addr: str, heartbeat: PeerHeartbeat, now: float) -> None:
+        self.peers.on_heartbeat(addr, heartbeat, now)
         self.node.record_contact(addr, now)
-        self._carry(self.node.observe_slot(addr, ping.last_slot, now))
+        self._apply_effects(self.node.observe_slot(addr, heartbeat.last_slot, now))
 
-    def _agree(self, addr: str, message: Any, now: float) -> None:
-        self._carry(self.node.handle(addr, message, now))
+    def _on_consensus_message(self, addr: str, message: Any, now: float) -> None:
+        self._apply_effects(self.node.handle(addr, message, now))
 
-    def _carry(self, effects: list) -> None:
+    def _apply_effects(self, effects: list) -> None:
         for effect in effects:
             if isinstance(effect, Send):
                 self.peers.post(effect.addr, effect.message)
             elif isinstance(effect, Persist):
-                self.store.write(effect.records, partial(self._kept, effect))
-        self.world.learned(self)
+                self.store.write(effect.records, partial(self._on_persisted, effect))
+        self.world.on_log_advanced(self)
         delay = self.node.next_tick - self.machine.clock()
-        if delay < TICK:
-            self.world.after(max(0.001, delay), self._agree_due)
+        if delay < TICK_S:
+            self.world.after(max(0.001, delay), self._tick_consensus)
 
-    def _kept(self, persist: Persist, ok: bool) -> None:
-        self._carry(list(persist.then))
+    def _on_persisted(self, persist: Persist, ok: bool) -> None:
+        self._apply_effects(list(persist.then))
 
-    def _agree_due(self) -> None:
+    def _tick_consensus(self) -> None:
         now = self.machine.clock()
         if self.alive and self.inbox is None and now >= self.node.next_tick:
-            self._carry(self.node.tick(now))
+            self._apply_effects(self.node.tick(now))
 
     # As in the daemon
 
     def _update_voters(self, now: float) -> None:
         self.voter_sync.update(now)
-        if self.handover.is_caught_up and not self.counted and self.node.me in self.node.voters:
-            self.counted = True
-            self.world.counts(self)
+        if self.handover.is_caught_up and not self.is_counted and self.node.me in self.node.voters:
+            self.is_counted = True
+            self.world.on_voter_counted(self)
 
-    def due(self) -> None:
-        """What the daemon does at each tick."""
+    def run_due_tasks(self) -> None:
+        """Run the daemon's periodic tasks that are due."""
         if self.inbox is not None:
             return
         now, due = self.machine.clock(), self._due_at
-        self._agree_due()
+        self._tick_consensus()
         voters = set(self.peers.voters())
         self.node.learners = [addr for addr in self.peers.dialers if addr not in voters]
         self._update_voters(now)
@@ -419,29 +434,29 @@
         self.lease_service.tick(now, self.peers.reachable(now), voters)
         self.reports.tick(now)
         if now >= due["ping"]:
-            due["ping"] = now + PING
+            due["ping"] = now + HEARTBEAT_INTERVAL_S
             self.peers.send_heartbeats(now)
         if now >= due["tell"]:
-            due["tell"] = now + TELL
+            due["tell"] = now + REPORT_INTERVAL_S
             self.reports.send_heard(now)
             self.registry.expire(now)
         if now >= due["repair"]:
-            due["repair"] = now + REPAIR * self.world.rng.uniform(0.8, 1.2)
+            due["repair"] = now + REPAIR_INTERVAL_S * self.world.rng.uniform(0.8, 1.2)
             if reachable := sorted(self.peers.reachable(now)):
                 self.reports.start_repair(self.world.rng.choice(reachable), now)
         if now >= due["save"]:
-            due["save"] = now + SAVE
+            due["save"] = now + SAVE_INTERVAL_S
             if records := self.reports.unsaved(now):
                 self.store.write(records, self.reports.on_saved)
         if not self.peers.is_majority_reachable(now):
-            self.touch_since = None
-        elif self.touch_since is None:
-            self.touch_since = self.world.now
-        self.world.look_at(self)
+            self.in_touch_since = None
+        elif self.in_touch_since is None:
+            self.in_touch_since = self.world.now
+        self.world.check_role_holder(self)
 
 
-class SimulatedFleet(Course):
-    """Machines, the links between them, servers and what was acknowledged of them."""
+class SimulatedFleet(EventSimulation):
+    """Machines, the links between them, servers and their acknowledged states."""
 
     def __init__(self, seed: int, voters: int, survive: int, parts: CheckedParts) -> None:
         super().__init__(seed)
@@ -449,22 +464,24 @@
         self.founders = [f"10.{1 + n // 2}.0.{4 + n % 2}:8407" for n in range(voters)]
         self.fleet = {addr: SimulatedMachine(self, addr) for addr in self.founders}
         self.hosts: dict[str, SimulatedController] = {}
-        self.gone: set[str] = set()  # lost for good, and not yet replaced among the voters
-        self.last, self.voters = 0, [Voter(f"genesis/{addr}", addr) for addr in self.founders]
-        self.let_in: dict[str, tuple[float, int]] = {}  # id -> when, and the highest fence held before
-        self.shut: dict[tuple[str, str], tuple[float, float]] = {}  # way -> from when until when
-        self.broken: set[tuple[str, str]] = set()  # links that have to be made anew
-        self.arrives: dict[tuple[str, str], float] = {}  # of each link, when its last message comes
-        self.promises: dict[str, Acknowledgement] = {}
+        self.removed: set[str] = set()  # removed machines that have not been replaced among the voters
+        self.newest_slot, self.voters = 0, [Voter(f"genesis/{addr}", addr) for addr in self.founders]
+        self.admitted: dict[str, tuple[float, int]] = {}  # voter id -> admission time, highest earlier token
+        self.blocked_links: dict[tuple[str, str], tuple[float, float]] = {}  # (sender, receiver) -> start, end
+        self.broken_links: set[tuple[str, str]] = set()  # connections that have to be re-established
+        self.last_arrival_at: dict[tuple[str, str], float] = {}  # link -> arrival of its last message
+        self.acknowledgements: dict[str, Acknowledgement] = {}
         self.servers: dict[str, ScriptedServer] = {}
-        self.fences: list[int] = []
-        self.unheld = 0.0  # s for which nobody held the duty, lately
-        self.dark_until = 0.0  # until when all count as lost
-        self.strikes = True
-        self.torn = seed % 3 == 2  # whether links break as they like; then less has to hold meanwhile
+        self.held_fencing_tokens: list[int] = []
+        self.unheld_s = 0.0  # time without a holder of the role
+        self.all_lost_until = 0.0  # until when all machines count as lost
+        self.faults_enabled = True
+        self.has_unlimited_link_faults = (
+            seed % 3 == 2
+        )  # whether links fail without limit, which suspends some invariants
         for addr in self.founders:
             self.start(addr, True)
-        self.after(LOOK, self._check)
+        self.after(CHECK_INTERVAL_S, self._check)
 
     # Machines
 
@@ -473,18 +490,18 @@
             return
         machine = self.fleet[addr]
         if not bootstrap:
-            machine.back_at = self.now + SYNC
+            machine.lost_until = self.now + SYNC_TIME_S
         host = self.hosts[addr] = SimulatedController(self, machine, bootstrap)
         for other in self.fleet:
             if other != addr:
-                self.broken |= {(addr, other), (other, addr)}
-        self.after(self.rng.uniform(0.0, TICK), self._due, host)
+                self.broken_links |= {(addr, other), (other, addr)}
+        self.after(self.rng.uniform(0.0, TICK_S), self._due, host)
 
     def _due(self, host: SimulatedController) -> None:
         if host.alive:
-            host.due()
-            self._mend_links(host)
-            self.after(TICK, self._due, host)
+            host.run_due_tasks()
+            self._reconnect_links(host)
+            self.after(TICK_S, self._due, host)
 
     def crash(self, addr: str, wiped: bool = False) -> None:
         host = self.hosts.pop(addr, None)
@@ -494,166 +511,179 @@
         if wiped:
             self.fleet[addr].wipe()
 
-    def freeze(self, addr: str, span: float) -> None:
+    def freeze(self, addr: str, span_s: float) -> None:
         host = self.hosts.get(addr)
         if host is not None and host.inbox is None:
-            host.inbox, host.touch_since = [], None
-            self.after(span, self._thaw, host)
+            host.inbox, host.in_touch_since = [], None
+            self.after(span_s, self._thaw, host)
 
     def _thaw(self, host: SimulatedController) -> None:
         if host.alive:
-            host.machine.back_at = self.now + SYNC
+            host.machine.lost_until = self.now + SYNC_TIME_S
             host.thaw()
 
-    def cut(self, addr: str, others: Iterable[str], span: float, ways: tuple[bool, bool]) -> None:
-        """Cut a machine off from others for a while: what it says, what it hears."""
+    def cut(self, addr: str, others: Iterable[str], span_s: float, ways: tuple[bool, bool]) -> None:
+        """Partition a machine from others for a while; `ways`: whether sending and receiving fail."""
         for other in others:
-            for way, cut in zip(((addr, other), (other, addr)), ways, strict=True):
+            for link, cut in zip(((addr, other), (other, addr)), ways, strict=True):
                 if cut:
-                    since, until = self.shut.get(way, (self.now, 0.0))
-                    self.shut[way] = (since if until > self.now else self.now, max(until, self.now + span))
+                    since, until = self.blocked_links.get(link, (self.now, 0.0))
+                    self.blocked_links[link] = (since if until > self.now else self.now, max(until, self.now + span_s))
         machine = self.fleet[addr]
-        machine.back_at = max(machine.back_at, self.now + span + SYNC)
+        machine.lost_until = max(machine.lost_until, self.now + span_s + SYNC_TIME_S)
 
     def lost(self) -> set[str]:
-        """The machines of the fleet that count as lost."""
+        """Return the machines that count as lost."""
         return {
             addr
             for addr, machine in self.fleet.items()
             if addr not in self.hosts
             or self.hosts[addr].inbox is not None
-            or self.now < max(machine.back_at, self.dark_until)
-        } | self.gone
+            or self.now < max(machine.lost_until, self.all_lost_until)
+        } | self.removed
 
     def may_lose(self) -> list[str]:
-        """Machines of which one may be lost now."""
+        """Return the machines of which any one may be lost now."""
         lost = self.lost()
         return sorted(self.fleet.keys() - lost) if len(lost) < self.survive else []
 
     # Links
 
-    def _open(self, way: tuple[str, str]) -> bool:
-        since, until = self.shut.get(way, (0.0, 0.0))
+    def _is_open(self, link: tuple[str, str]) -> bool:
+        since, until = self.blocked_links.get(link, (0.0, 0.0))
         if since <= self.now < until:
             return False
-        since, until = self.shut.get(way[::-1], (0.0, 0.0))
-        return not since + STALLED <= self.now < until
+        since, until = self.blocked_links.get(link[::-1], (0.0, 0.0))
+        return not since + LINK_STALL_S <= self.now < until
 
     def send(self, host: SimulatedController, addr: str, message: Any) -> None:
         if not host.alive:
             return
         if addr == host.addr:
-            self.after(0.0, self._own, host, message)
+            self.after(0.0, self._deliver_to_self, host, message)
             return
-        way = (host.addr, addr)
-        if way in self.broken or not self._open(way) or addr not in self.hosts:
-            self.broken.add(way)
+        link = (host.addr, addr)
+        if link in self.broken_links or not self._is_open(link) or addr not in self.hosts:
+            self.broken_links.add(link)
             return
-        delay = self.rng.uniform(0.0005, 0.004) + (self.rng.uniform(0.0, 0.3) if self.rng.random() < self.late else 0.0)
-        at = self.arrives[way] = max(self.arrives.get(way, 0.0), self.now + delay)
+        delay = self.rng.uniform(0.0005, 0.004) + (
+            self.rng.uniform(0.0, 0.3) if self.rng.random() < self.delay_rate else 0.0
+        )
+        at = self.last_arrival_at[link] = max(self.last_arrival_at.get(link, 0.0), self.now + delay)
         self.after(at - self.now, self._arrive, host, self.hosts[addr], message)
 
-    def _own(self, host: SimulatedController, message: Any) -> None:
+    def _deliver_to_self(self, host: SimulatedController, message: Any) -> None:
         if host.alive:
-            host.take(host.addr, message)
+            host.receive(host.addr, message)
 
     def _arrive(self, sender: SimulatedController, host: SimulatedController, message: Any) -> None:
-        way = (sender.addr, host.addr)
-        if not host.alive or not self._open(way):
-            self.broken.add(way)
-        elif way not in self.broken or sender.alive:
-            host.take(sender.addr, message)
-
-    def _mend_links(self, host: SimulatedController) -> None:
-        """Dial again where a link has ended; what was sent meanwhile is lost."""
+        link = (sender.addr, host.addr)
+        if not host.alive or not self._is_open(link):
+            self.broken_links.add(link)
+        elif link not in self.broken_links or sender.alive:
+            host.receive(sender.addr, message)
+
+    def _reconnect_links(self, host: SimulatedController) -> None:
+        """Reconnect closed links; messages sent in the meantime are lost."""
         for other in self.fleet:
-            way = (host.addr, other)
-            if way in self.broken and other in self.hosts and self._open(way) and self._open(way[::-1]):
+            link = (host.addr, other)
+            if link in self.broken_links and other in self.hosts and self._is_open(link) and self._is_open(link[::-1]):
                 if self.rng.random() < 0.3:
-                    self.broken.discard(way)
+                    self.broken_links.discard(link)
                     now = host.machine.clock()
                     host.peers.send_heartbeats(now, other)
                     self.send(host, other, host.repair.offer(now))
 
-    # What is acknowledged
+    # Acknowledgements
 
     def acknowledged(self, host: SimulatedController, ident: str, rank: int = 0, epoch: int = 0) -> None:
-        """A controller has acknowledged a server's word (`rank`), or an operator's (`epoch`)."""
-        voters, word = host.node.voters, Acknowledgement(rank, epoch)
-        # A voter whose disk is lost may have confirmed it with that disk.
-        there = [
+        """Record that a controller acknowledged a server's phase (`rank`) or an operator's request (`epoch`)."""
+        voters, state = host.node.voters, Acknowledgement(rank, epoch)
+        # A voter that has lost its disk since may have confirmed it with that disk.
+        present = [
             machine
             for voter in voters
             if (machine := self.fleet.get(voter.addr)) is not None and machine.log.content.id == voter.id
         ]
-        disks = [machine.addr for machine in there if machine.has(ident, word)]
-        if 2 * (len(disks) + len(voters) - len(there)) <= len(voters):
+        disks = [machine.addr for machine in present if machine.has_on_disk(ident, state)]
+        if 2 * (len(disks) + len(voters) - len(present)) <= len(voters):
             raise Violation(
-                f"{host.addr} acknowledges of {ident} what only {disks} of {len(voters)} voters " f"have on disk"
+                f"{host.addr} acknowledges a state of {ident} that only {disks} of {len(voters)} voters "
+                f"have on disk"
+            )
+        acknowledgement = self.acknowledgements.setdefault(ident, Acknowledgement())
+        if rank > acknowledgement.rank or epoch > acknowledgement.epoch:
+            acknowledgement.rank, acknowledgement.epoch = (
+                max(rank, acknowledgement.rank),
+                max(epoch, acknowledgement.epoch),
             )
-        promise = self.promises.setdefault(ident, Acknowledgement())
-        if rank > promise.rank or epoch > promise.epoch:
-            promise.rank, promise.epoch = max(rank, promise.rank), max(epoch, promise.epoch)
-            promise.at = self.now
+            acknowledgement.at = self.now
             self.outcomes["acknowledged"] += 1
-            self.moment()
-        promise.till = self.now + TRACKED
-
-    # The next loss
-
-    def moment(self) -> None:
-        """Something has just happened after which a loss is at its worst."""
-        if self.strikes and self.rng.random() < 0.35:
-            self.after(self.rng.choice((0.0, 0.001, 0.003, 0.01, 0.05, 0.3, SYNC, SYNC + 0.5)), self.strike)
-
-    def strike(self) -> None:
-        """Lose one machine more, if that is allowed."""
-        able, rng = self.may_lose(), self.rng
-        if self.strikes and self.torn and self.now >= self.dark_until and rng.random() < 0.5:
-            return self.tear()
-        if not self.strikes or not able:
+            self.on_critical_moment()
+        acknowledgement.till = self.now + RETENTION_S
+
+    # Faults
+
+    def on_critical_moment(self) -> None:
+        """Note an event after which a fault is most critical; a fault may follow."""
+        if self.faults_enabled and self.rng.random() < 0.35:
+            self.after(
+                self.rng.choice((0.0, 0.001, 0.003, 0.01, 0.05, 0.3, SYNC_TIME_S, SYNC_TIME_S + 0.5)), self.lose_machine
+            )
+
+    def lose_machine(self) -> None:
+        """Lose one more machine, if that is permitted."""
+        candidates, rng = self.may_lose(), self.rng
+        if (
+            self.faults_enabled
+            and self.has_unlimited_link_faults
+            and self.now >= self.all_lost_until
+            and rng.random() < 0.5
+        ):
+            return self.partition_fleet()
+        if not self.faults_enabled or not candidates:
             return
-        addr = rng.choice(able)
-        span = rng.choice((0.1, 0.5, 1.5, 4.0, 8.0))
+        addr = rng.choice(candidates)
+        span_s = rng.choice((0.1, 0.5, 1.5, 4.0, 8.0))
         kind = rng.choice(("crash", "wipe", "replace", "cut", "one way", "one other", "freeze"))
         self.outcomes[kind] += 1
         if kind == "freeze":
-            return self.freeze(addr, span)
+            return self.freeze(addr, span_s)
         if kind in ("cut", "one way", "one other"):
             others = [other for other in self.fleet if other != addr]
             if kind == "one other":
                 others = rng.sample(others, rng.choice((1, 1, 2)))
             ways = rng.choice(((True, False), (False, True))) if kind == "one way" else (True, True)
-            return self.cut(addr, others, span, ways)
+            return self.cut(addr, others, span_s, ways)
         self.crash(addr, kind != "crash")
         if kind == "replace":
-            self._replace(addr, span)
+            self._replace(addr, span_s)
         else:
-            self.after(span, self.start, addr)
+            self.after(span_s, self.start, addr)
 
-    def _replace(self, addr: str, span: float) -> None:
-        """A machine is lost for good, and another one comes in its place."""
-        self.gone.add(addr)
+    def _replace(self, addr: str, span_s: float) -> None:
+        """Remove a machine permanently, and start a new one in its place."""
+        self.removed.add(addr)
         del self.fleet[addr]
-        self.after(span, self._newcomer)
+        self.after(span_s, self._start_new_machine)
 
-    def _newcomer(self) -> str:
+    def _start_new_machine(self) -> str:
         addr = f"10.9.0.{self.rng.randrange(10, 250)}:8407"
-        while addr in self.fleet or addr in self.gone:
+        while addr in self.fleet or addr in self.removed:
             addr = f"10.9.0.{self.rng.randrange(10, 250)}:8407"
         self.fleet[addr] = SimulatedMachine(self, addr)
         self.start(addr)
         return addr
 
     def retire_voter(self) -> None:
-        """A planned replacement: the successor comes first, then the other one leaves and ends."""
-        able = self.may_lose()
-        if not able:
+        """Replace a voter as planned: the successor starts first, then the voter leaves and stops."""
+        candidates = self.may_lose()
+        if not candidates:
             return
         self.outcomes["planned"] += 1
-        addr = self.rng.choice(able)
-        self._newcomer()
-        self.after(self.rng.choice((0.0, 0.5, SYNC)), self._leave, addr, self.now + 20.0)
+        addr = self.rng.choice(candidates)
+        self._start_new_machine()
+        self.after(self.rng.choice((0.0, 0.5, SYNC_TIME_S)), self._leave, addr, self.now + 20.0)
 
     def _leave(self, addr: str, until: float) -> None:
         host = self.hosts.get(addr)
@@ -665,68 +695,68 @@
             del self.fleet[addr]
         elif self.now < until:
             self.after(0.1, self._leave, addr, until)
-        else:  # nobody has taken its place
+        else:  # no other machine has become a voter in its place
             host.machine.voting = host.node.voting = True
 
-    def tear(self) -> None:
-        """Links break so that the machines fall into two parts, some also within these."""
+    def partition_fleet(self) -> None:
+        """Partition the machines into two groups, and sometimes some links within a group."""
         self.outcomes["torn"] += 1
-        addrs, rng, span = sorted(self.fleet), self.rng, self.rng.choice((1.0, 3.0, 6.0))
-        one = set(rng.sample(addrs, rng.randint(1, len(addrs) - 1)))
-        for addr in one:
-            self.cut(addr, [other for other in addrs if other not in one], span, (True, True))
+        addrs, rng, span_s = sorted(self.fleet), self.rng, self.rng.choice((1.0, 3.0, 6.0))
+        group = set(rng.sample(addrs, rng.randint(1, len(addrs) - 1)))
+        for addr in group:
+            self.cut(addr, [other for other in addrs if other not in group], span_s, (True, True))
         for _ in range(rng.choice((0, 0, 2))):
-            self.cut(*(lambda pair: (pair[0], pair[1:]))(rng.sample(addrs, 2)), span, (True, True))
-        self.dark_until = self.now + span + SYNC
+            self.cut(*(lambda pair: (pair[0], pair[1:]))(rng.sample(addrs, 2)), span_s, (True, True))
+        self.all_lost_until = self.now + span_s + SYNC_TIME_S
 
     def power_loss(self) -> None:
-        """All lose power at once."""
+        """Crash all machines at once."""
         self.outcomes["power"] += 1
         for addr in list(self.fleet):
             self.crash(addr)
             self.after(self.rng.uniform(0.1, 1.0), self.start, addr)
-        self.dark_until = self.now + 1.0 + SYNC
+        self.all_lost_until = self.now + 1.0 + SYNC_TIME_S
 
-    # What must hold
+    # Invariants
 
-    def learned(self, host: SimulatedController) -> None:
-        """A node may know more of the log now."""
-        if host.node.last_slot > self.last:
+    def on_log_advanced(self, host: SimulatedController) -> None:
+        """Track the newest known slot and its voters."""
+        if host.node.last_slot > self.newest_slot:
             voters = list(host.node.voters)
-            self.last = host.node.last_slot
+            self.newest_slot = host.node.last_slot
             if voters != self.voters:
                 for voter in voters:
                     if voter not in self.voters:
-                        self.let_in[voter.id] = self.now, max(self.fences, default=0)
+                        self.admitted[voter.id] = self.now, max(self.held_fencing_tokens, default=0)
                 self.voters = voters
                 self.outcomes["changes of voters"] += 1
-                self.gone &= {voter.addr for voter in voters}
-                self.moment()
+                self.removed &= {voter.addr for voter in voters}
+                self.on_critical_moment()
 
-    def counts(self, host: SimulatedController) -> None:
-        """A newcomer counts from now on."""
+    def on_voter_counted(self, host: SimulatedController) -> None:
+        """Check what a new voter knows once it counts."""
         self.outcomes["newcomers"] += 1
-        at, fence = self.let_in.get(host.node.me.id, (0.0, 0))
+        at, fencing_token = self.admitted.get(host.node.me.id, (0.0, 0))
         if host.handover.timed_out:
             self.outcomes["newcomers untaught"] += 1
             return
-        if host.role_leases.fencing_tokens()[KEY] < fence:
-            raise Violation(f"{host.addr} counts, and does not know fence {fence}")
-        for ident, promise in self.promises.items():
+        if host.role_leases.fencing_tokens()[KEY] < fencing_token:
+            raise Violation(f"{host.addr} counts without knowing fencing token {fencing_token}")
+        for ident, acknowledgement in self.acknowledgements.items():
             if (
-                promise.at < at
-                and self.now < promise.till
-                and not _has(host.registry.get(ident, host.machine.clock()), promise)
+                acknowledgement.at < at
+                and self.now < acknowledgement.till
+                and not _covers(host.registry.get(ident, host.machine.clock()), acknowledgement)
             ):
-                raise Violation(f"{host.addr} counts, and does not know what was acknowledged of {ident}")
+                raise Violation(f"{host.addr} counts without knowing the acknowledged state of {ident}")
 
-    def look_at(self, host: SimulatedController) -> None:
-        """After each message: whether it took the duty."""
-        fence = host.role_leases.held_fencing_token(KEY, host.machine.clock())
-        if fence == host.fence:
+    def check_role_holder(self, host: SimulatedController) -> None:
+        """Check after each message whether the controller has acquired the role."""
+        fencing_token = host.role_leases.held_fencing_token(KEY, host.machine.clock())
+        if fencing_token == host.fencing_token:
             return
-        host.fence = fence
-        if fence is None:
+        host.fencing_token = fencing_token
+        if fencing_token is None:
             return
         others = [
             other.addr
@@ -734,80 +764,84 @@
             if other is not host and other.role_leases.held_fencing_token(KEY, other.machine.clock()) is not None
         ]
         if others:
-            raise Violation(f"{host.addr} takes the duty that {others[0]} holds")
-        if fence in self.fences:
+            raise Violation(f"{host.addr} acquires the role while {others[0]} holds it")
+        if fencing_token in self.held_fencing_tokens:
             return
-        if self.fences and fence < self.fences[-1]:
-            raise Violation(f"{host.addr} takes the duty under fence {fence} after {self.fences[-1]}")
-        self.fences.append(fence)
+        if self.held_fencing_tokens and fencing_token < self.held_fencing_tokens[-1]:
+            raise Violation(
+                f"{host.addr} acquires the role with fencing token {fencing_token} after {self.held_fencing_tokens[-1]}"
+            )
+        self.held_fencing_tokens.append(fencing_token)
         self.outcomes["hands"] += 1
-        self.moment()
+        self.on_critical_moment()
 
     def _check(self) -> None:
-        self.after(LOOK, self._check)
-        holding = [
+        self.after(CHECK_INTERVAL_S, self._check)
+        role_holders = [
             host.addr
             for host in self.hosts.values()
             if host.role_leases.held_fencing_token(KEY, host.machine.clock()) is not None
         ]
-        if len(holding) > 1:
-            raise Violation(f"{' and '.join(holding)} hold the duty")
-        if not holding:
-            self.unheld += LOOK
+        if len(role_holders) > 1:
+            raise Violation(f"{' and '.join(role_holders)} hold the role")
+        if not role_holders:
+            self.unheld_s += CHECK_INTERVAL_S
         lost = self.lost()
         spare = self.survive - len(lost)
-        for ident, promise in self.promises.items():
-            if self.now < promise.till:
+        for ident, acknowledgement in self.acknowledgements.items():
+            if self.now < acknowledgement.till:
                 if spare >= 0:
-                    self._copies(ident, promise, lost, spare)
-                self._usable(ident, promise)
+                    self._check_copies(ident, acknowledgement, lost, spare)
+                self._check_usable(ident, acknowledgement)
 
-    def _copies(self, ident: str, promise: Acknowledgement, lost: set[str], spare: int) -> None:
-        there = [
+    def _check_copies(self, ident: str, acknowledgement: Acknowledgement, lost: set[str], spare: int) -> None:
+        present = [
             self.hosts[voter.addr]
             for voter in self.voters
             if voter.addr not in lost and voter.addr in self.hosts and self.hosts[voter.addr].node.me == voter
         ]
-        holders = [host.addr for host in there if _has(host.registry.get(ident, host.machine.clock()), promise)]
+        holders = [
+            host.addr for host in present if _covers(host.registry.get(ident, host.machine.clock()), acknowledgement)
+        ]
         if len(holders) <= spare:
             raise Violation(
-                f"{spare} more may be lost, and of {len(there)} voters not lost only {holders} "
-                f"know what was acknowledged of {ident}"
+                f"{spare} more machines may be lost, but of {len(present)} voters not lost only {holders} "
+                f"know the acknowledged state of {ident}"
             )
-        disks = [host.addr for host in there if host.machine.has(ident, promise)]
+        disks = [host.addr for host in present if host.machine.has_on_disk(ident, acknowledgement)]
         if len(disks) <= spare:
             raise Violation(
-                f"{spare} more may be lost, and of {len(there)} voters not lost only {disks} "
-                f"have on disk what was acknowledged of {ident}"
+                f"{spare} more machines may be lost, but of {len(present)} voters not lost only {disks} "
+                f"have the acknowledged state of {ident} on disk"
             )
 
-    def _usable(self, ident: str, promise: Acknowledgement) -> None:
-        if self.now < self.dark_until:
+    def _check_usable(self, ident: str, acknowledgement: Acknowledgement) -> None:
+        if self.now < self.all_lost_until:
             return
         for host in self.hosts.values():
             if (
                 host.inbox is None
-                and host.touch_since is not None
-                and (self.now - max(host.touch_since, promise.at) >= TOLD)
+                and host.in_touch_since is not None
+                and (self.now - max(host.in_touch_since, acknowledgement.at) >= MAX_PROPAGATION_S)
             ):
                 record = host.registry.get(ident, host.machine.clock())
-                if record is not None and record.usable and not _has(record, promise):
+                if record is not None and record.usable and not _covers(record, acknowledgement):
                     raise Violation(
-                        f"{host.addr} calls {ident} usable, {self.now - promise.at:.1f} s after "
-                        f"it was acknowledged that it leaves"
+                        f"{host.addr} considers {ident} usable {self.now - acknowledgement.at:.1f} s after "
+                        f"its leaving was acknowledged"
                     )
 
 
-def _has(record: ServerRecord | None, promise: Acknowledgement) -> bool:
+def _covers(record: ServerRecord | None, acknowledgement: Acknowledgement) -> bool:
     return (
         record is not None
-        and PHASE_ORDER[record.phase] >= promise.rank
-        and (record.retired >= promise.epoch or record.phase == "gone")
+        and PHASE_ORDER[record.phase] >= acknowledgement.rank
+        and (record.retired >= acknowledgement.epoch or record.phase == "gone")
     )
 
 
 class ScriptedServer:
-    """A server that reports, drains and leaves."""
+    """A server that sends heartbeats, drains and leaves."""
 
     def __init__(self, world: SimulatedFleet, ident: str) -> None:
         self.world, self.ident, self.seq, self.phase = world, ident, 0, "up"
@@ -819,18 +853,18 @@
         if self.phase == "over":
             return
         self.seq += 1
-        able = [host for host in world.hosts.values() if host.inbox is None]
-        if able:
-            host, phase = rng.choice(able), self.phase
-            call = ScriptedCall(b"", partial(self.answered, host, phase))
+        candidates = [host for host in world.hosts.values() if host.inbox is None]
+        if candidates:
+            host, phase = rng.choice(candidates), self.phase
+            call = ScriptedCall(b"", partial(self.on_reply, host, phase))
             if phase == "gone":
                 host.call(lambda call, now: host.reports.leave(call, self.ident, now), call)
             else:
                 report = Heartbeat("s", f"10.99.0.1:{9000 + int(self.ident)}", "z", "v", 2, phase, self.seq, 0)
                 host.call(lambda call, now: host.reports.heartbeat(call, self.ident, report, now), call)
-        world.after(BEAT if self.phase != "gone" else 0.3, self.heartbeat)
+        world.after(SERVER_HEARTBEAT_INTERVAL_S if self.phase != "gone" else 0.3, self.heartbeat)
 
-    def answered(self, host: SimulatedController, phase: str, status: int) -> None:
+    def on_reply(self, host: SimulatedController, phase: str, status: int) -> None:
         if status == 200 and phase != "up":
             self.world.acknowledged(host, self.ident, PHASE_ORDER[phase])
             if phase == "gone":
@@ -838,97 +872,114 @@
 
 
 class _Schedule:
-    """One random schedule: `steps` acts of servers, operators and fate, each with a wait behind it."""
+    """One random schedule: `steps` actions of servers and operators, and faults, each followed by a wait."""
 
     def __init__(self, seed: int, steps: int, parts: CheckedParts, size: tuple[int, int] | None = None) -> None:
-        voters, survive = size or SIZES[seed % len(SIZES)]
+        voters, survive = size or FLEET_SIZES[seed % len(FLEET_SIZES)]
         self.steps = steps
         self.world = SimulatedFleet(seed, voters, survive, parts)
         self.count = 0
 
     def play(self) -> None:
-        """Play it to its end; raises Violation."""
+        """Run the schedule to its end; raises Violation."""
         world, rng = self.world, self.world.rng
-        world.late = rng.choice((0.0, 0.01, 0.05))
+        world.delay_rate = rng.choice((0.0, 0.01, 0.05))
         for _ in range(4):
-            self._join()
+            self._start_server()
         world.run_until(3.0)
         for _ in range(self.steps):
             rng.choice(self._ACTS)(self)
             world.run_until(world.now + rng.choice((0.002, 0.02, 0.1, 0.4, 1.0, 2.0)))
-        world.strikes = False
-        world.run_until(world.now + CALM - WATCHED)
-        world.unheld = 0.0
-        world.run_until(world.now + WATCHED)
-        if world.unheld > HANDS:
-            raise Violation(f"nobody holds the duty for {world.unheld:.1f} s of {WATCHED:g} s in calm times")
+        world.faults_enabled = False
+        world.run_until(world.now + RECOVERY_S - HOLDER_CHECK_S)
+        world.unheld_s = 0.0
+        world.run_until(world.now + HOLDER_CHECK_S)
+        if world.unheld_s > MAX_UNHELD_S:
+            raise Violation(
+                f"no controller holds the role for {world.unheld_s:.1f} s of {HOLDER_CHECK_S:g} s without faults"
+            )
         if missing := [voter.addr for voter in world.voters if voter.addr not in world.hosts]:
-            raise Violation(f"{', '.join(missing)} still vote and are gone")
+            raise Violation(f"{', '.join(missing)} still vote but are not running")
 
     def _server(self) -> ScriptedServer | None:
-        servers = [one for _, one in sorted(self.world.servers.items()) if one.phase in ("up", "draining")]
+        servers = [server for _, server in sorted(self.world.servers.items()) if server.phase in ("up", "draining")]
         return self.world.rng.choice(servers) if servers else None
 
-    def _join(self) -> None:
+    def _start_server(self) -> None:
         self.count += 1
         self.world.servers[str(self.count)] = ScriptedServer(self.world, str(self.count))
 
-    def _drain(self) -> None:
+    def _drain_server(self) -> None:
         if (server := self._server()) is not None:
             server.phase = "draining"
-            self._join()
+            self._start_server()
 
-    def _end(self) -> None:
-        """A server ends without a word, or with one."""
+    def _stop_server(self) -> None:
+        """Stop a server, with or without announcing it."""
         if (server := self._server()) is not None:
             server.phase = self.world.rng.choice(("gone", "gone", "over"))
-            self._join()
+            self._start_server()
 
-    def _retire(self) -> None:
+    def _retire_server(self) -> None:
         world, server = self.world, self._server()
-        able = [host for host in world.hosts.values() if host.inbox is None]
-        if server is None or not able:
+        candidates = [host for host in world.hosts.values() if host.inbox is None]
+        if server is None or not candidates:
             return
-        host = world.rng.choice(able)
+        host = world.rng.choice(candidates)
         if server.ident not in host.registry:
             return
         undo = world.rng.random() < 0.3
         body, epoch = msgspec.json.encode({"id": server.ident, "undo": undo, "force": True}), []
-        host.call(host.retirements.on_call, ScriptedCall(body, partial(self._retired, host, server.ident, epoch)))
-        # What was written for this call. A majority has it, or what came on top, once it is answered.
+        host.call(
+            host.retirements.on_call, ScriptedCall(body, partial(self._on_retire_reply, host, server.ident, epoch))
+        )
+        # The epoch written for this call. Once the call is answered, a majority has it or a later one.
         if (record := host.registry.get(server.ident, host.machine.clock())) is not None:
             epoch.append(record.retired)
 
-    def _retired(self, host: SimulatedController, ident: str, epoch: list[int], status: int) -> None:
+    def _on_retire_reply(self, host: SimulatedController, ident: str, epoch: list[int], status: int) -> None:
         if status == 200 and epoch and epoch[0]:
             self.world.acknowledged(host, ident, epoch=epoch[0])
 
-    def _strike(self) -> None:
-        self.world.strike()
+    def _lose_machine(self) -> None:
+        self.world.lose_machine()
 
-    def _planned(self) -> None:
+    def _replace_planned(self) -> None:
         self.world.retire_voter()
 
-    def _power(self) -> None:
+    def _lose_power(self) -> None:
         if not self.world.lost():
             self.world.power_loss()
 
-    _ACTS = (_join, _drain, _drain, _end, _retire, _retire, _strike, _strike, _strike, _strike, _planned, _power)
+    _ACTS = (
+        _start_server,
+        _drain_server,
+        _drain_server,
+        _stop_server,
+        _retire_server,
+        _retire_server,
+        _lose_machine,
+        _lose_machine,
+        _lose_machine,
+        _lose_machine,
+        _replace_planned,
+        _lose_power,
+    )
 
 
 def run(
     seeds: Iterable[int], steps: int = STEPS, parts: CheckedParts | None = None, size: tuple[int, int] | None = None
 ) -> Report:
-    """Play one schedule of `steps` acts for each seed; `size`: voters, and losses at once (None: by it)."""
+    """Run one schedule of `steps` actions for each seed; `size`: (voters, permitted losses), None: by the seed."""
     report = Report()
     play(seeds, lambda seed: _Schedule(seed, steps, parts or CheckedParts(), size), report)
     return report
 
 
-# The code without one of its guards.
+# Mutants: the code without one of its guards
 
 
-class _JoinsEmpty(VoterCatchUp):
+class _JoinsWithoutLearning(VoterCatchUp):
     def __init__(self, me: str, was_caught_up: bool) -> None:
         super().__init__(me, True)
 
@@ -944,33 +995,33 @@
             self.ready = self.is_caught_up = True
 
 
-class _AnswersBehind(VoterCatchUp):
+class _AnswersAcrossVoterChange(VoterCatchUp):
     def answer(
         self,
-        learn: StateTransferRequest,
+        request: StateTransferRequest,
         registry: ServiceRegistry,
         fences: dict[str, int],
         slot: int,
         since: int,
         now: float,
     ) -> StateTransferReply | None:
-        return super().answer(learn, registry, fences, learn.voters_slot, learn.log_slot, now)
+        return super().answer(request, registry, fences, request.voters_slot, request.log_slot, now)
 
 
-class _AnswersUntaught(VoterCatchUp):
-    def answer(self, learn: StateTransferRequest, *args: Any) -> StateTransferReply | None:
+class _AnswersBeforeLearning(VoterCatchUp):
+    def answer(self, request: StateTransferRequest, *args: Any) -> StateTransferReply | None:
         counts, self.is_caught_up = self.is_caught_up, True
-        told = super().answer(learn, *args)
+        reply = super().answer(request, *args)
         self.is_caught_up = counts
-        return told
+        return reply
 
 
-class _GoesByAddress(replication.PendingAcknowledgements):
+class _ConfirmsByAddress(replication.PendingAcknowledgements):
     def confirm(self, addr: str, ack: replication.ReplicationAck) -> list:
         return super().confirm(addr, msgspec.structs.replace(ack, voter_id=""))
 
 
-class _KeepsVoters(replication.PendingAcknowledgements):
+class _KeepsOldVoters(replication.PendingAcknowledgements):
     def set_voters(self, voters: Any, log_slot: int) -> None:
         kept = [(entry, entry.voters) for entry in self._waiting.values()]
         super().set_voters(voters, log_slot)
@@ -1004,21 +1055,21 @@
         then()
 
 
-class _WritesAsTold(LeavingRecords):
-    """Writes what it has learned as it was when the answers came."""
+class _PersistsStaleRecords(LeavingRecords):
+    """Persists learned records as they were when the answers arrived."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self._told: list[Note] = []
+        self._learned_notes: list[Note] = []
 
     def learn(self, records: list[ServerRecord], now: float) -> set[str]:
         idents = super().learn(records, now)
-        self._told += super().notes(idents, now)
+        self._learned_notes += super().notes(idents, now)
         return idents
 
     def notes(self, idents: set[str], now: float) -> list[Note]:
-        told, self._told = self._told, []
-        return told
+        notes, self._learned_notes = self._learned_notes, []
+        return notes
 
 
 class _ForgetsEpochs(LeavingRecords):
@@ -1032,17 +1083,17 @@
         super()._send_after_write([])
 
 
-class _NotesNoFence(RoleLeaseVoter):
+class _OmitsTokenFromNote(RoleLeaseVoter):
     def take_unsaved(self) -> dict[str, str]:
         return {key: note.partition(" ")[0] for key, note in super().take_unsaved().items()}
 
 
-class _LearnsNoFence(RoleLeaseVoter):
+class _IgnoresLearnedTokens(RoleLeaseVoter):
     def adopt_fencing_tokens(self, tokens: Mapping[str, int]) -> None:
         pass
 
 
-class _TellsNoFence(RoleLeaseVoter):
+class _OmitsTokenFromGrant(RoleLeaseVoter):
     def on_request(self, sender: str, request: RoleLeaseRequest, now: float) -> list[Outgoing]:
         return [
             Outgoing(addr, msgspec.structs.replace(message, highest_fencing_token=0))
@@ -1052,7 +1103,7 @@
         ]
 
 
-class _NotSilent(RoleLeaseVoter):
+class _GrantsAtOnceAsNewVoter(RoleLeaseVoter):
     def became_voter(self, now: float) -> None:
         until = self._restricted_until
         super().became_voter(now)
@@ -1065,7 +1116,7 @@
         return super()._may_not_grant(request)
 
 
-class _GrantsToThoseBehind(RoleLeaseVoter):
+class _GrantsToOutdatedRequesters(RoleLeaseVoter):
     def _may_not_grant(self, request: RoleLeaseRequest) -> bool:
         return super()._may_not_grant(msgspec.structs.replace(request, log_slot=-1))
 
@@ -1077,7 +1128,7 @@
         return self.awaits_fencing_tokens or context.is_changing_voters or is_behind
 
 
-class _GrantsUntaught(RoleLeaseVoter):
+class _GrantsBeforeLearning(RoleLeaseVoter):
     def _may_not_grant(self, request: RoleLeaseRequest) -> bool:
         self.awaits_fencing_tokens = False
         return super()._may_not_grant(request)
@@ -1090,14 +1141,14 @@
         super().__init__(context, holders, keys, now, saved_notes or {})
 
 
-class _GrantsToAll(RoleLeaseVoter):
+class _GrantsToSeveral(RoleLeaseVoter):
     def on_request(self, sender: str, request: RoleLeaseRequest, now: float) -> list[Outgoing]:
         self.roles[request.key].until = float("-inf")
         return super().on_request(sender, request, now)
 
 
 def roles_with(voter: type[RoleLeaseVoter]) -> type[RoleLeases]:
-    """Role leases whose voter is of this class."""
+    """Return a RoleLeases class whose voter is of the given class."""
     return type(voter.__name__, (RoleLeases,), {"voter_type": voter})
 
 
@@ -1105,8 +1156,8 @@
     return Mutant(guard, lambda seeds: run(seeds, steps, CheckedParts(**parts)), seed, why)
 
 
-_LIVE = "while no more are lost than allowed, a majority that is well confirms within ms"
-_APART = "two majorities with nobody in common take three or five voters parted in the moment of a change"
+_CONFIRMED_FAST = "while no more are lost than allowed, a majority that is well confirms within ms"
+_DISJOINT_MAJORITIES = "two majorities with nobody in common take three or five voters parted in the moment of a change"
 
 MUTANTS = (
     _mutant("a majority that confirms", 0, pending=_CountsFewer),
@@ -1115,71 +1166,71 @@
     _mutant("the operator's epoch in what is known to be on disk", 3, leaving_records=_ForgetsEpochs),
     _mutant(
         "the id in a confirmation: by address only",
-        why=f"by hand: test_discovery.Acknowledging; {_LIVE}",
-        pending=_GoesByAddress,
+        why=f"by hand: test_discovery.Acknowledging; {_CONFIRMED_FAST}",
+        pending=_ConfirmsByAddress,
     ),
     _mutant(
         "the new voters for what waits at a change",
-        why=f"by hand: test_discovery.Acknowledging; {_LIVE}",
-        pending=_KeepsVoters,
+        why=f"by hand: test_discovery.Acknowledging; {_CONFIRMED_FAST}",
+        pending=_KeepsOldVoters,
     ),
     _mutant(
         "the refusal to confirm to those who may not know the voters",
-        why=f"by hand: test_check_handover.ConfirmingTest; {_LIVE}",
+        why=f"by hand: test_check_handover.ConfirmingTest; {_CONFIRMED_FAST}",
         leaving_records=_ConfirmsToAll,
     ),
-    _mutant("learning before it asks to be let in", 3, handover=_JoinsEmpty),
+    _mutant("learning before it asks to be let in", 3, handover=_JoinsWithoutLearning),
     _mutant("learning once more when it is in", 14, handover=_LearnsOnce),
     _mutant(
         "what was learned written as it is known by then",
         why="by hand: test_check_handover.NotesTest; at seed 11346 of an earlier form of the schedules",
-        leaving_records=_WritesAsTold,
+        leaving_records=_PersistsStaleRecords,
     ),
     _mutant(
         "the wait of a voter's answer for the change of voters",
         why="by hand: test_check_handover.LearningTest; "
         "takes an acknowledgement by the voters before within the ms of a change that one of them missed",
-        handover=_AnswersBehind,
+        handover=_AnswersAcrossVoterChange,
     ),
     _mutant(
         "silence of a newcomer that has not learned to other newcomers",
         why="by hand: test_check_handover.LearningTest; takes two newcomers that learn at once",
-        handover=_AnswersUntaught,
+        handover=_AnswersBeforeLearning,
     ),
-    _mutant("one holder at a voter at a time", 1, role_leases=roles_with(_GrantsToAll)),
+    _mutant("one holder at a voter at a time", 1, role_leases=roles_with(_GrantsToSeveral)),
     _mutant(
         "the disk before a grant",
         why="by hand: test_role_leases.GrantOnDiskTest; "
         "takes a voter that ends between a grant and its write and is back within the grant's term",
         lease_service=_GrantsBeforeDisk,
     ),
-    _mutant("the fence in the note on disk", 6, role_leases=roles_with(_NotesNoFence)),
-    _mutant("the fences of a majority told to a newcomer", 1, role_leases=roles_with(_LearnsNoFence)),
-    _mutant("the fence in a grant", 2, role_leases=roles_with(_TellsNoFence)),
+    _mutant("the fence in the note on disk", 6, role_leases=roles_with(_OmitsTokenFromNote)),
+    _mutant("the fences of a majority told to a newcomer", 1, role_leases=roles_with(_IgnoresLearnedTokens)),
+    _mutant("the fence in a grant", 2, role_leases=roles_with(_OmitsTokenFromGrant)),
     _mutant(
         "silence of a newcomer for a term",
-        why=f"by hand: test_role_leases.SeatTest; {_APART}",
-        role_leases=roles_with(_NotSilent),
+        why=f"by hand: test_role_leases.SeatTest; {_DISJOINT_MAJORITIES}",
+        role_leases=roles_with(_GrantsAtOnceAsNewVoter),
     ),
     _mutant(
         "silence while a change of voters is open",
-        why=f"by hand: test_role_leases.SeatTest; {_APART}",
+        why=f"by hand: test_role_leases.SeatTest; {_DISJOINT_MAJORITIES}",
         role_leases=roles_with(_GrantsWhileChanging),
     ),
     _mutant(
         "refusal to askers who may not know the voters",
-        why=f"by hand: test_role_leases.SeatTest; {_APART}",
-        role_leases=roles_with(_GrantsToThoseBehind),
+        why=f"by hand: test_role_leases.SeatTest; {_DISJOINT_MAJORITIES}",
+        role_leases=roles_with(_GrantsToOutdatedRequesters),
     ),
     _mutant(
         "refusal to grant without a vote",
-        why=f"by hand: test_role_leases.SeatTest; {_APART}",
+        why=f"by hand: test_role_leases.SeatTest; {_DISJOINT_MAJORITIES}",
         role_leases=roles_with(_GrantsWithoutVote),
     ),
     _mutant(
         "refusal to grant before it has learned",
         why="by hand: test_role_leases.SeatTest; its silence for a term is longer, unless voters are lost meanwhile",
-        role_leases=roles_with(_GrantsUntaught),
+        role_leases=roles_with(_GrantsBeforeLearning),
     ),
     _mutant(
         "silence after the loss of a disk",
--- a/crowseam/model_checks/membership/__init__.py
+++ b/crowseam/model_checks/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Model check of changes of voters."""
+"""Model check of reconfiguration, the change of voters."""
--- a/crowseam/model_checks/membership/check.py
+++ b/crowseam/model_checks/membership/check.py
@@ -1,21 +1,21 @@
-"""Model check of changes of voters: the next loss strikes at every step of a repair.
+"""Model check of reconfiguration: faults at every step of replacing voters.
 
-The real Node plays over the World of `check`, with as many machines lost at once as operators allow
-(`survive`), in their words: a machine is lost while it is down, frozen or cut off, and for `sync_time`
-seconds after it is back, or after its start if it is new; one that was removed counts in the place of its
-successor until that one has had its time. Machines are replaced with and without notice, lose their disks,
-are restarted, come in addition, and lose power all at once; the next loss waits for a step of the change
-under way: a request to join, a proposed change of voters, a chosen one, the leaver's end.
+The real `Node` runs in the `World` of the agreement check, with up to `survive` machines lost at once, counted as
+operators count: a machine is lost while it is down, frozen or partitioned, and for `sync_time` seconds after it has
+recovered, or after its start if it is new; a removed machine counts in the place of its successor until the successor
+has been up for that time. Machines are replaced with and without notice, lose their disks, restart, are added, and lose
+power all at once; the next fault waits for a step of the reconfiguration under way: a request to join, a proposed
+change of voters, a chosen one, or the end of a leaving machine.
 
-Beyond what World watches, at every chosen entry, loss and return:
+In addition to the invariants of `World`, it checks at every chosen entry, loss and recovery that
 
-- for each set of as many machines as may still be lost, the disks of the others alone give back all that was
-  chosen, and they are a majority of the voters in force;
-- a change of voters adds one at most and strikes off one at most, and leaves 2 * `survive` + 1 or more;
-- a newcomer is let in only if it had asked knowing all but the last few entries chosen by then;
-- nobody votes under the id of a disk that is lost;
+- for each set of as many machines as may still be lost, the disks of the others alone yield everything that was chosen,
+  and they are a majority of the current voters;
+- a change of voters adds at most one and removes at most one, and leaves 2 * `survive` + 1 or more;
+- a new voter is admitted only if it knew all but the last few chosen entries when it asked to join;
+- no machine votes under the id of a lost disk;
 
-and in the end, in calm times, each living machine votes, reads and changes, and no other votes.
+and at the end, without faults, that each running machine votes, reads and writes, and no other machine votes.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 import msgspec
 
-from crowseam.consensus import voter_selection as policy
+from crowseam.consensus import voter_selection
 from crowseam.consensus.acceptor import Acceptor
 from crowseam.consensus.messages import Accepted, JoinRequest, Promise, VotersEntry, decode
 from crowseam.consensus.node import Node
@@ -34,24 +34,33 @@
 from crowseam.consensus.reconfiguration import ReceivedJoinRequest, Reconfiguration
 from crowseam.consensus.records import IdentityRecord
 from crowseam.consensus.timing import Timing
-from crowseam.model_checks.agreement.check import Host, Order, World
+from crowseam.model_checks.agreement.check import ChangeRequest, Host, World
 from crowseam.model_checks.agreement.parts import node_with
 from crowseam.model_checks.schedules import Mutant, Report, Violation, play
 
-STEPS = 12  # acts of a schedule
-SITES = ((3, 1), (3, 1), (4, 1), (5, 2), (6, 1), (6, 2), (8, 1), (8, 2))  # founders, `survive`
-SYNC_TIMES = (4.0, 6.0)  # s
-DISTANCE = 4  # entries chosen that one who asks to join may lack
-PING = 0.25  # s between signs of life
-GRACE = 1.5  # s after SIGTERM in which a controller that leaves waits to be out of the voters
-RETURN = 10.0  # s of calm after which the voters are right again, beyond `sync_time`
-OWED = 1.0  # s in which a read and a change are answered then
+STEPS = 12  # actions per schedule
+FLEET_SIZES = (
+    (3, 1),
+    (3, 1),
+    (4, 1),
+    (5, 2),
+    (6, 1),
+    (6, 2),
+    (8, 1),
+    (8, 2),
+)  # (founders, machines that may be lost at once)
+SYNC_TIMES = (4.0, 6.0)  # seconds
+MAX_JOIN_LAG = 4  # chosen entries that a joining machine may lack
+HEARTBEAT_INTERVAL_S = 0.25
+LEAVE_TIMEOUT_S = 1.5  # time after SIGTERM for which a leaving controller waits until it is no voter
+RECOVERY_S = 10.0  # time without faults, beyond `sync_time`, after which the voters are correct
+MAX_REPLY_S = 1.0  # time in which a read and a change are then answered
 STAGES = ("asked", "proposed", "chosen", "gone", "lost")
 _NEVER = float("inf")
 
 
-class Core(World):
-    """Machines in places: a machine and its successor fill the same place."""
+class ReconfigurationWorld(World):
+    """A world with positions: a machine and its successor hold the same position."""
 
     def __init__(
         self,
@@ -65,242 +74,242 @@
         self.survive = survive
         self.keep_id = keep_id
         self.sync_time = SYNC_TIMES[seed % len(SYNC_TIMES)]
-        self.place: dict[str, str] = {}  # of each machine ever started
-        self.next: dict[str, str] = {}  # the successor of each that was removed
-        self.trouble: dict[str, set[str]] = {}  # what each suffers from just now
-        self.counts_until: dict[str, float] = {}
-        self.dark_until = -1.0  # all are without power, or were until lately
-        self.deaf: set[str] = set()  # those that stand still and lose what comes meanwhile
-        self.awaited: set[str] = set()  # successors of those that are leaving
+        self.positions: dict[str, str] = {}  # machine -> its position, for each machine ever started
+        self.successors: dict[str, str] = {}  # removed machine -> its successor
+        self.current_faults: dict[str, set[str]] = {}  # machine -> its current faults
+        self.lost_until: dict[str, float] = {}
+        self.power_loss_until = -1.0  # until when all machines are, or have recently been, without power
+        self.lossy_frozen: set[str] = set()  # frozen machines that lose incoming messages
+        self.pending_successors: set[str] = set()  # successors of leaving machines
         self.frozen: dict[str, list[tuple[Callable, tuple]]] = {}
-        self.mute: set[tuple[str, str]] = set()  # links, from and to, that lose everything
-        self.wiped: set[str] = set()  # ids of lost disks
-        self.near: set[str] = set()  # ids that have asked to join knowing enough
-        self.resigned: dict[str, float] = {}  # when each asked to leave
-        self.struck: Callable[[str], None] = lambda stage: None
-        self._judged = 0
+        self.dropping_links: set[tuple[str, str]] = set()  # (sender, receiver) of links that drop all messages
+        self.lost_ids: set[str] = set()  # ids of lost disks
+        self.up_to_date_ids: set[str] = set()  # ids that were up to date when they asked to join
+        self.leave_requested_at: dict[str, float] = {}
+        self.on_stage: Callable[[str], None] = lambda stage: None
+        self._checked_slots = 0
 
         super().__init__(seed, founders, node_class, timing, survive=survive)
-        self.after(PING, self._ping)
+        self.after(HEARTBEAT_INTERVAL_S, self._send_heartbeats)
         for addr in founders:
-            self.place[addr], self.trouble[addr], self.counts_until[addr] = addr, set(), -1.0
+            self.positions[addr], self.current_faults[addr], self.lost_until[addr] = addr, set(), -1.0
 
-    # Who is lost
+    # Which machines are lost
 
     def lost(self, addr: str) -> bool:
-        """Whether operators count this machine as lost just now."""
-        if addr not in self.trouble:
+        """Return whether operators count this machine as lost now."""
+        if addr not in self.current_faults:
             return True  # not started yet
         if self.hosts[addr].gone:
-            return self.lost(self.next[addr])
-        return bool(self.trouble[addr]) or self.now < self.counts_until[addr]
+            return self.lost(self.successors[addr])
+        return bool(self.current_faults[addr]) or self.now < self.lost_until[addr]
 
     def spare(self) -> int:
-        """How many more places may be lost at once."""
-        return self.survive - len({self.place[addr] for addr in self.place if self.lost(addr)})
-
-    def may_strike(self, addr: str) -> bool:
-        """Whether this machine may be lost now: one may be spared, or it counts as lost already."""
-        return self.now >= self.dark_until and (self.spare() >= 1 or self.lost(addr))
-
-    def ail(self, addr: str, what: str) -> None:
-        """From now on the machine counts as lost by this trouble."""
-        self.trouble[addr].add(what)
-        self.judge()
-        self.struck("lost")
-
-    def heal(self, addr: str, what: str) -> None:
-        """The trouble is over; the machine counts as lost for `sync_time` longer."""
-        if what in self.trouble[addr]:
-            self.trouble[addr].discard(what)
-            self._counts(addr)
-
-    def _counts(self, addr: str) -> None:
-        self.counts_until[addr] = self.now + self.sync_time
-        self.after(self.sync_time + 1e-6, self.judge)
-
-    # What strikes
-
-    def begin(self, addr: str, place: str | None = None) -> None:
-        """A new machine starts, in a place of its own or in that of one that was removed."""
-        self.place[addr], self.trouble[addr] = place or addr, set()
-        self._counts(addr)
+        """Return how many more positions may be lost at once."""
+        return self.survive - len({self.positions[addr] for addr in self.positions if self.lost(addr)})
+
+    def may_fail(self, addr: str) -> bool:
+        """Return whether this machine may be lost now: another loss is permitted, or it already counts as lost."""
+        return self.now >= self.power_loss_until and (self.spare() >= 1 or self.lost(addr))
+
+    def mark_lost(self, addr: str, cause: str) -> None:
+        """Count the machine as lost because of this fault."""
+        self.current_faults[addr].add(cause)
+        self.check_survivability()
+        self.on_stage("lost")
+
+    def end_fault(self, addr: str, cause: str) -> None:
+        """End a fault; the machine counts as lost for `sync_time` longer."""
+        if cause in self.current_faults[addr]:
+            self.current_faults[addr].discard(cause)
+            self._extend_loss(addr)
+
+    def _extend_loss(self, addr: str) -> None:
+        self.lost_until[addr] = self.now + self.sync_time
+        self.after(self.sync_time + 1e-6, self.check_survivability)
+
+    # Faults
+
+    def start_new(self, addr: str, position: str | None = None) -> None:
+        """Start a new machine, in a position of its own or in that of a removed machine."""
+        self.positions[addr], self.current_faults[addr] = position or addr, set()
+        self._extend_loss(addr)
         self.start(addr)
         node = self.hosts[addr].node
         node.ready_to_vote = False
         self.after(self.rng.choice((0.0, 0.0, 0.3, 1.5, 2.0)), setattr, node, "ready_to_vote", True)
 
-    def kill(self, addr: str, lose_disk: bool = False) -> None:
-        """A machine goes down, and loses its disk if so told."""
+    def stop_machine(self, addr: str, lose_disk: bool = False) -> None:
+        """Stop a machine; its disk is optionally lost."""
         self.thaw(addr)
         old = self.hosts[addr].disk.content.id
         self.crash(addr, lose_disk)
         if lose_disk:
-            self.wiped.add(old)
+            self.lost_ids.add(old)
             if self.keep_id:
                 self.hosts[addr].disk.write([IdentityRecord(old)])
-        self.ail(addr, "down")
+        self.mark_lost(addr, "down")
 
-    def revive(self, addr: str) -> None:
-        """A machine that is down comes back."""
+    def restart_machine(self, addr: str) -> None:
+        """Start a machine that is down."""
         if not self.hosts[addr].gone:
             self.start(addr)
-            self.heal(addr, "down")
+            self.end_fault(addr, "down")
 
     def remove(self, addr: str, successor: str) -> None:
-        """A machine is removed for good, disk and all; `successor` is or will be started in its place."""
+        """Remove a machine and its disk; `successor` was or will be started in its position."""
         self.thaw(addr)
         host = self.hosts[addr]
-        self.wiped.add(host.disk.content.id)
+        self.lost_ids.add(host.disk.content.id)
         self.crash(addr, lose_disk=True)
         host.gone = True
-        self.next[addr] = successor
-        if successor in self.place:
-            self.place[successor] = self.place[addr]
-        self.judge()
-        self.struck("gone")
+        self.successors[addr] = successor
+        if successor in self.positions:
+            self.positions[successor] = self.positions[addr]
+        self.check_survivability()
+        self.on_stage("gone")
 
     def freeze(self, addr: str, seconds: float, deaf: bool) -> None:
-        """A machine stands still; what comes to it meanwhile waits, or is lost to a `deaf` one."""
+        """Freeze a machine; incoming messages wait, or are lost if `deaf`."""
         if addr not in self.frozen:
             self.frozen[addr] = []
             if deaf:
-                self.deaf.add(addr)
+                self.lossy_frozen.add(addr)
             self.after(seconds, self.thaw, addr)
-            self.ail(addr, "frozen")
+            self.mark_lost(addr, "frozen")
 
     def thaw(self, addr: str) -> None:
-        """A machine that stood still goes on, with all that waits for it."""
-        self.deaf.discard(addr)
+        """Resume a frozen machine, which then handles everything that waits for it."""
+        self.lossy_frozen.discard(addr)
         for what, args in self.frozen.pop(addr, ()):
             what(*args)
-        self.heal(addr, "frozen")
+        self.end_fault(addr, "frozen")
 
-    def part(self, addr: str, seconds: float, way: str) -> None:
-        """A machine hears nobody (`in`), is heard by nobody (`out`), or both."""
+    def partition(self, addr: str, seconds: float, way: str) -> None:
+        """Partition a machine: it receives nothing (`in`), its messages are lost (`out`), or both."""
         others = [other for other in self.hosts if other != addr]
         links = [(other, addr) for other in others if way != "out"]
         links += [(addr, other) for other in others if way != "in"]
-        self.mute.update(links)
-        self.after(seconds, self.mute.difference_update, links)
-        self.after(seconds, self.heal, addr, f"parted {self.now}")
-        self.ail(addr, f"parted {self.now}")
-
-    def darken(self) -> None:
-        """All lose power; those that were up come back within a second."""
-        up = [host.addr for host in self.hosts.values() if host.node is not None]
-        self.dark_until = self.now + 1.0 + self.sync_time
-        for addr in up:
+        self.dropping_links.update(links)
+        self.after(seconds, self.dropping_links.difference_update, links)
+        self.after(seconds, self.end_fault, addr, f"parted {self.now}")
+        self.mark_lost(addr, f"parted {self.now}")
+
+    def power_off_all(self) -> None:
+        """Cut the power of all machines; those that were running restart within a second."""
+        running = [host.addr for host in self.hosts.values() if host.node is not None]
+        self.power_loss_until = self.now + 1.0 + self.sync_time
+        for addr in running:
             self.thaw(addr)
             self.crash(addr)
-            self.after(self.rng.uniform(0.1, 1.0), self._light, addr)
-        self.after(1.0 + self.sync_time + 1e-6, self.judge)
+            self.after(self.rng.uniform(0.1, 1.0), self._power_on, addr)
+        self.after(1.0 + self.sync_time + 1e-6, self.check_survivability)
 
-    def _light(self, addr: str) -> None:
-        if "down" not in self.trouble[addr]:
+    def _power_on(self, addr: str) -> None:
+        if "down" not in self.current_faults[addr]:
             self.start(addr)
 
     def leave(self, addr: str, successor: str) -> None:
-        """SIGTERM for good: the machine asks to leave, and ends once it has left, or after GRACE.
+        """Stop a machine permanently by SIGTERM: it asks to leave, and ends once it has left, or after LEAVE_TIMEOUT_S.
 
-        Should it be struck meanwhile, it counts as any other does, and the successor is a further machine.
+        If a fault hits it meanwhile, it counts as any other machine, and the successor is an additional machine.
         """
-        self.awaited.add(successor)
-        self.resigned[addr] = self.now
+        self.pending_successors.add(successor)
+        self.leave_requested_at[addr] = self.now
         node = self.hosts[addr].node
-        self._carry(self.hosts[addr], node.leave(self.now))
-        self._wait(addr, successor, node, self.now + GRACE)
+        self._run_effects(self.hosts[addr], node.leave(self.now))
+        self._await_leave(addr, successor, node, self.now + LEAVE_TIMEOUT_S)
 
-    def _wait(self, addr: str, successor: str, node: Node, end: float) -> None:
+    def _await_leave(self, addr: str, successor: str, node: Node, end: float) -> None:
         if self.hosts[addr].gone:
-            self.awaited.discard(successor)
-        elif self.hosts[addr].node is not node or self.trouble[addr]:
-            self.awaited.discard(successor)
+            self.pending_successors.discard(successor)
+        elif self.hosts[addr].node is not node or self.current_faults[addr]:
+            self.pending_successors.discard(successor)
             node.voting, node._reconfiguration.is_leaving = True, False
         elif node.has_left or self.now >= end:
             self.outcomes["left" if node.has_left else "gone unasked"] += 1
-            self.awaited.discard(successor)
+            self.pending_successors.discard(successor)
             self.remove(addr, successor)
         else:
-            self.after(0.01, self._wait, addr, successor, node, end)
+            self.after(0.01, self._await_leave, addr, successor, node, end)
 
-    def rest(self, addr: str) -> None:
-        """SIGTERM for a restart: the machine leaves if enough remain, ends, and comes back with its disk.
+    def restart_gracefully(self, addr: str) -> None:
+        """Restart a machine by SIGTERM: it leaves if enough voters remain, ends, and starts again with its disk.
 
         It counts as lost from the SIGTERM on.
         """
-        self.resigned[addr] = self.now
-        self.ail(addr, "stopping")
+        self.leave_requested_at[addr] = self.now
+        self.mark_lost(addr, "stopping")
         node = self.hosts[addr].node
-        self._carry(self.hosts[addr], node.leave(self.now))
-        self._end(addr, node, self.now + GRACE)
+        self._run_effects(self.hosts[addr], node.leave(self.now))
+        self._await_end(addr, node, self.now + LEAVE_TIMEOUT_S)
 
-    def _end(self, addr: str, node: Node, end: float) -> None:
+    def _await_end(self, addr: str, node: Node, end: float) -> None:
         if self.hosts[addr].node is not node:
-            self.heal(addr, "stopping")
+            self.end_fault(addr, "stopping")
         elif node.should_wait_to_leave and self.now < end:
-            self.after(0.01, self._end, addr, node, end)
+            self.after(0.01, self._await_end, addr, node, end)
         else:
             self.outcomes["restarted"] += 1
-            self.kill(addr)
-            self.heal(addr, "stopping")
-            self.after(0.3, self.revive, addr)
+            self.stop_machine(addr)
+            self.end_fault(addr, "stopping")
+            self.after(0.3, self.restart_machine, addr)
 
     # Events
 
     def after(self, delay: float, what: Callable, *args: Any) -> None:
-        """As Course has it; what concerns a machine that stands still waits for it."""
-        super().after(delay, self._fire, what, args)
+        """Schedule an event; events of a frozen machine wait until it resumes."""
+        super().after(delay, self._run_event, what, args)
 
-    def _fire(self, what: Callable, args: tuple) -> None:
+    def _run_event(self, what: Callable, args: tuple) -> None:
         if self.frozen and args:
-            heard = what in (self._deliver, self._pinged)
-            owner = args[0].addr if isinstance(args[0], Host) else args[1] if heard else None
+            is_message = what in (self._deliver, self._on_heartbeat)
+            owner = args[0].addr if isinstance(args[0], Host) else args[1] if is_message else None
             if owner in self.frozen:
-                if not heard or owner not in self.deaf:
+                if not is_message or owner not in self.lossy_frozen:
                     self.frozen[owner].append((what, args))
                 return
         what(*args)
-        if len(self.chosen) != self._judged:
-            for slot in range(self._judged + 1, len(self.chosen) + 1):
+        if len(self.chosen) != self._checked_slots:
+            for slot in range(self._checked_slots + 1, len(self.chosen) + 1):
                 self._check_voters(slot)
-            self._judged = len(self.chosen)
-            self.judge()
+            self._checked_slots = len(self.chosen)
+            self.check_survivability()
 
-    def carry(self, what: Callable, *args: Any) -> None:
-        """As Course has it; some links lose everything, and what is said is watched."""
+    def transmit(self, what: Callable, *args: Any) -> None:
+        """Send a message unless its link drops it; joins, votes and proposals are observed here."""
         source, at, _, data = args[:4]
         if b"c.knock" in data:
-            self._asks(decode(data))
+            self._on_join_request_sent(decode(data))
         elif b"c.promise" in data or b"c.accepted" in data:
             message = decode(data)
-            if isinstance(message, Promise | Accepted) and message.voter in self.wiped:
+            if isinstance(message, Promise | Accepted) and message.voter in self.lost_ids:
                 raise Violation(f"{source} votes under the id of a lost disk")
         elif b"c.accept" in data and b"voters" in data:
-            self.struck("proposed")
-        if (source, at) not in self.mute:
-            super().carry(what, *args)
-
-    def _ping(self) -> None:
-        """Signs of life between all machines, as in the daemon."""
-        self.after(PING, self._ping)
-        up = [host for host in self.hosts.values() if host.node is not None and host.addr not in self.frozen]
-        for host in up:
+            self.on_stage("proposed")
+        if (source, at) not in self.dropping_links:
+            super().transmit(what, *args)
+
+    def _send_heartbeats(self) -> None:
+        """Exchange heartbeats between all machines, as in the daemon."""
+        self.after(HEARTBEAT_INTERVAL_S, self._send_heartbeats)
+        running = [host for host in self.hosts.values() if host.node is not None and host.addr not in self.frozen]
+        for host in running:
             for addr in self.hosts:
-                if addr != host.addr and (host.addr, addr) not in self.mute:
-                    super().carry(self._pinged, host.addr, addr, host.node.last_slot)
+                if addr != host.addr and (host.addr, addr) not in self.dropping_links:
+                    super().transmit(self._on_heartbeat, host.addr, addr, host.node.last_slot)
 
-    def _pinged(self, sender: str, addr: str, last: int) -> None:
+    def _on_heartbeat(self, sender: str, addr: str, last: int) -> None:
         host = self.hosts[addr]
         if host.node is not None:
-            self._carry(host, host.node.observe_slot(sender, last, self.now))
+            self._run_effects(host, host.node.observe_slot(sender, last, self.now))
 
-    # What must hold
+    # Invariants
 
-    def _asks(self, message: JoinRequest) -> None:
-        if message.slot >= len(self.chosen) - DISTANCE:
-            self.near.add(message.voter.id)
-        self.struck("asked")
+    def _on_join_request_sent(self, message: JoinRequest) -> None:
+        if message.slot >= len(self.chosen) - MAX_JOIN_LAG:
+            self.up_to_date_ids.add(message.voter.id)
+        self.on_stage("asked")
 
     def _check_voters(self, slot: int) -> None:
         entry = self.chosen[slot]
@@ -313,258 +322,286 @@
             raise Violation(f"slot {slot} leaves {len(new)} voters")
         for voter in old - new:
             node = self.hosts[voter.addr].node
-            asked = self.now - self.resigned.get(voter.addr, -_NEVER) < self.sync_time
+            asked = self.now - self.leave_requested_at.get(voter.addr, -_NEVER) < self.sync_time
             if node is not None and node.me == voter and not asked and not self.lost(voter.addr):
-                raise Violation(f"{voter.addr} was struck off at slot {slot} though it is well")
+                raise Violation(f"{voter.addr} was removed from the voters at slot {slot} although it is healthy")
         for voter in new - old:
-            if voter.id not in self.near:
-                raise Violation(f"{voter.addr} was let in at slot {slot} though it was far behind")
+            if voter.id not in self.up_to_date_ids:
+                raise Violation(f"{voter.addr} was admitted at slot {slot} although it was far behind")
         self.outcomes["voters"] += 1
-        self.struck("chosen")
+        self.on_stage("chosen")
 
-    def judge(self) -> None:
-        """Whether what is chosen outlives the loss of each set of machines that may still be lost."""
-        spare = self.spare() if self.now >= self.dark_until else 0
-        alive = [addr for addr in self.place if not self.hosts[addr].gone and not self.lost(addr)]
+    def check_survivability(self) -> None:
+        """Check that all chosen entries survive the loss of each set of machines that may still be lost."""
+        spare = self.spare() if self.now >= self.power_loss_until else 0
+        alive = [addr for addr in self.positions if not self.hosts[addr].gone and not self.lost(addr)]
         if spare < 0:
             return
-        known = {addr: self._known(addr) for addr in alive}
-        for some in combinations(alive, min(spare, len(alive))):
-            left = [addr for addr in alive if addr not in some]
-            if fault := self._unreadable(left, max((known[addr] for addr in left), default=0)):
-                raise Violation(f"should {' and '.join(some) or 'no other'} be lost, {fault}")
+        known = {addr: self._last_known_slot(addr) for addr in alive}
+        for lost_set in combinations(alive, min(spare, len(alive))):
+            left = [addr for addr in alive if addr not in lost_set]
+            if problem := self._find_unrecoverable(left, max((known[addr] for addr in left), default=0)):
+                raise Violation(f"if {' and '.join(lost_set) or 'no other'} were lost, {problem}")
 
-    def _known(self, addr: str) -> int:
+    def _last_known_slot(self, addr: str) -> int:
         held = self.hosts[addr].disk.content
         last = held.snapshot.slot if held.snapshot is not None else -1
         while last + 1 in held.chosen:
             last += 1
         return last
 
-    def _unreadable(self, left: list[str], known: int) -> str | None:
-        """What `left` alone can't do: `known` is the last slot that the best informed of them knows."""
+    def _find_unrecoverable(self, left: list[str], known: int) -> str | None:
+        """Return why `left` alone can't serve the log, or None; `known`: the newest slot that any of them knows."""
         last = len(self.chosen)
         for slot in range(known + 1, last + 2):
             voters = self.voters[slot - 1]
-            need = len(voters) // 2 + 1
-            there = [v for v in voters if v.addr in left and self.hosts[v.addr].disk.content.id == v.id]
+            majority = len(voters) // 2 + 1
+            present = [v for v in voters if v.addr in left and self.hosts[v.addr].disk.content.id == v.id]
             names = ", ".join(f"{v.addr}" for v in voters)
-            if len(there) < need:
-                return f"{', '.join(left)} are no majority of {names} for slot {slot}"
-            if slot <= last and need <= sum(not self.hosts[v.addr].disk.holds(slot, self.chosen[slot]) for v in there):
-                return f"slot {slot} is lost to {', '.join(left)} of {names}"
+            if len(present) < majority:
+                return f"{', '.join(left)} are not a majority of {names} for slot {slot}"
+            if slot <= last and majority <= sum(
+                not self.hosts[v.addr].disk.holds(slot, self.chosen[slot]) for v in present
+            ):
+                return f"slot {slot} can't be recovered by {', '.join(left)} of {names}"
         return None
 
 
 class _Schedule:
-    """Acts of operators and of fate, each with a loss that waits for a step of what follows."""
+    """Actions of operators and faults, each followed by a fault at a step of the resulting reconfiguration."""
 
     def __init__(self, seed: int, steps: int, node_class: Callable[..., Node], keep_id: bool) -> None:
-        founders, survive = SITES[seed % len(SITES)]
+        founders, survive = FLEET_SIZES[seed % len(FLEET_SIZES)]
         names = [f"m{at}" for at in range(founders)]
         timing = Timing(kept_slots=(4, 64)[seed // 8 % 2], poll_all_voters=False)
-        self.world = Core(seed, names, survive, node_class, timing, keep_id)
-        self.world.struck = self._step
+        self.world = ReconfigurationWorld(seed, names, survive, node_class, timing, keep_id)
+        self.world.on_stage = self._on_stage
         self.steps = steps
         self._count = founders
-        self._most = founders + 1
+        self._max_machines = founders + 1
         self._ver = 0
-        self._armed: str | None = None
-        self._busy = True
+        self._awaited_stage: str | None = None
+        self._is_active = True
 
     def play(self) -> None:
         world, rng = self.world, self.world.rng
-        # Links are TCP: what a dead machine said comes at once or never, and what comes late comes to one
-        # that stood still.
-        world.loss, world.doubled = (rng.choice((0.0, 0.0, 0.02)) for _ in range(2))
-        world.sync = rng.choice((0.002, 0.02))
+        # Links are TCP: messages of a stopped machine arrive at once or never; only messages to a frozen machine arrive
+        # late.
+        world.loss_rate, world.duplicate_rate = (rng.choice((0.0, 0.0, 0.02)) for _ in range(2))
+        world.sync_s = rng.choice((0.002, 0.02))
         world.run_until(0.5)
-        self._operate()
+        self._submit_requests()
         for _ in range(self.steps):
             if rng.random() < 0.5:
                 world.run_until(world.now + rng.choice((0.002, 0.3, 1.0, 2.0)))
             else:
-                self._recover()
-            self._armed = rng.choice((None, *STAGES))
+                self._await_recovery()
+            self._awaited_stage = rng.choice((None, *STAGES))
             rng.choice(self._ACTS)(self)
-        self._end()
+        self._check_recovery()
 
-    def _recover(self) -> None:
-        """Time goes on until nobody counts as lost, or for a while if someone stays so."""
+    def _await_recovery(self) -> None:
+        """Wait until no machine counts as lost, for at most 8 s."""
         world = self.world
         end = world.now + 8.0
-        while world.now < end and (world.spare() < world.survive or world.now < world.dark_until):
+        while world.now < end and (world.spare() < world.survive or world.now < world.power_loss_until):
             world.run_until(world.now + 0.5)
         world.run_until(world.now + world.rng.choice((0.0, 0.001, 0.1)))
 
-    def _end(self) -> None:
+    def _check_recovery(self) -> None:
         world = self.world
-        self._armed, self._busy = None, False
-        world.steady()
-        world.sync = 0.002
+        self._awaited_stage, self._is_active = None, False
+        world.clear_link_faults()
+        world.sync_s = 0.002
         for addr in list(world.frozen):
             world.thaw(addr)
-        world.mute.clear()
-        world.run_until(world.now + max(0.0, world.dark_until - world.now))
+        world.dropping_links.clear()
+        world.run_until(world.now + max(0.0, world.power_loss_until - world.now))
         for host in world.hosts.values():
             if not host.gone:
-                world.revive(host.addr)
-        world.run_until(world.now + world.sync_time + RETURN)
+                world.restart_machine(host.addr)
+        world.run_until(world.now + world.sync_time + RECOVERY_S)
         live = sorted(host.addr for host in world.hosts.values() if not host.gone)
         voting = sorted(voter.addr for voter in world.voters[len(world.chosen)])
         if voting != live:
-            raise Violation(f"in calm times {', '.join(voting)} vote, and {', '.join(live)} live")
+            raise Violation(f"without faults {', '.join(voting)} vote, but {', '.join(live)} are running")
         for addr in live:
             world.read(addr, f"end/{addr}")
-        world.run_until(world.now + OWED)
+        world.run_until(world.now + MAX_REPLY_S)
         for addr in live:
             if not isinstance(world.answers.get(f"end/{addr}"), ReadReady):
-                raise Violation(f"{addr} cannot read in calm times")
+                raise Violation(f"{addr} cannot serve a read without faults")
         for addr in live:
             self._ver += 1
-            world.submit(addr, f"last/{addr}", Order(self._ver, world.vers[len(world.chosen)]))
-            world.run_until(world.now + OWED)
+            world.submit(addr, f"last/{addr}", ChangeRequest(self._ver, world.versions[len(world.chosen)]))
+            world.run_until(world.now + MAX_REPLY_S)
             if not isinstance(world.answers.get(f"last/{addr}"), Committed):
-                raise Violation(f"{addr} takes no change in calm times")
+                raise Violation(f"{addr} accepts no change without faults")
 
     # Operators
 
-    def _operate(self) -> None:
-        """Operators change the configuration and read it all the time, now and then in a burst."""
+    def _submit_requests(self) -> None:
+        """Submit configuration changes and reads continuously, sometimes in bursts."""
         world, rng = self.world, self.world.rng
-        if not self._busy:
+        if not self._is_active:
             return
-        if (up := self._up()) and rng.random() < 0.8:
+        if (running := self._running()) and rng.random() < 0.8:
             self._ver += 1
-            order = Order(self._ver, world.vers[len(world.chosen)])
-            world.submit(rng.choice(up), f"{self._ver}", order, 2.0)
-        elif up:
-            world.read(rng.choice(up), f"read/{world.events}")
-        world.after(rng.choice((0.03, 0.03, 0.3, 1.0)), self._operate)
+            order = ChangeRequest(self._ver, world.versions[len(world.chosen)])
+            world.submit(rng.choice(running), f"{self._ver}", order, 2.0)
+        elif running:
+            world.read(rng.choice(running), f"read/{world.events}")
+        world.after(rng.choice((0.03, 0.03, 0.3, 1.0)), self._submit_requests)
 
-    def _up(self) -> list[str]:
+    def _running(self) -> list[str]:
         hosts = self.world.hosts.values()
         return [host.addr for host in hosts if host.node is not None and host.addr not in self.world.frozen]
 
-    def _new(self) -> str:
+    def _next_name(self) -> str:
         self._count += 1
         return f"m{self._count - 1}"
 
-    def _machines(self) -> int:
+    def _machine_count(self) -> int:
         return sum(not host.gone for host in self.world.hosts.values())
 
-    # Fate
+    # Faults
 
-    def _step(self, stage: str) -> None:
-        """A step of a change: if the next loss waits for it, it comes within milliseconds."""
-        if stage == self._armed:
-            self._armed = None
+    def _on_stage(self, stage: str) -> None:
+        """Handle a step of a reconfiguration: a fault that waits for it follows within milliseconds."""
+        if stage == self._awaited_stage:
+            self._awaited_stage = None
             rng = self.world.rng
-            self.world.after(rng.choice((0.0, 0.001, 0.003, 0.006, 0.02, 0.2)), self._strike)
+            self.world.after(rng.choice((0.0, 0.001, 0.003, 0.006, 0.02, 0.2)), self._inject_fault)
 
-    def _victims(self) -> list[str]:
+    def _fault_candidates(self) -> list[str]:
         world = self.world
-        return [addr for addr in self._up() if not world.trouble[addr] and world.may_strike(addr)]
+        return [addr for addr in self._running() if not world.current_faults[addr] and world.may_fail(addr)]
 
-    def _strike(self) -> None:
-        if self._busy and (victims := self._victims()):
-            self.world.rng.choice(self._LOSSES)(self, self.world.rng.choice(victims))
+    def _inject_fault(self) -> None:
+        if self._is_active and (candidates := self._fault_candidates()):
+            self.world.rng.choice(self._FAULTS)(self, self.world.rng.choice(candidates))
 
     def _crash(self, addr: str) -> None:
-        self.world.kill(addr)
-        self.world.after(self.world.rng.choice((0.01, 0.5, 5.0, 20.0)), self.world.revive, addr)
+        self.world.stop_machine(addr)
+        self.world.after(self.world.rng.choice((0.01, 0.5, 5.0, 20.0)), self.world.restart_machine, addr)
 
     def _damage(self, addr: str) -> None:
-        """Down, and up again with a disk on which the last entries can't be read any more."""
-        self.world.kill(addr)
+        """Restart a machine with a disk whose last entries can't be read."""
+        self.world.stop_machine(addr)
         disk = self.world.hosts[addr].disk
-        held, disk.damaged = disk.content, True
+        held, disk.has_missing_rows = disk.content, True
         for slot in sorted(held.chosen)[-self.world.rng.randint(1, 4) :]:
             if held.snapshot is not None and slot > held.snapshot.slot:
                 del held.chosen[slot]
-        self.world.after(self.world.rng.choice((0.01, 0.5)), self.world.revive, addr)
+        self.world.after(self.world.rng.choice((0.01, 0.5)), self.world.restart_machine, addr)
 
     def _wipe(self, addr: str) -> None:
-        self.world.kill(addr, lose_disk=True)
-        self.world.after(self.world.rng.choice((0.01, 0.5, 3.0)), self.world.revive, addr)
+        self.world.stop_machine(addr, lose_disk=True)
+        self.world.after(self.world.rng.choice((0.01, 0.5, 3.0)), self.world.restart_machine, addr)
 
     def _replace(self, addr: str) -> None:
-        """Removed without notice; an empty machine at another address comes 1 s later."""
-        if addr in self.world.awaited:
-            return self._crash(addr)  # two machines, and one to come, would be a place too many
-        successor = self._new()
+        """Remove a machine without notice; an empty one at another address starts 1 s later."""
+        if addr in self.world.pending_successors:
+            return self._crash(addr)  # two machines and a pending one would exceed one position
+        successor = self._next_name()
         self.world.remove(addr, successor)
-        self.world.after(1.0, self._follow, successor, addr)
+        self.world.after(1.0, self._start_successor, successor, addr)
 
-    def _follow(self, successor: str, addr: str) -> None:
-        self.world.begin(successor, self.world.place[addr])
+    def _start_successor(self, successor: str, addr: str) -> None:
+        self.world.start_new(successor, self.world.positions[addr])
 
     def _freeze(self, addr: str) -> None:
         rng = self.world.rng
         self.world.freeze(addr, rng.choice((0.7, 3.0, 20.0)), rng.random() < 0.5)
 
-    def _part(self, addr: str) -> None:
+    def _partition_machine(self, addr: str) -> None:
         rng = self.world.rng
-        self.world.part(addr, rng.choice((1.0, 3.0, 20.0)), rng.choice(("in", "out", "both")))
+        self.world.partition(addr, rng.choice((1.0, 3.0, 20.0)), rng.choice(("in", "out", "both")))
 
-    def _plan(self) -> None:
-        """The new one first, then SIGTERM of the old, at once or when the new one has had its time."""
+    def _replace_planned(self) -> None:
+        """Start a new machine, then stop the old one by SIGTERM, at once or after `sync_time`."""
         world = self.world
-        if world.spare() >= 1 and (victims := self._victims()) and self._machines() < self._most:
-            old, new = world.rng.choice(victims), self._new()
-            world.begin(new)
-            gap = world.rng.choice((0.05, 0.3, 1.0, world.sync_time + 0.001, world.sync_time + 0.001))
-            world.after(gap, self._release, old, new)
-
-    def _release(self, old: str, new: str) -> None:
-        """SIGTERM, if both are well; the place of the old one is that of the new one from here on."""
+        if (
+            world.spare() >= 1
+            and (candidates := self._fault_candidates())
+            and self._machine_count() < self._max_machines
+        ):
+            old, new = world.rng.choice(candidates), self._next_name()
+            world.start_new(new)
+            delay = world.rng.choice((0.05, 0.3, 1.0, world.sync_time + 0.001, world.sync_time + 0.001))
+            world.after(delay, self._stop_replaced, old, new)
+
+    def _stop_replaced(self, old: str, new: str) -> None:
+        """Stop the old machine if both are healthy; the new one takes its position."""
         world = self.world
-        if not self._busy or world.hosts[new].gone or world.trouble[new] or world.hosts[old].gone:
+        if not self._is_active or world.hosts[new].gone or world.current_faults[new] or world.hosts[old].gone:
             return
-        if world.trouble[old] or world.hosts[old].node is None or world.hosts[new].node is None:
+        if world.current_faults[old] or world.hosts[old].node is None or world.hosts[new].node is None:
             return
         world.leave(old, new)
 
-    def _restart(self) -> None:
+    def _restart_machine(self) -> None:
         world = self.world
-        if world.spare() >= 1 and (victims := self._victims()):
-            world.rest(world.rng.choice(victims))
-
-    def _add(self) -> None:
-        if self.world.spare() >= 1 and self._machines() < self._most:
-            self.world.begin(self._new())
-
-    def _dark(self) -> None:
-        if self.world.now >= self.world.dark_until:
-            self.world.darken()
-
-    _LOSSES = (_crash, _crash, _wipe, _wipe, _replace, _replace, _damage, _freeze, _part, _part)
-    _ACTS = (_strike, _strike, _strike, _strike, _plan, _plan, _plan, _restart, _add, _dark)
+        if world.spare() >= 1 and (candidates := self._fault_candidates()):
+            world.restart_gracefully(world.rng.choice(candidates))
+
+    def _add_machine(self) -> None:
+        if self.world.spare() >= 1 and self._machine_count() < self._max_machines:
+            self.world.start_new(self._next_name())
+
+    def _power_off(self) -> None:
+        if self.world.now >= self.world.power_loss_until:
+            self.world.power_off_all()
+
+    _FAULTS = (
+        _crash,
+        _crash,
+        _wipe,
+        _wipe,
+        _replace,
+        _replace,
+        _damage,
+        _freeze,
+        _partition_machine,
+        _partition_machine,
+    )
+    _ACTS = (
+        _inject_fault,
+        _inject_fault,
+        _inject_fault,
+        _inject_fault,
+        _replace_planned,
+        _replace_planned,
+        _replace_planned,
+        _restart_machine,
+        _add_machine,
+        _power_off,
+    )
 
 
 def run(
     seeds: Iterable[int], steps: int = STEPS, node_class: Callable[..., Node] = Node, keep_id: bool = False
 ) -> Report:
-    """Play one random schedule of `steps` acts for each seed."""
+    """Run one random schedule of `steps` actions for each seed."""
     report = Report()
     play(seeds, lambda seed: _Schedule(seed, steps, node_class, keep_id), report)
     return report
 
 
-class _AnyDistance(Node):
+class _AdmitsOutdated(Node):
     def _on_join_request(self, sender, message):
         if not self.voters:
             return []
         return super()._on_join_request(sender, JoinRequest(message.voter, self.last_slot))
 
 
-class _Floorless(Acceptor):
+class _VotesAgain(Acceptor):
     def _redirect(self, sender, slot):
         self._highest_chosen_slot = 0
         return super()._redirect(sender, slot)
 
 
-class _Together(Reconfiguration):
+class _ChangesSeveral(Reconfiguration):
     def _wanted_voters(self):
         wanted = super()._wanted_voters()
         if wanted is None:
@@ -576,8 +613,8 @@
         return sorted({*stay, *joining}) or wanted
 
 
-class _Unsure(Reconfiguration):
-    """Adds though another voter is silent."""
+class _AddsDespiteSilence(Reconfiguration):
+    """Adds a voter although another one is silent."""
 
     def _wanted_voters(self):
         timing = self._context.timing
@@ -588,8 +625,8 @@
             self._context.timing = timing
 
 
-class _Frozen(Node):
-    """Takes its own freeze for the silence of the others."""
+class _IgnoresOwnPause(Node):
+    """Mistakes its own pause for silence of the others."""
 
     def _set_clock(self, now):
         contacts = self._contacts
@@ -600,8 +637,8 @@
             contacts.heard_at, contacts.listening_since = heard_at, since
 
 
-class _Remembers(Reconfiguration):
-    """Lets in those who asked at any time."""
+class _KeepsOldJoinRequests(Reconfiguration):
+    """Admits machines however old their request is."""
 
     def _wanted_voters(self):
         now = self._context.now
@@ -609,17 +646,17 @@
         return super()._wanted_voters()
 
 
-class _Forgets(Reconfiguration):
-    """Knows no longer that a silent voter asked to leave."""
+class _ForgetsLeaveRequests(Reconfiguration):
+    """Forgets that a silent voter asked to leave."""
 
     def _wanted_voters(self):
-        late = self._context.now - 2.5 * self._context.timing.join_interval_s
-        self._leaving = {i: when for i, when in self._leaving.items() if when >= late}
+        oldest_kept = self._context.now - 2.5 * self._context.timing.join_interval_s
+        self._leaving = {i: when for i, when in self._leaving.items() if when >= oldest_kept}
         return super()._wanted_voters()
 
 
-class _Credulous(Reconfiguration):
-    """Lets in who asked before the voters in force were known to it."""
+class _AcceptsOutdatedJoinRequests(Reconfiguration):
+    """Admits machines that asked before the current voters were known to it."""
 
     def _wanted_voters(self):
         since, self._log.voters_slot = self._log.voters_slot, 0
@@ -629,35 +666,35 @@
             self._log.voters_slot = since
 
 
-class _Blaming(Reconfiguration):
-    """Takes its own deafness for the silence of the others."""
+class _IgnoresOwnIsolation(Reconfiguration):
+    """Mistakes its own isolation for silence of the others."""
 
     def _restart_silence_if_isolated(self):
         pass
 
 
-class _Starving(Node):
-    """Waits for its turn anew after each entry."""
+class _RestartsTurn(Node):
+    """Restarts the wait for its turn after each entry."""
 
     def _slot_advanced(self):
         super()._slot_advanced()
         self._reconfiguration.cancel_planned_change()
 
 
-class _Abrupt(Reconfiguration):
-    """Ends as soon as it knows that it is removed."""
+class _LeavesOnceRemoved(Reconfiguration):
+    """Ends as soon as it knows that it was removed."""
 
     has_left = property(lambda self: self._context.me not in self._log.voters)
 
 
-class _Deserter(Reconfiguration):
-    """Ends at once."""
+class _LeavesAtOnce(Reconfiguration):
+    """Ends without waiting."""
 
     has_left = property(lambda self: True)
 
 
-class _Dismissive(Reconfiguration):
-    """Removes who asks to leave, successor or not."""
+class _RemovesWithoutSuccessor(Reconfiguration):
+    """Removes a voter that asks to leave even without a successor."""
 
     def _wanted_voters(self):
         wanted, voters = super()._wanted_voters(), self._log.voters
@@ -665,7 +702,7 @@
         return wanted if len(stay) in (0, len(voters)) else stay[: len(voters) - 1]
 
 
-class _Crowd(Reconfiguration):
+class _ProposesSeveral(Reconfiguration):
     """Proposes further changes of voters while one of its own is under way."""
 
     def check_voters(self):
@@ -677,59 +714,59 @@
         return effects
 
 
-_replaced_by = policy._replaced_by
+_replaced_by = voter_selection._replaced_by
 
 
 def _without(mutant: type = Node, keep_id: bool = False, **functions: Any) -> Callable[..., Report]:
-    """Plays with another node or part of one, and with other functions in `voter_selection`."""
+    """Return a run with another node or part of one, and with replaced functions in `voter_selection`."""
     node_class = mutant if issubclass(mutant, Node) else node_with(mutant)
 
     def play_mutant(seeds: Iterable[int]) -> Report:
-        kept = {name: getattr(policy, name) for name in functions}
+        kept = {name: getattr(voter_selection, name) for name in functions}
         try:
             for name, function in functions.items():
-                setattr(policy, name, function)
+                setattr(voter_selection, name, function)
             return run(seeds, STEPS, node_class, keep_id)
         finally:
             for name, function in kept.items():
-                setattr(policy, name, function)
+                setattr(voter_selection, name, function)
 
     return play_mutant
 
 
 MUTANTS = (
-    Mutant("the distance of one that asks to join", _without(_AnyDistance), 5),
-    Mutant("one voter at a time", _without(_Together), 13),
+    Mutant("the distance of one that asks to join", _without(_AdmitsOutdated), 5),
+    Mutant("one voter at a time", _without(_ChangesSeveral), 13),
     Mutant(
         "the floor below which a lost vote is not given again",
-        _without(_Floorless),
+        _without(_VotesAgain),
         why="by hand: test_consensus.Failures; a damaged disk and voters that are behind are more than may be lost",
     ),
     Mutant("a new id for an empty disk", _without(keep_id=True), 1),
-    Mutant("nobody added while another is silent", _without(_Unsure), 5),
+    Mutant("nobody added while another is silent", _without(_AddsDespiteSilence), 5),
     Mutant("a majority in earshot", _without(is_majority_heard=lambda *_: True), 150),
     Mutant("the least number of voters", _without(minimum_voters=lambda survive: 1), 0),
-    Mutant("a successor before a leaver is struck off", _without(_Dismissive), 11),
+    Mutant("a successor before a leaver is struck off", _without(_RemovesWithoutSuccessor), 11),
     Mutant(
         "the deafness of one's own freeze",
-        _without(_Frozen),
+        _without(_IgnoresOwnPause),
         why="by hand: test_check_membership.Requests; "
         "where no majority is heard at once, the guard of one's own deafness covers it",
     ),
     Mutant(
         "requests to join that lapse",
-        _without(_Remembers),
+        _without(_KeepsOldJoinRequests),
         why="by hand: test_check_membership.Requests; "
         "a request is void once the voters changed, and a dead newcomer counts as a loss",
     ),
     Mutant(
         "requests to leave that outlive the leaver",
-        _without(_Forgets),
+        _without(_ForgetsLeaveRequests),
         why="by hand: test_check_membership.Leaving; "
         "takes a leaver that ends in haste, and a newcomer before its silence is known",
     ),
-    Mutant("a leaver that waits until the others know", _without(_Abrupt), 25),
-    Mutant("a leaver that waits", _without(_Deserter), 1),
+    Mutant("a leaver that waits until the others know", _without(_LeavesOnceRemoved), 25),
+    Mutant("a leaver that waits", _without(_LeavesAtOnce), 1),
     Mutant("a newcomer in the place of one that is gone", _without(_replaced_by=lambda *_: []), 1),
     Mutant(
         "a leaver kept while another is silent",
@@ -742,24 +779,24 @@
     ),
     Mutant(
         "requests to join that know the voters in force",
-        _without(_Credulous),
+        _without(_AcceptsOutdatedJoinRequests),
         why="by hand: test_check_membership.Requests; "
         "takes two losses of one disk, and a request that waits in a machine that stands still",
     ),
     Mutant(
         "the silence of others that is one's own deafness",
-        _without(_Blaming),
+        _without(_IgnoresOwnIsolation),
         why="by hand: test_check_membership.Requests; takes a link that comes back later than those of a majority",
     ),
     Mutant(
         "a turn that outlasts other entries",
-        _without(_Starving),
+        _without(_RestartsTurn),
         why="by hand: test_check_membership.Requests; not reached in 700 schedules, at seed 277 of an earlier form of "
         "them",
     ),
     Mutant(
         "one proposal at a time of each voter",
-        _without(_Crowd),
+        _without(_ProposesSeveral),
         why="by hand: test_check_membership.Requests; "
         "no matter for safety: each is judged anew after each slot, but a voter would flood the others",
     ),
--- a/crowseam/model_checks/operations/__init__.py
+++ b/crowseam/model_checks/operations/__init__.py
@@ -1,1 +1,1 @@
-"""The model check of keyed operations."""
+"""Model check of keyed operations."""
--- a/crowseam/model_checks/operations/machines.py
+++ b/crowseam/model_checks/operations/machines.py
@@ -1,4 +1,4 @@
-"""The processes of the check: controllers and gateways as they run, on virtual time, disk and links of the check."""
+"""Controllers and gateways of the model check: the real code on simulated time, disks and links."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 KEY_WINDOW_S = 5.0
 SYNC_S = 0.002
-SESSION_SILENCE_S = 0.6  # after which a gateway leaves a controller that it hears nothing of
+SESSION_SILENCE_S = 0.6  # longest time until a gateway leaves an unreachable controller
 RECONNECT_S = 0.2
 TICK_S = 0.05
 CONFIGURATION = b"""{"ver":"00000001","parent":"00000000","objs":[
@@ -39,7 +39,7 @@
 
 
 class Process:
-    """One life of a process: as much of an event loop as the daemons' parts need here."""
+    """One run of a process: the part of the event loop interface that the code under check uses."""
 
     def __init__(self, world: World, addr: str) -> None:
         self.world = world
@@ -47,21 +47,21 @@
         self.is_alive = True
 
     def time(self) -> float:
-        """The loop's time, s."""
+        """The loop's time in seconds."""
         return self.world.now
 
     def call_later(self, delay: float, call: Callable[..., object], *args: Any) -> Timer:
-        """Call it after `delay` seconds, unless the process has ended by then."""
+        """Call `call` after `delay` seconds, unless the process has ended by then."""
         timer = Timer()
         self.world.after(max(0.0, delay), self._run, timer, call, args)
         return timer
 
-    def call_at(self, at: float, call: Callable[..., object], *args: Any) -> Timer:
-        """Call it at a time of the loop."""
-        return self.call_later(at - self.world.now, call, *args)
+    def call_at(self, due_at: float, call: Callable[..., object], *args: Any) -> Timer:
+        """Call `call` at a time of the loop."""
+        return self.call_later(due_at - self.world.now, call, *args)
 
     def call_soon(self, call: Callable[..., object], *args: Any) -> Timer:
-        """Call it in the next turn."""
+        """Call `call` in the next iteration."""
         return self.call_later(0.0, call, *args)
 
     def _run(self, timer: Timer, call: Callable[..., object], args: tuple[Any, ...]) -> None:
@@ -74,18 +74,18 @@
 
 
 class Timer:
-    """A call that is due."""
+    """A scheduled call."""
 
     def __init__(self) -> None:
         self.is_cancelled = False
 
     def cancel(self) -> None:
-        """It is not made."""
+        """Cancel the call."""
         self.is_cancelled = True
 
 
 class Disk:
-    """A controller's disk: rows last once they are synced; a loss of power may take what is not."""
+    """A controller's disk: synced rows are durable, others may be lost with the power."""
 
     def __init__(self, world: World) -> None:
         self.world = world
@@ -96,11 +96,11 @@
         self.voter_id = ""
 
     def wipe(self) -> None:
-        """All is lost, the voter's id too."""
+        """Lose everything, including the voter id."""
         self.rows, self.notes, self.voter_id = {}, {}, ""
 
-    def keep(self, records: list[StoredRecord]) -> None:
-        """Take records in."""
+    def apply(self, records: list[StoredRecord]) -> None:
+        """Apply records."""
         for record in records:
             rows = self.rows if isinstance(record, OperationRow) else self.notes
             assert isinstance(record, OperationRow | Note)
@@ -111,7 +111,7 @@
 
 
 class Store:
-    """What the operation service has of a `ControllerStore`."""
+    """The part of `ControllerStore` that the operation service uses."""
 
     def __init__(self, process: Process, disk: Disk, is_founder: bool) -> None:
         self.process = process
@@ -122,35 +122,35 @@
         self.unsynced: list[list[StoredRecord]] = []
 
     def operations(self) -> list[bytes]:
-        """The records that the disk has."""
+        """The operation records on the disk."""
         return list(self.disk.rows.values())
 
     def write(self, records: list[StoredRecord], done: Callable[[bool], None]) -> None:
-        """Call `done` once they are synced."""
+        """Write records, and call `done` once they are synced or have failed."""
         self.unsynced.append(records)
         world = self.process.world
         delay = SYNC_S * world.rng.uniform(0.8, 1.5) + max(0.0, self.disk.hangs_until - world.now)
-        at = max(world.now + delay, getattr(self, "_last_at", 0.0))  # in the order given
-        self._last_at = at
-        world.after(at - world.now, self._synced, records, done)
+        due_at = max(world.now + delay, getattr(self, "_last_at", 0.0))  # writes complete in order
+        self._last_at = due_at
+        world.after(due_at - world.now, self._synced, records, done)
 
     def _synced(self, records: list[StoredRecord], done: Callable[[bool], None]) -> None:
         if not self.process.is_alive:
             return
         self.unsynced.remove(records)
         if not self.disk.is_full:
-            self.disk.keep(records)
+            self.disk.apply(records)
         self.process.call_soon(done, not self.disk.is_full)
 
     def lose_power(self) -> None:
-        """Of what is not synced some first writes are there, and the rest is not."""
+        """Keep a random prefix of the unsynced writes."""
         count = self.process.world.rng.randint(0, len(self.unsynced))
         for records in self.unsynced[:count]:
-            self.disk.keep(records)
+            self.disk.apply(records)
 
 
 class Node:
-    """What the operation service has of the consensus node: who votes, as far as is known here."""
+    """The part of the consensus node that the operation service uses: the voters known to this controller."""
 
     def __init__(self, me: Voter) -> None:
         self.me = me
@@ -161,7 +161,7 @@
 
 
 class Peers:
-    """What the operation service has of the links to other controllers."""
+    """The links to other controllers, as the operation service uses them."""
 
     def __init__(self, world: World, process: Process, node: Node) -> None:
         self.world = world
@@ -170,11 +170,11 @@
         self.me = node.me.addr
 
     def voter_ids(self) -> dict[str, str]:
-        """The ids of the voters, by address."""
+        """Ids of the voters, by address."""
         return {voter.addr: voter.id for voter in self.node.voters}
 
     def reachable(self, _: float) -> set[str]:
-        """Those with which both ways are open."""
+        """Addresses of the running controllers to which links are open in both directions."""
         return {
             addr
             for addr, controller in self.world.controllers.items()
@@ -182,27 +182,27 @@
         }
 
     def post(self, addr: str, message: object) -> None:
-        """Send a message, to ourselves too."""
+        """Send a message to a controller, possibly this one."""
         if addr == self.me:
             self.process.call_soon(self.world.controllers[addr].receive, self.me, message)
         else:
             self.world.send(self.me, addr, message)
 
     def post_all(self, outgoing: list[tuple[str, object]]) -> None:
-        """Send each of these."""
+        """Send messages, given with their addresses."""
         for addr, message in outgoing:
             self.post(addr, message)
 
 
 class Session:
-    """A gateway's session, as the operation service has it."""
+    """A gateway's session, as the operation service uses it."""
 
     def __init__(self, gateway: str) -> None:
         self.gateway = gateway
 
 
 class Controller:
-    """A machine with a controller: its disk, and the process that is on it now."""
+    """A machine with a controller: its disk, and its current process if any."""
 
     service_type = OperationService
 
@@ -212,18 +212,18 @@
         self.disk = Disk(world)
         self.is_founder = is_founder
         self.process: Process | None = None
-        self.life = 0
+        self.incarnation = 0
 
     @property
     def is_up(self) -> bool:
-        """Whether it runs and is not frozen."""
+        """Whether the process runs and is not frozen."""
         return self.process is not None and not self.world.is_frozen(self.addr)
 
     def start(self) -> None:
-        """Begin a life."""
-        self.life += 1
+        """Start a new process."""
+        self.incarnation += 1
         if not self.disk.voter_id:
-            self.disk.voter_id = f"{self.addr}#{self.life}"
+            self.disk.voter_id = f"{self.addr}#{self.incarnation}"
         self.process = Process(self.world, self.addr)
         self.node = Node(Voter(self.disk.voter_id, self.addr))
         self.peers = Peers(self.world, self.process, self.node)
@@ -237,43 +237,43 @@
             bounds=Bounds(key_window=f"{KEY_WINDOW_S}s"),
             limits=Limits(disk_mb=self.world.disk_mb),
         )
-        first_number = self.life << 32
+        first_number = self.incarnation << 32
         self.service = self.service_type(settings, self.peers, self, self.store, first_number, self.world.now)
         self.handlers: dict[type, Callable[[str, Any, float], None]] = dict(self.world.routes(self.service))
-        self.know(self.world.slot_known.get(self.addr, 0))
+        self.learn_slot(self.world.slot_known.get(self.addr, 0))
         self._tick()
 
     def end(self, power: bool = False) -> None:
-        """The process is gone, with the power or without."""
+        """End the process; a loss of power may lose unsynced writes."""
         if self.process is None:
             return
         if power:
             self.store.lose_power()
         else:
             for records in self.store.unsynced:
-                self.disk.keep(records)
+                self.disk.apply(records)
         self.process.is_alive = False
         self.process = None
 
-    def know(self, slot: int) -> None:
-        """The log is known up to this slot."""
+    def learn_slot(self, slot: int) -> None:
+        """Learn the log up to this slot, and the voters at it."""
         self.world.slot_known[self.addr] = max(slot, self.world.slot_known.get(self.addr, 0))
         if self.process is not None and slot >= self.node.last_slot:
             self.node.last_slot = self.node.voters_slot = slot
             self.node.voters = [Voter(name, addr) for addr, name in sorted(self.world.voters_at[slot].items())]
 
     def forward(self, gateway: str, message: ClaimDecision | OperationSettled) -> None:
-        """Send to a gateway with a session here."""
+        """Send to a gateway that has a session with this controller."""
         self.world.answer_gateway(self.addr, gateway, message)
 
     def receive(self, sender: str, message: object) -> None:
-        """Take a message of another controller."""
+        """Handle a message of another controller."""
         handler = self.handlers.get(type(message))
         if handler is not None:
             handler(sender, message, self.world.now)
 
     def receive_call(self, gateway: str, message: object) -> None:
-        """Take a gateway's message."""
+        """Handle a gateway's message."""
         session = Session(gateway)
         match message:
             case OperationClaim():
@@ -290,7 +290,7 @@
 
 
 class GatewayMachine:
-    """A machine with a gateway: the gateway as it is, with servers, clients and its session played by the check."""
+    """A machine with the real gateway; servers, clients and its session are simulated."""
 
     gateway_type = Gateway
     claims_type = OperationClaims
@@ -299,14 +299,14 @@
     def __init__(self, world: World, name: str) -> None:
         self.world = world
         self.name = name
-        self.life = 0
+        self.incarnation = 0
         self.process: Process | None = None
         self.controller = ""
         self.session = 0
 
     def start(self) -> None:
-        """Begin a life."""
-        self.life += 1
+        """Start a new process."""
+        self.incarnation += 1
         process = self.process = Process(self.world, self.name)
         settings = Settings(self.name, "10.0.0.2", "z", (1, 2), [], bind=Bind(), bootstrap=True)
         self.gateway = self.gateway_type(process, settings, self.world.rng, 64)
@@ -314,7 +314,7 @@
         self.gateway.configure(Table(Configuration.from_put(CONFIGURATION)))
         self.gateway.update_servers(SERVERS, True)
         self.gateway.backends.begin = self._begin_exchange
-        claims = self.claims_type(self.name, self.life)
+        claims = self.claims_type(self.name, self.incarnation)
         self.keyed_requests = self.keyed_requests_type(process, self.world.rng, claims, self._send)
         self.gateway.keyed_requests = self.keyed_requests
         self.controller = ""
@@ -322,7 +322,7 @@
         self._connect()
 
     def end(self) -> None:
-        """The process is gone; its clients see their connections closed."""
+        """End the process, which closes its clients' connections."""
         if self.process is None:
             return
         self.process.is_alive = False
@@ -339,27 +339,27 @@
     def _connect(self) -> None:
         process = self.process
         assert process is not None
-        able = [
+        candidates = [
             addr
             for addr, controller in self.world.controllers.items()
             if controller.is_up and self.world.is_open(self.name, addr) and self.world.is_open(addr, self.name)
         ]
-        if not able:
+        if not candidates:
             process.call_later(RECONNECT_S, self._connect)
             return
-        self.controller = self.world.rng.choice(sorted(able))
+        self.controller = self.world.rng.choice(sorted(candidates))
         self.session += 1
         process.call_later(0.002, self.keyed_requests.on_connected)
-        self._watch(self.session)
+        self._check_session(self.session)
 
-    def _watch(self, session: int) -> None:
-        """Leave a controller that is gone or cut off."""
+    def _check_session(self, session: int) -> None:
+        """Reconnect when the controller is down or unreachable."""
         if session != self.session or self.process is None:
             return
         controller = self.world.controllers[self.controller]
         both_open = self.world.is_open(self.name, self.controller) and self.world.is_open(self.controller, self.name)
         if controller.is_up and both_open and self.world.rng.random() > 0.002:
-            self.process.call_later(0.1, self._watch, session)
+            self.process.call_later(0.1, self._check_session, session)
             return
         self.controller = ""
         self.session += 1
@@ -371,7 +371,7 @@
             self.world.call_controller(self, message)
 
     def receive(self, message: object) -> None:
-        """Take a controller's message."""
+        """Handle a controller's message."""
         if isinstance(message, ClaimDecision):
             self.keyed_requests.on_decision(message)
         elif isinstance(message, OperationSettled):
--- a/crowseam/model_checks/orders/__init__.py
+++ b/crowseam/model_checks/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Model check of the orders of operators."""
+"""Model check of operators' configuration changes."""
--- a/crowseam/model_checks/quotas/__init__.py
+++ b/crowseam/model_checks/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Model check of quota leases and duties."""
+"""Model check of quota leases and role leases."""
--- a/crowseam/model_checks/schedules.py
+++ b/crowseam/model_checks/schedules.py
@@ -1,4 +1,4 @@
-"""What the model checks share: seeded random schedules on a virtual time, and links that lose and delay."""
+"""Shared by the model checks: discrete-event simulation on virtual time, and links that lose, repeat and delay."""
 
 from __future__ import annotations
 
@@ -10,17 +10,16 @@
 
 import msgspec
 
-# Events of one virtual second above which a schedule is taken for one that never ends: 8 times the most that was seen
-# in 60 schedules of each check that counts them here (5,934, quotas).
-MOST_EVENTS = 50_000
+# A schedule with more events than this within one virtual second is reported as an endless loop.
+MAX_EVENTS_PER_SECOND = 50_000
 
 
 class Violation(Exception):
-    """What must never happen has happened."""
+    """An invariant is broken."""
 
 
 class Report(msgspec.Struct):
-    """What was played, and what went wrong: one line for each schedule with a fault."""
+    """Totals over the schedules that were run, and one line for each schedule with a violation."""
 
     schedules: int = 0
     events: int = 0
@@ -28,7 +27,7 @@
     violations: list[str] = msgspec.field(default_factory=list)
 
     def merge(self, other: Report) -> None:
-        """Add what another process has played."""
+        """Add the report of another process."""
         self.schedules += other.schedules
         self.events += other.events
         self.outcomes += other.outcomes
@@ -36,11 +35,11 @@
 
 
 class Mutant(msgspec.Struct, frozen=True):
-    """The code under check without one of its guards: a check that can't fail proves nothing.
+    """The code under check with one of its guards removed, to show that the check can detect its absence.
 
-    `guard` says in a few words what is left out, `run` plays schedules with it left out, `seed` is one with
-    which the check finds it, None where none is known; `why` then says whether the guard is needless or
-    beyond what the check reaches.
+    `guard` names the removed guard, and `run` runs schedules without it. `seed` is the seed of a schedule that
+    reports a violation, or None if none is known; `why` then says whether the guard is redundant for what is
+    checked, or out of reach of the check.
     """
 
     guard: str
@@ -49,74 +48,74 @@
     why: str = ""
 
 
-class Course:
-    """Virtual time, in seconds, with what is due on it, and chances that all come from one seed.
+class EventSimulation:
+    """An event queue on virtual time, in seconds, with one random generator for all decisions.
 
-    `loss`, `doubled` and `late` are the parts of the messages that are lost, come twice, and come up to two
-    seconds later than others.
+    `loss_rate`, `duplicate_rate` and `delay_rate` are the fractions of messages that are lost, delivered twice, and
+    delayed by up to two seconds.
     """
 
     def __init__(self, seed: int) -> None:
         self.rng = Random(seed)
         self.now = 0.0
-        self.loss = self.doubled = self.late = 0.0
+        self.loss_rate = self.duplicate_rate = self.delay_rate = 0.0
         self.events = 0
-        self._second, self._in_second = -1, 0  # the virtual second that is on, and its events so far
+        self._current_second, self._events_in_second = -1, 0
         self.outcomes: Counter = Counter()
-        self._heap: list[tuple[float, int, Callable, tuple]] = []
-        self._count = 0
+        self._event_queue: list[tuple[float, int, Callable, tuple]] = []
+        self._sequence = 0
 
-    def after(self, delay: float, what: Callable, *args: Any) -> None:
-        """Have `what` done `delay` seconds from now."""
-        self._count += 1
-        heapq.heappush(self._heap, (self.now + delay, self._count, what, args))
+    def after(self, delay: float, callback: Callable, *args: Any) -> None:
+        """Call `callback` in `delay` seconds."""
+        self._sequence += 1
+        heapq.heappush(self._event_queue, (self.now + delay, self._sequence, callback, args))
 
     def run_until(self, end: float) -> None:
-        """Let everything happen that is due by `end`."""
-        heap = self._heap
-        while heap and heap[0][0] <= end:
-            self.now, _, what, args = heapq.heappop(heap)
+        """Run all events that are due by `end`."""
+        queue = self._event_queue
+        while queue and queue[0][0] <= end:
+            self.now, _, callback, args = heapq.heappop(queue)
             self._count_event()
-            what(*args)
+            callback(*args)
         self.now = end
 
     def _count_event(self) -> None:
         self.events += 1
-        if int(self.now) != self._second:
-            self._second, self._in_second = int(self.now), 0
-        self._in_second += 1
-        if self._in_second > MOST_EVENTS:
-            raise Violation(f"more than {MOST_EVENTS} events in one second: something goes round for ever")
-
-    def carry(self, what: Callable, *args: Any) -> None:
-        """Have `what` done as one message comes over a link: once, twice or never."""
+        if int(self.now) != self._current_second:
+            self._current_second, self._events_in_second = int(self.now), 0
+        self._events_in_second += 1
+        if self._events_in_second > MAX_EVENTS_PER_SECOND:
+            raise Violation(f"more than {MAX_EVENTS_PER_SECOND} events in one second: endless loop")
+
+    def transmit(self, callback: Callable, *args: Any) -> None:
+        """Call `callback` when a message sent over a link arrives: once, twice or never."""
         rng = self.rng
-        if rng.random() < self.loss:
+        if rng.random() < self.loss_rate:
             return
-        for _ in range(2 if rng.random() < self.doubled else 1):
+        for _ in range(2 if rng.random() < self.duplicate_rate else 1):
             delay = rng.uniform(0.001, 0.004)
-            if rng.random() < self.late:
+            if rng.random() < self.delay_rate:
                 delay = rng.uniform(0.05, 2.0)
-            self.after(delay, what, *args)
+            self.after(delay, callback, *args)
 
-    def steady(self) -> None:
-        """From now on every message comes once and in time."""
-        self.loss = self.doubled = self.late = 0.0
+    def clear_link_faults(self) -> None:
+        """From now on deliver every message once and without extra delay."""
+        self.loss_rate = self.duplicate_rate = self.delay_rate = 0.0
 
 
 class Schedule(Protocol):
     """One random schedule."""
 
-    world: Course
+    world: EventSimulation
 
     def play(self) -> None:
-        """Play it to its end; raises Violation."""
+        """Run it to its end; raises Violation."""
 
 
-def play(seeds: Iterable[int], make: Callable[[int], Schedule], report: Report) -> None:
-    """Play the schedule that `make` gives for each seed, and add what comes of it to the report."""
+def play(seeds: Iterable[int], make_schedule: Callable[[int], Schedule], report: Report) -> None:
+    """Run the schedule that `make_schedule` returns for each seed, and add its results to the report."""
     for seed in seeds:
-        schedule = make(seed)
+        schedule = make_schedule(seed)
         try:
             schedule.play()
         except Violation as violation:
--- a/tests/crowseam/test_check_agreement.py
+++ b/tests/crowseam/test_check_agreement.py
@@ -1,4 +1,4 @@
-"""The model check of the agreement: a fixed set of schedules, known mutants at their seeds, and oracles."""
+"""Model check of consensus: a fixed set of schedules, known mutants at their seeds, and its own checks."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from crowseam.cli.model_check import run_known_mutants
 from crowseam.consensus.node import Node
 from crowseam.consensus.outcomes import ReadReady
-from crowseam.model_checks.agreement.check import MUTANTS, STALE, Order, World, run
-from crowseam.model_checks.schedules import MOST_EVENTS, Course, Violation
+from crowseam.model_checks.agreement.check import MUTANTS, STALE, ChangeRequest, World, run
+from crowseam.model_checks.schedules import MAX_EVENTS_PER_SECOND, EventSimulation, Violation
 
 CLIMATES = {"mixed", "power", "links", "disks", "crowd", "age", "siege", "duel"}
 
@@ -46,8 +46,8 @@
         self.assertEqual([mutant.guard for mutant in MUTANTS if mutant.seed is None and not mutant.why], [])
 
 
-class Endless(Node):
-    """Asks for a tick at a time that has passed, whatever it does."""
+class AlwaysDue(Node):
+    """Always requests a tick in the past."""
 
     def _finish(self, effects):
         effects = super()._finish(effects)
@@ -55,37 +55,37 @@
         return effects
 
 
-class Unending(unittest.TestCase):
-    """A schedule that would never end is a violation, in every check."""
+class EndlessSchedules(unittest.TestCase):
+    """A schedule that never ends is reported as a violation by every check."""
 
     def test_a_timer_that_is_due_and_does_nothing(self):
-        report = run([0], node_class=Endless)
+        report = run([0], node_class=AlwaysDue)
         self.assertIn("does nothing about a timer", report.violations[0])
 
     def test_more_events_in_a_second_than_any_schedule_has(self):
-        course = Course(1)
+        simulation = EventSimulation(1)
 
-        def again() -> None:
-            course.after(1e-9, again)
+        def reschedule() -> None:
+            simulation.after(1e-9, reschedule)
 
-        course.after(0.0, again)
+        simulation.after(0.0, reschedule)
         with self.assertRaises(Violation):
-            course.run_until(1.0)
-        self.assertEqual(course.events, MOST_EVENTS + 1)
+            simulation.run_until(1.0)
+        self.assertEqual(simulation.events, MAX_EVENTS_PER_SECOND + 1)
 
-    def test_as_many_spread_over_seconds_are_none(self):
-        course = Course(1)
-        for number in range(2 * MOST_EVENTS):
-            course.after(4.0 * number / MOST_EVENTS, int)
-        course.run_until(9.0)
-        self.assertEqual(course.events, 2 * MOST_EVENTS)
+    def test_many_events_spread_over_seconds_are_no_violation(self):
+        simulation = EventSimulation(1)
+        for number in range(2 * MAX_EVENTS_PER_SECOND):
+            simulation.after(4.0 * number / MAX_EVENTS_PER_SECOND, int)
+        simulation.run_until(9.0)
+        self.assertEqual(simulation.events, 2 * MAX_EVENTS_PER_SECOND)
 
 
-class Oracles(unittest.TestCase):
+class WorldChecks(unittest.TestCase):
     def test_of_two_contents_under_one_number_one_is_taken(self):
         world = World(1, ["m0", "m1", "m2"])
         for number, addr in enumerate(world.hosts):
-            world.submit(addr, addr, Order(1, 0, f"-{number}"))
+            world.submit(addr, addr, ChangeRequest(1, 0, f"-{number}"))
         world.run_until(2.0)
         self.assertEqual(sorted(map(str, world.answers.values()))[1:], [STALE, STALE])
 
@@ -97,22 +97,22 @@
         with self.assertRaises(Violation):
             world._check_answer(world.hosts["m0"], "alone", ReadReady(0))
 
-    def test_one_that_hears_nobody_is_left_without_an_answer_by_its_own_clock(self):
+    def test_a_machine_that_receives_nothing_times_out_by_its_own_clock(self):
         world = World(1, ["m0", "m1", "m2"], drift=True)
         world.one_way.update({("m1", "m0"), ("m2", "m0")})
-        world.submit("m0", "put", Order(1, 0), 0.85)
+        world.submit("m0", "put", ChangeRequest(1, 0), 0.85)
         world.run_until(1.0)
         self.assertEqual(type(world.answers["put"]).__name__, "OutcomeUnknown")
 
-    def test_what_waits_for_a_frozen_process_is_heard_when_it_is_thawed(self):
-        for drop, seen in ((False, 1), (True, 0)):
+    def test_deferred_messages_are_handled_or_dropped_when_a_process_resumes(self):
+        for drop, expected_slot in ((False, 1), (True, 0)):
             world = World(1, ["m0", "m1", "m2"])
             world.run_until(1.0)
             world.freeze("m2")
-            world.submit("m0", "put", Order(1, 0))
+            world.submit("m0", "put", ChangeRequest(1, 0))
             world.run_until(1.5)
             world.thaw("m2", drop)
-            self.assertEqual(world.hosts["m2"].node.last_slot, seen)
+            self.assertEqual(world.hosts["m2"].node.last_slot, expected_slot)
             world.run_until(4.0)
             self.assertEqual(world.hosts["m2"].node.last_slot, 1)
 
--- a/tests/crowseam/test_check_by_hand.py
+++ b/tests/crowseam/test_check_by_hand.py
@@ -1,8 +1,7 @@
-"""Guards that no random schedule was found for: each has a schedule by hand, which fails without it.
+"""Guards whose absence no known random schedule detects: each has a hand-written schedule that fails without it.
 
-The reason in the table of guards names the class of that test.  A mutant that is a patch is played as it is; one
-that is another class stands in the test's module in place of the real one; a part of a node
-or of role leases within them.
+The reason in the table of guards names the class of that test. A mutant that is a patch is applied as it is; one
+that is a class replaces the real class in the test's module, or a part of the real node or of the real role leases.
 """
 
 from __future__ import annotations
@@ -44,7 +43,7 @@
 
 
 class Schedule(NamedTuple):
-    """A test by hand, and the class that it names in place of which `mutated` is to stand; None: a patch."""
+    """A test with a hand-written schedule; `mutated` replaces the class `real` in its module, unless it is a patch."""
 
     module: ModuleType
     case: str
@@ -53,7 +52,7 @@
     mutated: type | None = None
 
     def fails(self) -> bool:
-        """Whether the test fails, by what it asserts."""
+        """Whether an assertion of the test fails."""
         result = unittest.TestResult()
         getattr(self.module, self.case)(self.test).run(result)
         if result.errors:
@@ -61,28 +60,28 @@
         return bool(result.failures)
 
     def fails_without_guard(self, mutant: Mutant) -> bool:
-        """The same without the guard."""
+        """Whether an assertion of the test fails without the guard."""
         if self.mutated is not None:
-            instead = self.mutated
-            if self.real == "Node" and not issubclass(instead, Node):
-                instead = node_with(instead)
-            elif self.real == "RoleLeases" and not issubclass(instead, RoleLeases):
-                instead = handover.roles_with(instead)
-            with mock.patch(f"{self.module.__name__}.{self.real}", instead):
+            replacement = self.mutated
+            if self.real == "Node" and not issubclass(replacement, Node):
+                replacement = node_with(replacement)
+            elif self.real == "RoleLeases" and not issubclass(replacement, RoleLeases):
+                replacement = handover.roles_with(replacement)
+            with mock.patch(f"{self.module.__name__}.{self.real}", replacement):
                 return self.fails()
-        told: list[bool] = []
+        results: list[bool] = []
 
         def seeds() -> Iterator[int]:
-            told.append(self.fails())  # a mutant is in force while it takes its seeds
+            results.append(self.fails())  # the patch is active while the mutant iterates over its seeds
             yield from ()
 
         mutant.run(seeds())
-        return told[0]
+        return results[0]
 
 
 _SEAT = "SeatTest"
-_ACTS_ONCE = Schedule(test_controller_session, "ActTest", "test_a_version_is_applied_once_whatever_its_slot")
-_ANSWERED = Schedule(test_check_callers, "Tickets", "test_a_call_that_was_answered_waits_no_more")
+_APPLIED_ONCE = Schedule(test_controller_session, "ActTest", "test_a_version_is_applied_once_whatever_its_slot")
+_ANSWERED_CALL_REMOVED = Schedule(test_check_callers, "Tickets", "test_a_call_that_was_answered_waits_no_more")
 _WHO_ANSWERS = "test_only_who_counts_answers_and_both_know_of_the_same_change"
 
 SCHEDULES: dict[tuple[str, str], Schedule] = {
@@ -91,14 +90,14 @@
         "NotesTest",
         "test_what_was_learned_does_not_undo_what_was_confirmed_since",
         "LeavingRecords",
-        handover._WritesAsTold,
+        handover._PersistsStaleRecords,
     ),
     ("quotas", "blindness of voters that take a list with gaps"): Schedule(
         test_role_leases,
         "BorrowersTest",
         "test_voters_that_take_a_list_with_gaps_do_not_know_all_borrowers",
         "RoleLeases",
-        quotas._NeverPartial,
+        quotas._IgnoresPartialLists,
     ),
     ("callers", "a connection closed where bytes come unasked"): Schedule(
         test_dialect, "OtherBytes", "test_unsolicited_bytes_on_an_idle_connection_close_it"
@@ -106,7 +105,7 @@
     ("callers", "a connection looked at before it is used again"): Schedule(
         test_dialect, "OtherBytes", "test_unread_bytes_are_noticed_before_a_connection_is_reused"
     ),
-    ("callers", "a call taken off with its answer"): _ANSWERED,
+    ("callers", "a call taken off with its answer"): _ANSWERED_CALL_REMOVED,
     ("callers", "a second answer to a call dropped"): Schedule(
         test_transport, "Calls", "test_calls_behind_one_another_are_answered_in_turn"
     ),
@@ -121,14 +120,14 @@
         "Acknowledging",
         "test_a_confirmation_is_that_of_an_id_not_of_an_address",
         "replication.PendingAcknowledgements",
-        handover._GoesByAddress,
+        handover._ConfirmsByAddress,
     ),
     ("handover", "the new voters for what waits at a change"): Schedule(
         test_discovery,
         "Acknowledging",
         "test_a_change_of_voters_concerns_what_waits",
         "replication.PendingAcknowledgements",
-        handover._KeepsVoters,
+        handover._KeepsOldVoters,
     ),
     ("handover", "the refusal to confirm to those who may not know the voters"): Schedule(
         test_check_handover,
@@ -138,10 +137,10 @@
         handover._ConfirmsToAll,
     ),
     ("handover", "the wait of a voter's answer for the change of voters"): Schedule(
-        test_check_handover, "LearningTest", _WHO_ANSWERS, "VoterCatchUp", handover._AnswersBehind
+        test_check_handover, "LearningTest", _WHO_ANSWERS, "VoterCatchUp", handover._AnswersAcrossVoterChange
     ),
     ("handover", "silence of a newcomer that has not learned to other newcomers"): Schedule(
-        test_check_handover, "LearningTest", _WHO_ANSWERS, "VoterCatchUp", handover._AnswersUntaught
+        test_check_handover, "LearningTest", _WHO_ANSWERS, "VoterCatchUp", handover._AnswersBeforeLearning
     ),
     ("handover", "the disk before a grant"): Schedule(
         test_role_leases,
@@ -155,7 +154,7 @@
         _SEAT,
         "test_a_newcomer_is_silent_from_the_message_on_that_lets_it_in",
         "RoleLeases",
-        handover._NotSilent,
+        handover._GrantsAtOnceAsNewVoter,
     ),
     ("handover", "silence while a change of voters is open"): Schedule(
         test_role_leases,
@@ -169,7 +168,7 @@
         _SEAT,
         "test_who_may_not_know_the_voters_is_refused",
         "RoleLeases",
-        handover._GrantsToThoseBehind,
+        handover._GrantsToOutdatedRequesters,
     ),
     ("handover", "refusal to grant without a vote"): Schedule(
         test_role_leases,
@@ -183,7 +182,7 @@
         _SEAT,
         "test_a_newcomer_grants_nothing_before_it_has_been_told_the_fences",
         "RoleLeases",
-        handover._GrantsUntaught,
+        handover._GrantsBeforeLearning,
     ),
     ("handover", "silence after the loss of a disk"): Schedule(
         test_role_leases,
@@ -197,31 +196,31 @@
         "Gateway",
         "test_a_part_of_another_state_is_passed_over",
         "SnapshotDownload",
-        catchup._AnyParts,
+        catchup._AcceptsAnyChunk,
     ),
     ("membership", "the floor below which a lost vote is not given again"): Schedule(
-        test_consensus, "Failures", "test_a_lost_entry_is_not_voted_on_again", "Node", membership._Floorless
+        test_consensus, "Failures", "test_a_lost_entry_is_not_voted_on_again", "Node", membership._VotesAgain
     ),
     ("membership", "the deafness of one's own freeze"): Schedule(
         test_check_membership,
         "Requests",
         "test_one_that_stood_still_strikes_off_nobody_whose_word_still_waits",
         "Node",
-        membership._Frozen,
+        membership._IgnoresOwnPause,
     ),
     ("membership", "requests to join that lapse"): Schedule(
         test_check_membership,
         "Requests",
         "test_a_newcomer_that_fell_silent_is_not_let_in",
         "Node",
-        membership._Remembers,
+        membership._KeepsOldJoinRequests,
     ),
     ("membership", "requests to leave that outlive the leaver"): Schedule(
         test_check_membership,
         "Leaving",
         "test_a_newcomer_takes_the_place_of_one_that_left_in_haste",
         "Node",
-        membership._Forgets,
+        membership._ForgetsLeaveRequests,
     ),
     ("membership", "a leaver kept while another is silent"): Schedule(
         test_check_membership, "Leaving", "test_a_leaver_is_kept_while_another_may_be_gone"
@@ -231,24 +230,24 @@
         "Requests",
         "test_the_word_of_a_lost_disk_that_waited_lets_nobody_in",
         "Node",
-        membership._Credulous,
+        membership._AcceptsOutdatedJoinRequests,
     ),
     ("membership", "the silence of others that is one's own deafness"): Schedule(
         test_check_membership,
         "Requests",
         "test_one_that_was_deaf_strikes_off_nobody_it_has_yet_to_hear",
         "Node",
-        membership._Blaming,
+        membership._IgnoresOwnIsolation,
     ),
     ("membership", "a turn that outlasts other entries"): Schedule(
-        test_check_membership, "Requests", "test_a_turn_outlasts_other_entries", "Node", membership._Starving
+        test_check_membership, "Requests", "test_a_turn_outlasts_other_entries", "Node", membership._RestartsTurn
     ),
     ("membership", "one proposal at a time of each voter"): Schedule(
         test_check_membership,
         "Requests",
         "test_while_a_change_of_its_own_is_under_way_it_proposes_no_other",
         "Node",
-        membership._Crowd,
+        membership._ProposesSeveral,
     ),
     ("orders", "an entry that can't be read is left out"): Schedule(
         test_check_orders, "NodeTest", "test_an_entry_that_cannot_be_read_is_left_out"
@@ -259,60 +258,60 @@
     ("orders", "unclear after a snapshot"): Schedule(
         test_check_orders, "NodeTest", "test_a_proposal_that_may_lie_behind_a_snapshot_is_unclear"
     ),
-    ("orders", "a ticket is answered once"): _ANSWERED,
-    ("orders", "a gateway takes no older state"): _ACTS_ONCE,
+    ("orders", "a ticket is answered once"): _ANSWERED_CALL_REMOVED,
+    ("orders", "a gateway takes no older state"): _APPLIED_ONCE,
     ("orders", "a gateway takes steps in turn"): Schedule(
         test_check_orders, "StepTest", "test_a_step_that_leaves_one_out_is_not_taken"
     ),
-    ("orders", "a gateway acts once on a version"): _ACTS_ONCE,
+    ("orders", "a gateway acts once on a version"): _APPLIED_ONCE,
     ("operations", "what has ended is not withdrawn"): Schedule(
         test_operations,
         "Voter",
         "test_a_withdrawal_frees_its_own_claim_and_nothing_that_has_ended",
         "OperationReplica",
-        operations._WithdrawsEnded,
+        operations._WithdrawsEndedClaims,
     ),
     ("operations", "a claim is on disk before it is accepted"): Schedule(
         test_operations,
         "Voter",
         "test_one_claim_of_a_key_is_accepted_and_only_once_it_is_on_disk",
         "OperationReplica",
-        operations.AcceptsUnwritten,
+        operations.AcceptsBeforePersisting,
     ),
     ("operations", "an end is kept by a majority"): Schedule(
         test_operations,
         "Coordinator",
         "test_an_end_is_settled_once_a_majority_has_it_and_asked_for_in_one_round",
         "OperationCoordinator",
-        operations._SettlesAtOne,
+        operations._SettlesAtFirstAck,
     ),
     ("operations", "who has not learned does not teach"): Schedule(
         test_operations,
         "Newcomer",
         "test_a_voter_teaches_nobody_who_knows_of_other_voters",
         "OperationCatchUp",
-        operations._TeachesUnlearned,
+        operations._TeachesBeforeCatchUp,
     ),
     ("operations", "what is learned is on disk before it counts"): Schedule(
         test_operations,
         "Newcomer",
         "test_it_votes_once_a_majority_has_taught_it_and_that_is_on_disk",
         "OperationCatchUp",
-        operations.CountsAtOnce,
+        operations.VotesBeforePersisting,
     ),
     ("operations", "nothing is sent after its time"): Schedule(
         test_operations,
         "LateSends",
         "test_a_grant_that_is_read_after_a_stand_still_is_not_used",
         "RealGateway",
-        operations._SendsLate,
+        operations._SendsAfterDeadline,
     ),
     ("operations", "a claim is put to one coordinator"): Schedule(
         test_operations,
         "Gateway",
         "test_a_claim_is_put_to_one_controller_only",
         "KeyedRequests",
-        operations._ClaimsTwiceUnderOneName,
+        operations._ResendsClaimUnchanged,
     ),
     ("cutoff", "a majority's answers before a server is called safe"): Schedule(
         test_check_cutoff, "Apart", "test_no_server_is_called_safe_on_the_word_of_its_own_gateways_alone"
@@ -323,15 +322,15 @@
     ("cutoff", "slots of those near in signs of life"): Schedule(
         test_check_cutoff, "Apart", "test_who_hears_of_a_newer_slot_does_not_tell_gateways_that_it_is_current"
     ),
-    ("cutoff", "a gateway's refusal of an older configuration"): _ACTS_ONCE,
+    ("cutoff", "a gateway's refusal of an older configuration"): _APPLIED_ONCE,
     ("cutoff", "a gateway's refusal of a lower fence"): Schedule(
         test_quotas, "DrawnTest", "test_a_late_lease_is_refused"
     ),
 }
 
 
-def _unfound() -> dict[tuple[str, str], Mutant]:
-    """The mutants that no seed is known for; those of the agreement have a page of their own."""
+def _mutants_without_seed() -> dict[tuple[str, str], Mutant]:
+    """The mutants without a known seed, except those of consensus."""
     return {
         (part, mutant.guard): mutant
         for part, module in PARTS.items()
@@ -343,17 +342,17 @@
 
 class ByHand(unittest.TestCase):
     def test_each_guard_without_a_seed_has_a_schedule_that_its_reason_names(self):
-        unfound = _unfound()
-        self.assertEqual(set(unfound), set(SCHEDULES))
+        mutants = _mutants_without_seed()
+        self.assertEqual(set(mutants), set(SCHEDULES))
         for key, schedule in SCHEDULES.items():
             name = f"{schedule.module.__name__.rpartition('.')[2]}.{schedule.case}"
-            self.assertTrue(unfound[key].why.startswith(f"by hand: {name}"), key)
+            self.assertTrue(mutants[key].why.startswith(f"by hand: {name}"), key)
 
     def test_each_schedule_fails_without_its_guard_and_only_then(self):
-        unfound = _unfound()
+        mutants = _mutants_without_seed()
         for key, schedule in SCHEDULES.items():
             with self.subTest(part=key[0], guard=key[1]):
-                self.assertTrue(schedule.fails_without_guard(unfound[key]))
+                self.assertTrue(schedule.fails_without_guard(mutants[key]))
                 self.assertFalse(schedule.fails())
 
 
--- a/tests/crowseam/test_check_callers.py
+++ b/tests/crowseam/test_check_callers.py
@@ -1,4 +1,4 @@
-"""The model check of callers: a fixed set of its schedules, and what each guard that it knows of is for."""
+"""Model check of callers: a fixed set of schedules, known mutants at their seeds, and tests of single guards."""
 
 import unittest
 from unittest import mock
@@ -7,66 +7,74 @@
 from crowseam.controller.pending_calls import PendingCalls
 from crowseam.gateway.http_dialect import ServerDialect
 from crowseam.model_checks.callers import check
-from crowseam.model_checks.callers.check import FAULTS, STRIDE, SWEEP_EACH, BeforeGateway, Plan, Sweep, request
+from crowseam.model_checks.callers.check import (
+    FAULTS,
+    STRIDE,
+    SWEEP_INTERVAL,
+    GatewaySchedule,
+    Plan,
+    Sweep,
+    build_request,
+)
 from fennelpoint.net.backends import UpstreamConnection
 
 
-class Slow(BeforeGateway):
-    """One request, which the server that has it first never answers."""
+class UnansweredAttempt(GatewaySchedule):
+    """One request, which the first server never answers."""
 
-    asked: str | None = None
+    first_server: str | None = None
 
     def plan(self, server, attempt):
-        self.asked = self.asked or server
-        if server == self.asked:
+        self.first_server = self.first_server or server
+        if server == self.first_server:
             return Plan("cut", fault="silence")
         return Plan(size=self.size, pieces=5, pause=0.2) if self.size else Plan()
 
-    def _acts(self):
-        attempt = self.world.name("safe")
+    def _run_actions(self):
+        attempt = self.world.new_attempt_id("safe")
 
-        def ask(end):
-            end.asked.append(attempt)
-            end.write(b"".join(request(attempt)))
+        def send_request(end):
+            end.outstanding.append(attempt)
+            end.write(b"".join(build_request(attempt)))
 
-        self.daemon.gateway.budget.may_retry = lambda svc, now: True  # which a gateway earns by requests
-        self.connect(ask)
+        self.daemon.gateway.budget.may_retry = lambda svc, now: True  # normally earned by requests
+        self.connect(send_request)
         self.world.run(self.world.now + 4.0)
 
 
 class SlowerAttempts(unittest.TestCase):
     def test_one_that_never_ends_is_given_up_though_another_has_answered(self):
-        # Small; and large, of which a part is still to come when the client's time is up.
+        # A small answer, and a large one that is incomplete at the client's deadline.
         for size in (0, 200_000):
-            schedule = Slow(1, 0)
+            schedule = UnansweredAttempt(1, 0)
             schedule.size = size
             schedule.play()
             self.assertEqual((schedule.world.outcomes["200"], schedule.world.outcomes.total()), (1, 1))
-            self.assertEqual(len(next(iter(schedule.world.got.values()))), 2)
+            self.assertEqual(len(next(iter(schedule.world.server_receipts.values()))), 2)
 
 
-class Leaver(Slow):
-    """A client that leaves while the server that has its request says nothing."""
+class DisconnectingClient(UnansweredAttempt):
+    """A client that disconnects while the server does not answer."""
 
     held: int | None = None
 
-    def _acts(self):
+    def _run_actions(self):
         self.size = 0
-        self.world.later(0.2, lambda: self.ends[0].leave())
+        self.world.later(0.2, lambda: self.connections[0].disconnect())
         self.world.later(0.4, lambda: setattr(self, "held", len(self.daemon.gateway.in_flight)))
-        super()._acts()
+        super()._run_actions()
 
 
 class Leaving(unittest.TestCase):
     def test_what_a_client_asked_ends_when_it_leaves(self):
-        schedule = Leaver(1, 0)
+        schedule = DisconnectingClient(1, 0)
         schedule.play()
         self.assertEqual(schedule.held, 0)
 
 
 class Tickets(unittest.TestCase):
     def test_a_call_that_was_answered_waits_no_more(self):
-        # Who stops waits for the calls that wait.
+        # A stopping controller waits for pending calls.
         for method, more in (("reply", (200, b"")), ("take", ())):
             calls = PendingCalls()
             ticket = calls.add(mock.Mock())
@@ -99,12 +107,12 @@
 
     def test_a_seed_plays_the_same_each_time(self):
         for seed in range(4):
-            one, other = check.run([seed]), check.run([seed])
-            self.assertEqual((one.events, one.outcomes), (other.events, other.outcomes))
+            first, second = check.run([seed]), check.run([seed])
+            self.assertEqual((first.events, first.outcomes), (second.events, second.outcomes))
 
     def test_the_sweeps_of_a_thousand_seeds_meet_each_byte_with_each_fault(self):
-        sweeps = [Sweep(seed) for seed in range(0, 960, SWEEP_EACH)]
-        places = {(one.fault, one.kind, one.side, one.first) for one in sweeps}
+        sweeps = [Sweep(seed) for seed in range(0, 960, SWEEP_INTERVAL)]
+        places = {(sweep.fault, sweep.kind, sweep.side, sweep.first) for sweep in sweeps}
         self.assertEqual(len(places), len(FAULTS) * 2 * 3 * STRIDE)
 
 
--- a/tests/crowseam/test_check_catchup.py
+++ b/tests/crowseam/test_check_catchup.py
@@ -1,4 +1,4 @@
-"""The model check of catching up in short: a fixed set of schedules, and each mutant at its seed."""
+"""The model check of catch-up: a fixed set of schedules, and each mutant at its seed."""
 
 import unittest
 from random import Random
@@ -8,14 +8,14 @@
 from crowseam.consensus.node import Node
 from crowseam.consensus.records import SnapshotRecord
 from crowseam.consensus.timing import Timing
-from crowseam.model_checks.agreement.check import Disk, Ledger
+from crowseam.model_checks.agreement.check import Disk, ModelStateMachine
 from crowseam.model_checks.catchup.check import MUTANTS, run
 
 SEEDS = (0, 2, 4, 7)
 
 
 class Check(unittest.TestCase):
-    def test_a_fixed_set_of_schedules_breaks_nothing(self):
+    def test_a_fixed_set_of_schedules_has_no_violations(self):
         report = run(SEEDS)
         self.assertEqual(report.violations, [])
         self.assertGreater(report.outcomes["slots"], 1000)
@@ -25,33 +25,33 @@
         for mutant in MUTANTS:
             with self.subTest(mutant.guard):
                 if mutant.seed is None:
-                    self.assertTrue(mutant.why, "a guard without a mutant that is found needs a reason")
+                    self.assertTrue(mutant.why, "a mutant without a seed needs a reason")
                 else:
                     self.assertTrue(mutant.run([mutant.seed]).violations)
 
 
 class Behind(unittest.TestCase):
-    def test_a_member_far_behind_puts_no_question_that_each_voter_answers_with_the_log(self):
-        # Seed 10038 of the check: calls wait at a member that lacks 189 slots.  See docs/incidents/log-from-all.md.
+    def test_a_member_far_behind_sends_no_request_that_every_voter_answers_with_the_log(self):
+        # A call waits at a member that lacks 189 slots.  See docs/incidents/log-from-all.md.
         voters = [Voter(name, name) for name in "abc"]
         disk = Disk()
         disk.write([SnapshotRecord(0, b"", voters, 1)])
-        node = Node(voters[0], disk.load(), Ledger(), Random(1), Timing(poll_all_voters=False))
+        node = Node(voters[0], disk.load(), ModelStateMachine(), Random(1), Timing(poll_all_voters=False))
         node.observe_slot("b", 189, 1.0)
         effects = node.read("call", 1.01)
-        self.assertEqual([type(e.message) for e in effects if isinstance(e, Send)], [])
+        self.assertEqual([type(effect.message) for effect in effects if isinstance(effect, Send)], [])
 
-    def test_little_is_sent_to_one_that_did_not_ask(self):
-        # A newcomer's request to join goes to all voters, and each that knows more answers with a part of the log.
+    def test_an_unrequested_reply_is_short(self):
+        # A request to join goes to all voters, and each voter ahead of the new member answers with a part of the log.
         voters = [Voter(name, name) for name in "abc"]
         disk = Disk()
         disk.write([SnapshotRecord(0, b"", voters, 1)])
         timing = Timing(poll_all_voters=False)
-        node = Node(voters[0], disk.load(), Ledger(), Random(1), timing)
+        node = Node(voters[0], disk.load(), ModelStateMachine(), Random(1), timing)
         entries = [ConfigurationEntry(f"t{n}", n, n - 1, True, b"x" * 1000, f"{n}") for n in range(1, 41)]
         node.handle("b", ChosenEntries(1, entries, 40), 1.0)
         effects = node.handle("new", JoinRequest(Voter("new", "new"), 1), 1.01)
-        (reply,) = [each.message for each in effects if isinstance(each, Send) and each.addr == "new"]
+        (reply,) = [effect.message for effect in effects if isinstance(effect, Send) and effect.addr == "new"]
         size = len(encode(reply))
         self.assertGreater(len(reply.entries), 0)
         self.assertLessEqual(size, timing.max_run_bytes // 4)
--- a/tests/crowseam/test_check_cutoff.py
+++ b/tests/crowseam/test_check_cutoff.py
@@ -1,4 +1,4 @@
-"""Controllers that are cut off: what they still say, where gateways go, and the model check that plays them."""
+"""Partitioned controllers: their answers, the sessions of gateways, and the model check."""
 
 import json
 import unittest
@@ -18,7 +18,7 @@
 
 
 class Apart(unittest.TestCase):
-    """Three controllers and a gateway; r1 is cut off from the other two, or hears them only."""
+    """Three controllers and a gateway; r1 is partitioned from the other two, or only receives from them."""
 
     def setUp(self):
         self.system = system = test_controller.SimulatedCluster(1)
@@ -26,19 +26,19 @@
         system.world.run(3.0)
         self.call("r2", "PUT", "/-/backends/i-1", heartbeat("i-1", "up", 1))
 
-    def call(self, name, method, path, body=b"", span=0.9):
+    def call(self, name, method, path, body=b"", span_s=0.9):
         self.system.call(name, method, path, body)
-        self.system.world.run(self.system.world.now + span)
+        self.system.world.run(self.system.world.now + span_s)
         return self.system.answers[name]
 
-    def part(self, way="both", one="r1"):
-        others = frozenset(ip for name, ip in IPS.items() if name in CONTROL_ADDRS and name != one)
-        self.system.network.link_faults.append(LinkFault(frozenset([IPS[one]]), others, cut=True, direction=way))
+    def partition(self, way="both", isolated="r1"):
+        others = frozenset(ip for name, ip in IPS.items() if name in CONTROL_ADDRS and name != isolated)
+        self.system.network.link_faults.append(LinkFault(frozenset([IPS[isolated]]), others, cut=True, direction=way))
 
-    def test_nothing_is_confirmed_or_refused_and_what_is_shown_tells_its_age(self):
+    def test_nothing_is_confirmed_or_refused_and_status_pages_tell_their_age(self):
         for way in ("out", "in", "both"):
             with self.subTest(way=way):
-                self.part(way)
+                self.partition(way)
                 cut_at = self.system.world.now
                 for method, path, body in (
                     ("GET", "/-/config", b""),
@@ -62,66 +62,67 @@
     def test_a_refusal_waits_for_a_majority_in_touch_since_the_call(self):
         self.assertEqual(self.call("r1", "POST", "/-/retire", b'{"id": "never-heard-of"}').status, 404)
         self.assertEqual(self.call("r1", "POST", "/-/retire", b'{"id": "i-1"}').status, 409)
-        self.part()  # its detector has yet to notice
+        self.partition()  # its failure detector has yet to notice
         self.assertEqual(self.call("r1", "POST", "/-/retire", b'{"id": "never-heard-of"}').status, 503)
 
     def test_an_answer_to_an_earlier_call_acknowledges_no_leave(self):
-        # Voters stand still; what r1 sends is cut before the second call; then they answer the first one's question.
+        # The voters freeze; r1's messages are lost before the second call; then the voters answer the first call.
         voters = [self.system.processes[name] for name in ("r2", "r3")]
         for voter in voters:
             voter.frozen = True
-        self.call("r1", "DELETE", "/-/backends/i-1", span=0.65)
-        self.part("out")
-        self.call("r1", "DELETE", "/-/backends/i-1", span=0.2)
+        self.call("r1", "DELETE", "/-/backends/i-1", span_s=0.65)
+        self.partition("out")
+        self.call("r1", "DELETE", "/-/backends/i-1", span_s=0.2)
         for voter in voters:
             voter.thaw()
         self.system.world.run(self.system.world.now + 0.7)
         self.assertEqual(self.system.answers["r1"].status, 503)
 
-    def test_a_leave_is_acknowledged_though_disks_take_longer_than_a_call_waits(self):
+    def test_a_leave_is_acknowledged_although_disks_take_longer_than_a_call_waits(self):
         for name in ("r2", "r3"):
             self.system.disk_images[name].sync_s = 1.0
-        answers = [self.call("r1", "DELETE", "/-/backends/i-1", span=1.0).status for _ in range(4)]
+        answers = [self.call("r1", "DELETE", "/-/backends/i-1", span_s=1.0).status for _ in range(4)]
         self.assertEqual((answers[0], answers[-1]), (503, 200))
 
-    def test_a_server_heartbeats_elsewhere_before_it_is_taken_for_silent(self):
-        def said():
+    def test_a_server_heartbeats_elsewhere_before_it_is_considered_silent(self):
+        def heartbeat_status():
             return self.call("r1", "PUT", "/-/backends/i-1", heartbeat("i-1", "up", 9)).status
 
-        self.assertEqual(said(), 200)
-        self.part()
+        self.assertEqual(heartbeat_status(), 200)
+        self.partition()
         self.system.world.run(self.system.world.now + 2.1)
-        self.assertEqual(said(), 503)
+        self.assertEqual(heartbeat_status(), 503)
         self.system.heal()
         self.system.world.run(self.system.world.now + 4.0)
-        self.assertEqual(said(), 200)
+        self.assertEqual(heartbeat_status(), 200)
 
-    def test_who_was_away_calls_no_server_silent_until_it_has_listened_for_as_long(self):
-        quiet = []
+    def test_a_controller_that_was_partitioned_reports_no_server_silent_until_it_has_listened_for_as_long(self):
+        silent_reports = []
         r1 = self.system.controllers["r1"]
-        told = r1.gateways.broadcast
+        original_broadcast = r1.gateways.broadcast
 
         def broadcast(message):
             if isinstance(message, SilentServers):
-                quiet.append(message.ids)
-            told(message)
+                silent_reports.append(message.ids)
+            original_broadcast(message)
 
         r1.gateways.broadcast = broadcast
-        self.part()
+        self.partition()
         for seq in range(10, 34):
             self.call("r2", "PUT", "/-/backends/i-1", heartbeat("i-1", "up", seq))
             if seq == 25:
                 self.system.heal()
-        self.assertEqual(quiet, [])
+        self.assertEqual(silent_reports, [])
         self.system.world.run(self.system.world.now + 5.0)
-        self.assertEqual(quiet, [["i-1"]])  # it has really fallen silent
+        self.assertEqual(silent_reports, [["i-1"]])  # i-1 has stopped sending heartbeats
 
     def test_no_server_is_called_safe_on_the_word_of_its_own_gateways_alone(self):
-        (at,) = (name for name, one in self.system.controllers.items() if one.gateways.sessions)
+        (at,) = (name for name, controller in self.system.controllers.items() if controller.gateways.sessions)
         self.call(at, "PUT", "/-/backends/i-1", heartbeat("i-1", "draining", 2))
-        for parted, safe in ((False, True), (True, False)):
-            if parted:
-                self.part(one=at)  # its detector has yet to notice, and the only gateway is with it
+        for partitioned, safe in ((False, True), (True, False)):
+            if partitioned:
+                # Its failure detector has yet to notice, and the only gateway is connected to it.
+                self.partition(isolated=at)
             (row,) = json.loads(self.call(at, "GET", "/-/retiring").body)["servers"]
             self.assertEqual((row["unconfirmed"], row["safe"]), ([], safe))
 
@@ -133,8 +134,8 @@
         self.assertFalse(peers.is_current(now))
 
 
-class WhereTo(unittest.TestCase):
-    def test_two_controllers_of_the_own_zone_that_answer_nothing_are_not_tried_in_turns_for_ever(self):
+class ControllerChoice(unittest.TestCase):
+    def test_a_controller_elsewhere_is_tried_after_two_in_the_own_zone_did_not_answer(self):
         settings = Settings(
             "edge-1", "10.1.0.9", "z", (7660, 7675), ["10.1.0.1:8407", "10.1.0.2:8407", "10.2.0.1:8407"], Bind()
         )
@@ -155,13 +156,13 @@
 
 
 class Check(unittest.TestCase):
-    def test_schedules_break_nothing(self):
+    def test_schedules_have_no_violations(self):
         report = check.run(range(4))
         self.assertEqual(report.violations, [])
         self.assertGreater(report.cut_calls, 40)
-        self.assertLess(max(report.moves), check.REJOIN)
+        self.assertLess(max(report.moves), check.MAX_REJOIN_S)
 
-    def test_each_guard_that_is_left_out_is_missed(self):
+    def test_each_mutant_is_found_at_its_seed(self):
         for mutant, violations in model_check.run_known_mutants("cutoff"):
             with self.subTest(guard=mutant.guard):
                 self.assertTrue(violations)
--- a/tests/crowseam/test_check_membership.py
+++ b/tests/crowseam/test_check_membership.py
@@ -1,4 +1,4 @@
-"""Changes of voters: single rules by hand, and the model check with its mutants."""
+"""Changes of voters: single rules, and the model check with its mutants."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from crowseam.consensus.records import ChosenRecord, SnapshotRecord
 from crowseam.consensus.timing import Timing
 from crowseam.consensus.voter_selection import next_voters
-from crowseam.model_checks.agreement.check import Disk, Ledger, Order, World
+from crowseam.model_checks.agreement.check import ChangeRequest, Disk, ModelStateMachine, World
 from crowseam.model_checks.membership.check import MUTANTS, run
 
 
 def voting(world: World) -> list[str]:
-    """The addresses of the voters in force."""
+    """Return the addresses of the current voters."""
     return sorted(voter.addr for voter in world.voters[max(world.chosen, default=0)])
 
 
@@ -47,14 +47,14 @@
 
     def _leave(self, world: World, addr: str) -> Node:
         node = world.hosts[addr].node
-        world._carry(world.hosts[addr], node.leave(world.now))
+        world._run_effects(world.hosts[addr], node.leave(world.now))
         return node
 
     def test_one_that_leaves_serves_until_the_others_know(self):
         # time | m0    | m1   | m2   | m3
         # 2.0  | leave |      |      |
-        #      | struck off: by itself, by m3's vote and one more; the change may be known to m0 alone
-        #      | entry after it, taken by two of m1, m2, m3: left
+        #      | removed by its own vote, m3's and one more; the change may be known to m0 alone
+        #      | the next entry is accepted by two of m1, m2, m3: m0 has left
         world = self._four()
         node = self._leave(world, "m0")
         self.assertTrue(node.should_wait_to_leave)
@@ -62,12 +62,12 @@
             world.run_until(world.now + 0.001)
         self.assertFalse(node.should_wait_to_leave)
         self.assertLess(world.now, 3.0)
-        struck = next(
+        removal_slot = next(
             slot for slot, entry in sorted(world.chosen.items(), reverse=True) if isinstance(entry, VotersEntry)
         )
         self.assertEqual(voting(world), ["m1", "m2", "m3"])
-        knowing = [a for a in ("m1", "m2", "m3") if struck in world.hosts[a].disk.content.chosen]
-        self.assertGreaterEqual(len(knowing), 2)
+        informed = [a for a in ("m1", "m2", "m3") if removal_slot in world.hosts[a].disk.content.chosen]
+        self.assertGreaterEqual(len(informed), 2)
 
     def test_a_second_loss_as_the_leaver_has_gone_is_borne(self):
         # time | m0          | m1    | m2        | m3
@@ -78,7 +78,7 @@
             world.run_until(world.now + 0.001)
         world.crash("m0")
         world.crash("m1")
-        world.submit("m2", "put", Order(1, 0))
+        world.submit("m2", "put", ChangeRequest(1, 0))
         world.run_until(world.now + 1.0)
         self.assertIsInstance(world.answers["put"], Committed)
 
@@ -98,7 +98,7 @@
         # time  | m2    | m3
         # 1.0   | leave | start, not ready
         # t=2.5 | crash, heard until then, asked to leave 0.3 s before
-        # t+0.6 |       | ready: so short a silence does not say that m2 is gone, its request to leave does
+        # t+0.6 |       | ready: m2 has been silent too briefly to count as gone, but it has asked to leave
         world = World(1, ["m0", "m1", "m2"], Node)
         world.run_until(1.0)
         world.start("m3")
@@ -112,12 +112,12 @@
         world.crash("m2")
         world.run_until(world.now + 0.6)
         newcomer.ready_to_vote = True
-        world._carry(world.hosts["m3"], newcomer.tick(world.now))
-        # At once, long before the silence of m2 would say so; and nothing else later.
+        world._run_effects(world.hosts["m3"], newcomer.tick(world.now))
+        # At once, long before the silence of m2 would suffice; and no further change later.
         for until in (world.now + 0.3, 6.0):
             world.run_until(until)
-            sets = [entry.voters for entry in world.chosen.values() if isinstance(entry, VotersEntry)]
-            self.assertEqual([[voter.addr for voter in voters] for voters in sets], [["m3", "m0", "m1"]])
+            voter_sets = [entry.voters for entry in world.chosen.values() if isinstance(entry, VotersEntry)]
+            self.assertEqual([[voter.addr for voter in voters] for voters in voter_sets], [["m3", "m0", "m1"]])
 
     def test_a_leaver_is_kept_while_another_may_be_gone(self):
         voters = [Voter(name, name) for name in "abcde"]
@@ -145,7 +145,7 @@
         voters = [Voter(name, name) for name in "abc"]
         disk = Disk()
         disk.write([SnapshotRecord(0, b"", voters, 1), ChosenRecord(1, wire.NoOpEntry("t"))])
-        node = Node(Voter("a", "a"), disk.load(), Ledger(), Random(2), Timing(poll_all_voters=False))
+        node = Node(Voter("a", "a"), disk.load(), ModelStateMachine(), Random(2), Timing(poll_all_voters=False))
         node.tick(1.0)
         return node
 
@@ -154,8 +154,8 @@
             node.record_contact(other, now)
 
     def test_the_word_of_a_lost_disk_that_waited_lets_nobody_in(self):
-        # b lost its disk, asked as "old", lost it again, was let in as "new"; a stood still, and hears the
-        # request of "old" only now.
+        # b lost its disk, asked to join as "old", lost it again, and was admitted as "new"; a was frozen, and
+        # receives the request of "old" only now.
         node = self._node()
         self._hear(node, 1.1, "b", "c")
         node.handle("b", wire.JoinRequest(Voter("old", "b"), 1), 1.1)
@@ -178,11 +178,11 @@
         self.assertEqual(len(node._reconfiguration._wanted_voters()), 4)
 
     def test_one_that_was_deaf_strikes_off_nobody_it_has_yet_to_hear(self):
-        # time | a hears
+        # time | a receives from
         # 1.0  | b c d
-        # 4.0  | nobody: it is cut off, not they
-        # 4.2  | b c     the link to d is not up again yet
-        # 6.3  | b c     d is silent for long enough after all
+        # 4.0  | none: a is partitioned, not the others
+        # 4.2  | b c     the link to d is not restored yet
+        # 6.3  | b c     d has been silent for long enough
         node = self._node()
         node.handle("c", wire.ChosenEntries(2, [VotersEntry("v", [Voter(name, name) for name in "abcd"])], 2), 1.0)
         self._hear(node, 1.0, "b", "c", "d")
@@ -197,9 +197,9 @@
 
     def test_one_that_stood_still_strikes_off_nobody_whose_word_still_waits(self):
         # time | a
-        # 1.0  | hears b c d
-        # 1.1  | stands still
-        # 30.0 | reads what came from b and c; what came from d waits behind it
+        # 1.0  | receives from b c d
+        # 1.1  | freezes
+        # 30.0 | reads the messages of b and c; those of d are queued behind them
         node = self._node()
         node.handle("c", wire.ChosenEntries(2, [VotersEntry("v", [Voter(name, name) for name in "abcd"])], 2), 1.0)
         self._hear(node, 1.0, "b", "c", "d")
@@ -208,8 +208,8 @@
         self.assertIsNone(node._reconfiguration._wanted_voters())
 
     def test_a_newcomer_that_fell_silent_is_not_let_in(self):
-        # d asks to join while the link to c is down, and ends; nobody is added until c is heard again.  From 2.86 s on
-        # the request has lapsed, without a question to d that has to fail first.
+        # d asks to join while the link to c is down, and stops; no voter is added until c is heard again.  The request
+        # expires at 2.86 s, without a failed request to d.
         node = self._node()
         node.tick(2.0)
         self._hear(node, 2.05, "b")
@@ -223,7 +223,7 @@
         self.assertIsNone(node._reconfiguration._wanted_voters())
 
     def _answer(self, node: Node, effects: list[Effect], now: float) -> list[Effect]:
-        """All that the node asks before it proposes a change of voters is answered; what it then does."""
+        """Answer all quorum reads of the node before its proposal; return the effects."""
         out: list[Effect] = []
         for asked in effects:
             if isinstance(asked, Send) and isinstance(asked.message, wire.QuorumRead):
@@ -240,11 +240,11 @@
         self.assertEqual(len(node._requests), 1)
 
     def test_a_turn_outlasts_other_entries(self):
-        # c, which comes after a and b, has its turn 0.4 s to 0.5 s after it is asked, whatever is chosen.
+        # c, which proposes after a and b, has its turn 0.4 s to 0.5 s after the request, whatever is chosen.
         voters = [Voter(name, name) for name in "abcd"]
         disk = Disk()
         disk.write([SnapshotRecord(0, b"", voters, 1)])
-        node = Node(Voter("c", "c"), disk.load(), Ledger(), Random(2), Timing(poll_all_voters=False))
+        node = Node(Voter("c", "c"), disk.load(), ModelStateMachine(), Random(2), Timing(poll_all_voters=False))
         node.tick(1.0)
         proposed = []
         for at in range(1, 12):
--- a/tests/crowseam/test_check_operations.py
+++ b/tests/crowseam/test_check_operations.py
@@ -1,10 +1,10 @@
-"""The model check of keyed operations in short: a fixed set of schedules, and each mutant at its seed."""
+"""Model check of keyed operations: a fixed set of schedules, and each mutant at its seed."""
 
 import unittest
 
 from crowseam.model_checks.operations.mutants import MUTANTS, run
 
-SEEDS = (2, 10, 40, 107, 206, 511)  # five of them have found a fault, of the code or of the check, since mended
+SEEDS = (2, 10, 40, 107, 206, 511)
 
 
 class Check(unittest.TestCase):
@@ -19,6 +19,6 @@
         for mutant in MUTANTS:
             with self.subTest(mutant.guard):
                 if mutant.seed is None:
-                    self.assertTrue(mutant.why, "a guard without a mutant that is found needs a reason")
+                    self.assertTrue(mutant.why, "a mutant without a seed needs a reason")
                 else:
                     self.assertTrue(mutant.run([mutant.seed]).violations)
