--- a/tests/crowseam/test_consensus.py
+++ b/tests/crowseam/test_consensus.py
@@ -17,12 +17,12 @@
 from crowseam.consensus.records import ChosenRecord, DurableState, SlotVote, SnapshotRecord, VoteRecord
 from crowseam.consensus.timing import Timing
 from crowseam.consensus.voter_selection import assign_identity, next_voters
-from crowseam.model_checks.agreement.check import Disk, Ledger, Order, World, run
+from crowseam.model_checks.agreement.check import ChangeRequest, Disk, ModelStateMachine, World, run
 from crowseam.model_checks.agreement.exhaustive import explore
 from crowseam.model_checks.agreement.mutants import (
-    ChangesUnproven,
-    KeepsChangesOverStandStill,
-    MindsVotesWithoutVoters,
+    ChangesVotersUnproven,
+    KeepsChangesAfterPause,
+    RecoversVotesWithoutVoters,
 )
 from crowseam.model_checks.agreement.parts import node_with
 from crowseam.model_checks.schedules import Violation
@@ -66,7 +66,7 @@
             case "put":
                 ver, parent = map(int, details[0].split("/"))
                 self.request_ids[machine] = f"{machine}@{moment}"
-                world.submit(machine, self.request_ids[machine], Order(ver, parent))
+                world.submit(machine, self.request_ids[machine], ChangeRequest(ver, parent))
             case "read":
                 self.request_ids[machine] = f"{machine}@{moment}"
                 world.read(machine, self.request_ids[machine])
@@ -79,7 +79,7 @@
             case "join":
                 world.cut -= links
             case "jam" | "free":
-                world.hosts[machine].disk.refuses = act == "jam"
+                world.hosts[machine].disk.fails_writes = act == "jam"
             case "votes" | "out":
                 voters = world.voters[max(world.chosen, default=0)]
                 name = world.hosts[machine].disk.content.id
@@ -141,7 +141,7 @@
             seed=3,
         )
         for machine in ("m1", "m2"):
-            self.assertEqual(line.world.hosts[machine].ledger.ver, 1)
+            self.assertEqual(line.world.hosts[machine].state_machine.ver, 1)
         self.assertEqual(line.world.answers, {})
 
     def test_a_change_retried_at_another_machine_is_chosen_once(self):
@@ -258,7 +258,7 @@
         """,
             timing=Timing(kept_slots=4),
         )
-        self.assertEqual(line.world.hosts["m2"].ledger.ver, 20)
+        self.assertEqual(line.world.hosts["m2"].state_machine.ver, 20)
         self.assertLessEqual(len(line.world.hosts["m0"].node.entries_from(line.world.hosts["m0"].node.first_slot)), 8)
 
 
@@ -325,7 +325,7 @@
         disk = Disk()
         durable = disk.load()
         disk.write(assign_identity(durable, "a", ["a", "b", "c"], True, Random(1)))
-        return Node(Voter(durable.id, "a"), durable, Ledger(), Random(2))
+        return Node(Voter(durable.id, "a"), durable, ModelStateMachine(), Random(2))
 
     def test_chosen_entries_that_could_not_be_written_go_with_the_next_write(self):
         node = self._node()
@@ -341,13 +341,13 @@
         disk.write([SnapshotRecord(0, b"", [Voter(x, x) for x in "abc"], 1), ChosenRecord(1, wire.NoOpEntry("t"))])
         durable = disk.load()
         durable.chosen.clear()
-        node = Node(Voter("a", "a"), durable, Ledger(), Random(2))
+        node = Node(Voter("a", "a"), durable, ModelStateMachine(), Random(2))
         effects = node.handle("b", wire.Prepare(1, Ballot(9, "b")), 1.0)
         self.assertEqual([e.message for e in effects if isinstance(e, Send)], [wire.CatchUpRequest(1, True)])
 
     def test_promises_under_an_id_that_is_no_voter_do_not_count(self):
         node = self._node()
-        node.submit("x", Order(1, 0).judge("t"), 1.0)
+        node.submit("x", ChangeRequest(1, 0).builder("t"), 1.0)
         ballot = node._proposer.round.ballot
         for stranger in ("genesis/z", "0123"):
             node.handle("b", wire.Promise(1, ballot, stranger), 1.01)
@@ -407,14 +407,14 @@
                 world.start("m4")
                 world.run_until(world.now + 4.0)
                 self.assertIn("m4", self._all_voters_so_far(world))
-                world.submit("m1", "put", Order(1, 0))
+                world.submit("m1", "put", ChangeRequest(1, 0))
                 world.run_until(world.now + 1.0)
                 self.assertIsInstance(world.answers["put"], Committed)
 
     def test_without_the_guards_such_a_newcomer_is_added(self):
         for play, node_class in (
-            (self._newcomer_during_pause, node_with(ChangesUnproven)),
-            (self._pause_during_change, KeepsChangesOverStandStill),
+            (self._newcomer_during_pause, node_with(ChangesVotersUnproven)),
+            (self._pause_during_change, KeepsChangesAfterPause),
         ):
             with self.subTest(node_class.__name__):
                 world = play(node_class)
@@ -454,7 +454,7 @@
 
     def test_without_the_guard_it_sets_a_timer(self):
         with self.assertRaises(Violation):
-            self._events_without_voters(MindsVotesWithoutVoters)
+            self._events_without_voters(RecoversVotesWithoutVoters)
 
 
 class MissingState(unittest.TestCase):
@@ -463,7 +463,7 @@
     def test_it_applies_no_entry_before_it_has_a_state(self):
         ballot, entry = Ballot(1, "b~0"), ConfigurationEntry("t", 1, 0, True, b"", "d1")
         durable = DurableState(id="a", votes={1: SlotVote(ballot, ballot, entry)})
-        node = Node(Voter("a", "a"), durable, Ledger(), Random(1), bootstrap_addrs=["b"])
+        node = Node(Voter("a", "a"), durable, ModelStateMachine(), Random(1), bootstrap_addrs=["b"])
         node.tick(1.0)
         effects = node.handle("b", wire.ChosenBallot(1, ballot), 1.1)
         self.assertEqual([effect for effect in effects if isinstance(effect, NotifyApplied)], [])
--- a/tests/crowseam/test_large_states.py
+++ b/tests/crowseam/test_large_states.py
@@ -21,8 +21,8 @@
 )
 from crowseam.consensus.timing import Timing
 from crowseam.gateway.controller_session import ControllerSession
-from crowseam.model_checks.agreement.check import Ledger, Order
-from crowseam.model_checks.catchup.check import Padded
+from crowseam.model_checks.agreement.check import ChangeRequest, ModelStateMachine
+from crowseam.model_checks.catchup.check import PaddedLedger
 from crowseam.settings import Bind, Settings
 from crowseam.simulator.slow_links import LINK_BANDWIDTH, NEW_CONTROLLER, SEEDS, SlowLinks, configuration
 from crowseam.simulator.world.patches import simulated_environment
@@ -150,7 +150,7 @@
     """Messages of processes of an earlier version, and the replies to them."""
 
     def node(self, size):
-        ledger = Padded(Ledger(), size)
+        ledger = PaddedLedger(ModelStateMachine(), size)
         state = ledger.snapshot()
         durable = DurableState("a", 5, {}, {}, SnapshotRecord(5, state, [Voter("a", "a")], 6))
         return Node(Voter("a", "a"), durable, ledger, random.Random(1), Timing()), state
@@ -198,12 +198,12 @@
         self.assertEqual(decompress_snapshot(one.data), snapshot)
 
     def test_the_log_after_a_snapshot_that_is_being_downloaded_is_kept(self):
-        ledger = Padded(Ledger(), 100_000)
+        ledger = PaddedLedger(ModelStateMachine(), 100_000)
         durable = DurableState("a", 0, {}, {}, SnapshotRecord(0, b"", [Voter("a", "a")], 1))
         node = Node(Voter("a", "a"), durable, ledger, random.Random(1), Timing(kept_slots=8, max_kept_slots=32))
 
         def change(ver):
-            effects = node.submit(ver, Order(ver, ver - 1).judge(f"t{ver}"), float(ver))
+            effects = node.submit(ver, ChangeRequest(ver, ver - 1).builder(f"t{ver}"), float(ver))
             while effects:
                 effect = effects.pop(0)
                 if isinstance(effect, Send) and effect.addr == "a":
--- a/tests/crowseam/test_quotas.py
+++ b/tests/crowseam/test_quotas.py
@@ -8,11 +8,11 @@
 from crowseam.membership.role_holders import preferred_holder
 from crowseam.model_checks.quotas.check import (
     KEY,
-    BorrowersUnnamed,
-    HoldingsThatObeyAll,
+    AcceptsAnyFencingToken,
     Parts,
     QuotaReport,
     Violation,
+    WithoutBorrowerLists,
     World,
     metrics,
     run,
@@ -84,8 +84,8 @@
         for name in ("d0", "d1", "d2"):
             world.demand[name, "large"] = 30.0
         world.run_until(cut_at)
-        for name in world.names:
-            world.part("d0", name, 20.0)
+        for name in world.controller_names:
+            world.partition("d0", name, 20.0)
         world.run_until(cut_at + 10.0)
 
     def test_clocks_that_differ_by_two_percent_need_the_margin(self):
@@ -107,53 +107,57 @@
         tenants = {name: TenantTerms(20.0, 20.0) for name in ("small", "large", "modest")}
         world = World(1, 3, 5, tenants, parts, QuotaReport(), drift=0.0)
         world.run_until(3.0)
-        holder = next(name for name, grantor in world.grantors.items() if grantor.lender is not None)
-        successor = preferred_holder(KEY, set(world.names) - {holder})
-        relay = next(name for name in world.names if name not in (holder, successor))
-        world.sites.pop("d0")
-        world.part(relay, successor, 60.0)
-        for name in world.names:
+        holder = next(name for name, controller in world.controllers.items() if controller.grantor is not None)
+        successor = preferred_holder(KEY, set(world.controller_names) - {holder})
+        relay = next(name for name in world.controller_names if name not in (holder, successor))
+        world.gateway_processes.pop("d0")
+        world.partition(relay, successor, 60.0)
+        for name in world.controller_names:
             if name != relay:
-                world.part("d0", name, 60.0)
+                world.partition("d0", name, 60.0)
         world.run_until(16.0)
         for name in world.gateways:
             world.demand[name, "large"] = 60.0 if name == "d0" else 0.0
-        world.start_site("d0")
+        world.start_gateway("d0")
         world.run_until(22.0)
-        self.assertGreater(world.sites["d0"].holdings.share("large", world.sites["d0"].clock()), 0.3)
-        del world.grantors[holder]
-        world.part("d0", relay, 60.0)
+        self.assertGreater(
+            world.gateway_processes["d0"].leases.share("large", world.gateway_processes["d0"].clock()), 0.3
+        )
+        del world.controllers[holder]
+        world.partition("d0", relay, 60.0)
         for name in world.gateways:
             world.demand[name, "large"] = 60.0
         world.run_until(24.5)
-        self.assertIsNotNone(world.grantors[successor].lender)
+        self.assertIsNotNone(world.controllers[successor].grantor)
         world.run_until(40.0)
 
     def test_a_grantor_and_a_gateway_that_only_it_knew_are_lost_together(self):
         self.play_lost_together(Parts())
         with self.assertRaisesRegex(Violation, "sum to"):
-            self.play_lost_together(Parts(role_leases=BorrowersUnnamed))
+            self.play_lost_together(Parts(role_leases=WithoutBorrowerLists))
 
     def play_late_lease(self, parts: Parts) -> int:
         """A lease of the previous grantor arrives after the gateway has heard from its successor."""
         world = self.world(parts)
         world.run_until(3.0)
-        gateway = world.sites["d0"]
-        old_grantor = next(grantor.lender for grantor in world.grantors.values() if grantor.lender is not None)
+        gateway = world.gateway_processes["d0"]
+        old_grantor = next(
+            controller.grantor for controller in world.controllers.values() if controller.grantor is not None
+        )
         late_lease = old_grantor.report(
-            "d0", {"large": 1.0}, gateway.holdings.report(gateway.clock()), old_grantor._next_sweep_at
+            "d0", {"large": 1.0}, gateway.leases.report(gateway.clock()), old_grantor._next_sweep_at
         )
-        holder = next(grantor for grantor in world.grantors.values() if grantor.lender is old_grantor)
-        del world.grantors[holder.name]
+        holder = next(controller for controller in world.controllers.values() if controller.grantor is old_grantor)
+        del world.controllers[holder.name]
         world.run_until(7.0)
-        self.assertGreater(gateway.fence, late_lease.fencing_token)
-        gateway.slice(late_lease)
-        return gateway.holdings.fencing_token
+        self.assertGreater(gateway.highest_fencing_token, late_lease.fencing_token)
+        gateway.on_lease(late_lease)
+        return gateway.leases.fencing_token
 
     def test_a_late_lease_is_refused(self):
         self.assertGreater(self.play_late_lease(Parts()), 0)
         with self.assertRaisesRegex(Violation, "obeys fence"):
-            self.play_late_lease(Parts(holdings=HoldingsThatObeyAll))
+            self.play_late_lease(Parts(holdings=AcceptsAnyFencingToken))
 
 
 if __name__ == "__main__":
